--- a/fuzz/cluster_wire_fuzz.cpp
+++ b/fuzz/cluster_wire_fuzz.cpp
@@ -7,7 +7,7 @@
 #include <cstdlib>
 #include <string>
 
-#include "cluster/mind.h"
+#include "cluster/failure_detector.h"
 #include "cluster/wire.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
--- a/src/cluster/differs.h
+++ b/src/cluster/differences.h
@@ -1,11 +1,11 @@
 // Who among the members differs from the rest, and why, in a line each. No I/O, no clock.
-#ifndef BURLFALL_CLUSTER_DIFFERS_H_
-#define BURLFALL_CLUSTER_DIFFERS_H_
+#ifndef BURLFALL_CLUSTER_DIFFERENCES_H_
+#define BURLFALL_CLUSTER_DIFFERENCES_H_
 
 #include <string>
 #include <vector>
 
-#include "cluster/mind.h"
+#include "cluster/failure_detector.h"
 
 namespace burlfall::cluster {
 
@@ -27,4 +27,4 @@
 
 }  // namespace burlfall::cluster
 
-#endif  // BURLFALL_CLUSTER_DIFFERS_H_
+#endif  // BURLFALL_CLUSTER_DIFFERENCES_H_
--- a/src/cluster/mind.cpp
+++ b/src/cluster/failure_detector.cpp
@@ -1,4 +1,4 @@
-#include "cluster/mind.h"
+#include "cluster/failure_detector.h"
 
 #include <algorithm>
 #include <bit>
--- a/src/cluster/mind.h
+++ b/src/cluster/failure_detector.h
@@ -21,8 +21,8 @@
 // - each ping carries a digest of the view. Where two differ for longer than gossip takes, they tell each
 // other
 //   all, on a connection.
-#ifndef BURLFALL_CLUSTER_MIND_H_
-#define BURLFALL_CLUSTER_MIND_H_
+#ifndef BURLFALL_CLUSTER_FAILURE_DETECTOR_H_
+#define BURLFALL_CLUSTER_FAILURE_DETECTOR_H_
 
 #include <algorithm>
 #include <cstddef>
@@ -281,4 +281,4 @@
 
 }  // namespace burlfall::cluster
 
-#endif  // BURLFALL_CLUSTER_MIND_H_
+#endif  // BURLFALL_CLUSTER_FAILURE_DETECTOR_H_
--- a/src/lab/members/virtual_members.h
+++ b/src/lab/members/virtual_members.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "cluster/mind.h"
+#include "cluster/failure_detector.h"
 #include "lab/members/member_judge.h"
 #include "lab/members/scenario.h"
 #include "lab/paths/path_model.h"
--- a/src/member/member.cpp
+++ b/src/member/member.cpp
@@ -5,7 +5,7 @@
 #include <system_error>
 #include <utility>
 
-#include "cluster/differs.h"
+#include "cluster/differences.h"
 #include "cluster/wire.h"
 #include "member/view_text.h"
 
--- a/src/member/member.h
+++ b/src/member/member.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "cluster/mind.h"
+#include "cluster/failure_detector.h"
 #include "config/cluster_settings.h"
 #include "io/machine.h"
 #include "observe/log.h"
--- a/src/member/view_text.cpp
+++ b/src/member/view_text.cpp
@@ -4,7 +4,7 @@
 #include <array>
 #include <cstdio>
 
-#include "cluster/differs.h"
+#include "cluster/differences.h"
 
 namespace burlfall {
 namespace {
--- a/src/member/view_text.h
+++ b/src/member/view_text.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "cluster/mind.h"
+#include "cluster/failure_detector.h"
 
 namespace burlfall {
 
--- a/tests/cluster/differs_test.cpp
+++ b/tests/cluster/differences_test.cpp
@@ -1,4 +1,4 @@
-#include "cluster/differs.h"
+#include "cluster/differences.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/cluster/mind_test.cpp
+++ b/tests/cluster/failure_detector_test.cpp
@@ -1,5 +1,5 @@
 // The mind alone, told what a network would tell it.
-#include "cluster/mind.h"
+#include "cluster/failure_detector.h"
 
 #include <gtest/gtest.h>
 
