--- a/fuzz/cluster_wire_fuzz.cpp
+++ b/fuzz/cluster_wire_fuzz.cpp
@@ -17,20 +17,20 @@
   frame += static_cast<char>(kWireVersion);
   const uint64_t sum = XXH3_64bits(body.data(), body.size());
   for (int byte = 0; byte < 8; ++byte) frame += static_cast<char>(sum >> (8 * byte) & 0xff);
-  const ReadMessage read = Read(frame + body, "s");
+  const DecodedMessage read = Decode(frame + body, "s");
   if (!read.message) {
     if (*read.why == '\0') std::abort();
     return 0;
   }
-  const ReadMessage again = Read(Write(*read.message, "s"), "s");
+  const DecodedMessage again = Decode(Encode(*read.message, "s"), "s");
   if (!again.message || !(*again.message == *read.message)) std::abort();
-  Mind mind({}, {"me", "a:1", {5, 0}}, {}, 1);
-  mind.Begin(burlfall::kSecond);
-  mind.Heard(burlfall::kSecond, *read.message);
-  mind.Answer(burlfall::kSecond, *read.message);
-  mind.Tick(20 * burlfall::kSecond);
-  for (const Outgoing& out : mind.TakeOutgoing()) {
-    if (Write(out.message, "s").size() > kLargestDatagram) std::abort();
+  FailureDetector detector({}, {"me", "a:1", {5, 0}}, {}, 1);
+  detector.Start(burlfall::kSecond);
+  detector.OnMessage(burlfall::kSecond, *read.message);
+  detector.AnswerCall(burlfall::kSecond, *read.message);
+  detector.Tick(20 * burlfall::kSecond);
+  for (const Outgoing& out : detector.TakeOutgoing()) {
+    if (Encode(out.message, "s").size() > kMaxDatagramBytes) std::abort();
   }
   return 0;
 }
--- a/src/cluster/differences.h
+++ b/src/cluster/differences.h
@@ -1,4 +1,4 @@
-// Who among the members differs from the rest, and why, in a line each. No I/O, no clock.
+// Finds members that differ from the rest, with a reason in one line each. No I/O, no clock.
 #ifndef BURLFALL_CLUSTER_DIFFERENCES_H_
 #define BURLFALL_CLUSTER_DIFFERENCES_H_
 
@@ -10,20 +10,23 @@
 namespace burlfall::cluster {
 
 struct Difference {
-  std::string who;  // empty: all of them alike
+  std::string who;  // empty: all members are affected
   std::string why;
   bool operator==(const Difference&) const = default;
 };
 
-struct DifferRules {
-  Micros list_behind = 10 * kSecond;  // an older list is told of once the service was last heard so long ago
-  Micros heard_within = 600 * kSecond;  // what a member said longer ago says nothing
+struct DifferenceOptions {
+  // An older list is reported once the list service last answered the member so long ago.
+  Micros stale_list_after = 10 * kSecond;
+  Micros received_within = 600 * kSecond;  // facts received longer ago are ignored
 };
 
-// By what each living member last told of itself; what most tell is what the rest is held against.
-// `newest_list` comes back as the latest version that anybody has.
-std::vector<Difference> WhoDiffers(const Mind& mind, Micros now, const DifferRules& rules = {});
-uint64_t NewestList(const Mind& mind, Micros now, const DifferRules& rules = {});
+// Compares what each living member last reported about itself with what the majority reports.
+std::vector<Difference> FindDifferences(const FailureDetector& detector, Micros now,
+                                        const DifferenceOptions& options = {});
+// The latest list version that any of these members has.
+uint64_t NewestListVersion(const FailureDetector& detector, Micros now,
+                           const DifferenceOptions& options = {});
 
 }  // namespace burlfall::cluster
 
--- a/src/cluster/gossip.cpp
+++ b/src/cluster/gossip.cpp
@@ -3,45 +3,45 @@
 namespace burlfall::cluster {
 namespace {
 
-constexpr size_t kAround = 32;  // numbers, heads of the texts
+constexpr size_t kFixedUpdateBytes = 32;  // numbers and the length prefixes of the texts
 
 }  // namespace
 
-size_t Gossip::SizeOf(const Claim& claim) {
-  size_t bytes = kAround + claim.who.name.size() + claim.who.address.size();
-  for (const std::string& accuser : claim.accusers) bytes += accuser.size() + 2;
+size_t GossipQueue::MaxEncodedSize(const Update& update) {
+  size_t bytes = kFixedUpdateBytes + update.who.name.size() + update.who.address.size();
+  for (const std::string& suspecting_member : update.suspected_by) bytes += suspecting_member.size() + 2;
   return bytes;
 }
 
-void Gossip::Add(Claim claim) {
-  const std::string name = claim.who.name;
-  Forget(name);
-  claims_[name] = {std::move(claim), 0};
+void GossipQueue::Add(Update update) {
+  const std::string name = update.who.name;
+  Remove(name);
+  updates_[name] = {std::move(update), 0};
   order_.insert({0, name});
 }
 
-void Gossip::Forget(const std::string& name) {
-  const auto it = claims_.find(name);
-  if (it == claims_.end()) return;
-  order_.erase({it->second.sent, name});
-  claims_.erase(it);
+void GossipQueue::Remove(const std::string& name) {
+  const auto it = updates_.find(name);
+  if (it == updates_.end()) return;
+  order_.erase({it->second.sent_count, name});
+  updates_.erase(it);
 }
 
-std::vector<Claim> Gossip::Take(size_t bytes, int times) {
-  std::vector<Claim> taken;
+std::vector<Update> GossipQueue::Take(size_t bytes, int max_sends) {
+  std::vector<Update> taken;
   std::vector<std::pair<int, std::string>> sent;
   for (auto it = order_.begin(); it != order_.end();) {
-    Item& item = claims_[it->second];
-    const size_t size = SizeOf(item.claim);
+    Item& item = updates_[it->second];
+    const size_t size = MaxEncodedSize(item.update);
     if (size > bytes) break;
     bytes -= size;
-    taken.push_back(item.claim);
+    taken.push_back(item.update);
     const std::string name = it->second;
     it = order_.erase(it);
-    if (++item.sent >= times) {
-      claims_.erase(name);
+    if (++item.sent_count >= max_sends) {
+      updates_.erase(name);
     } else {
-      sent.emplace_back(item.sent, name);
+      sent.emplace_back(item.sent_count, name);
     }
   }
   order_.insert(sent.begin(), sent.end());
--- a/src/cluster/gossip.h
+++ b/src/cluster/gossip.h
@@ -1,5 +1,5 @@
-// News on their way to the other members: for each member the last claim alone, each sent a bounded number of
-// times, those first that were sent least.
+// Queue of updates to send to the other members: only the last update about each member, each sent a bounded
+// number of times, the least often sent first.
 #ifndef BURLFALL_CLUSTER_GOSSIP_H_
 #define BURLFALL_CLUSTER_GOSSIP_H_
 
@@ -14,24 +14,24 @@
 
 namespace burlfall::cluster {
 
-class Gossip {
+class GossipQueue {
  public:
-  // In the place of what was to be told of the same member.
-  void Add(Claim claim);
-  void Forget(const std::string& name);
-  // At most so many bytes of them, as SizeOf() counts; what has gone out `times` is news no more.
-  std::vector<Claim> Take(size_t bytes, int times);
-  size_t size() const { return claims_.size(); }
-  // An upper bound of what a claim takes on the wire.
-  static size_t SizeOf(const Claim& claim);
+  // Replaces a queued update about the same member.
+  void Add(Update update);
+  void Remove(const std::string& name);
+  // Returns updates of at most `bytes` in all, by MaxEncodedSize(), and drops those sent `max_sends` times.
+  std::vector<Update> Take(size_t bytes, int max_sends);
+  size_t size() const { return updates_.size(); }
+  // An upper bound of the encoded size of an update, in bytes.
+  static size_t MaxEncodedSize(const Update& update);
 
  private:
   struct Item {
-    Claim claim;
-    int sent = 0;
+    Update update;
+    int sent_count = 0;
   };
-  std::map<std::string, Item> claims_;
-  std::set<std::pair<int, std::string>> order_;  // by how often they were sent
+  std::map<std::string, Item> updates_;
+  std::set<std::pair<int, std::string>> order_;  // by the number of sends
 };
 
 }  // namespace burlfall::cluster
--- a/src/cluster/wire.h
+++ b/src/cluster/wire.h
@@ -1,6 +1,6 @@
-// A member's messages as bytes. A frame is "bfc", the version of the format, a checksum of the body (XXH3, 64
-// bits, the low byte first), and the body: one MessagePack array, which begins with the site's name. A later
-// writer of the same version may add values at an array's end; they are passed over.
+// Wire format of the membership messages. A frame is "bfc", the version of the format, a checksum of the body
+// (XXH3, 64 bits, the low byte first), and the body: one MessagePack array that begins with the site's name.
+// A later writer of the same version may append values to an array; a reader ignores them.
 #ifndef BURLFALL_CLUSTER_WIRE_H_
 #define BURLFALL_CLUSTER_WIRE_H_
 
@@ -14,16 +14,16 @@
 namespace burlfall::cluster {
 
 constexpr unsigned char kWireVersion = 1;
-constexpr size_t kLargestFrame = 1 << 20;  // bytes, on a connection
+constexpr size_t kMaxFrameBytes = 1 << 20;  // on a connection
 
-std::string Write(const Message& message, std::string_view site);
+std::string Encode(const Message& message, std::string_view site);
 
-struct ReadMessage {
+struct DecodedMessage {
   std::optional<Message> message;
-  const char* why =
-      "";  // where there is none: "not ours", "another version", "damaged", "another site", "malformed"
+  // Where there is no message: "not ours", "another version", "damaged", "another site" or "malformed".
+  const char* why = "";
 };
-ReadMessage Read(std::string_view frame, std::string_view site);
+DecodedMessage Decode(std::string_view frame, std::string_view site);
 
 }  // namespace burlfall::cluster
 
--- a/src/lab/members/virtual_members.cpp
+++ b/src/lab/members/virtual_members.cpp
@@ -14,14 +14,14 @@
 }  // namespace
 
 struct VirtualMembers::One {
-  std::unique_ptr<cluster::Mind> mind;
+  std::unique_ptr<cluster::FailureDetector> mind;
   uint64_t life = 0;
   bool paused = false;
   Micros tick_at = kNever;
   std::deque<Flight> held;  // what came while it stood still
 };
 
-VirtualMembers::VirtualMembers(const Scenario& scenario, uint64_t seed, cluster::Rules rules)
+VirtualMembers::VirtualMembers(const Scenario& scenario, uint64_t seed, cluster::Options rules)
     : scenario_(scenario),
       seed_(seed),
       rules_(rules),
@@ -33,7 +33,7 @@
 
 VirtualMembers::~VirtualMembers() = default;
 
-const cluster::Mind* VirtualMembers::mind(int i) const {
+const cluster::FailureDetector* VirtualMembers::mind(int i) const {
   return ones_.at(static_cast<size_t>(i))->mind.get();
 }
 
@@ -68,12 +68,12 @@
   for (int s = 0; s < scenario_.dead_seeds; ++s)
     seeds.push_back(std::string("10.0.0.9:") + std::to_string(s + 1));
   for (int s = 0; s < std::min(3, static_cast<int>(ones_.size())); ++s) seeds.push_back(AddressOf(s));
-  one.mind = std::make_unique<cluster::Mind>(rules_, self, seeds, seed_ * 1000003 + one.life);
+  one.mind = std::make_unique<cluster::FailureDetector>(rules_, self, seeds, seed_ * 1000003 + one.life);
   cluster::Facts facts;
   facts.zone = plan_.zones[static_cast<size_t>(i)];
-  one.mind->Tell(facts);
+  one.mind->SetFacts(facts);
   judge_.Started(now_, i);
-  one.mind->Begin(kBase + now_);
+  one.mind->Start(kBase + now_);
   Settle(i);
 }
 
@@ -122,13 +122,13 @@
 // What a mind wants done.
 void VirtualMembers::Settle(int i) {
   One& one = *ones_[static_cast<size_t>(i)];
-  cluster::Mind& mind = *one.mind;
+  cluster::FailureDetector& mind = *one.mind;
   for (const cluster::Notice& notice : mind.TakeNotices()) {
     if (tells_) tells_(now_, i, notice);
     using What = cluster::Notice::What;
-    if (notice.what == What::kStanding) {
-      if (mind.standing() == cluster::Standing::kIn) judge_.Saw(now_, i, Sight::kIn, i);
-      if (mind.standing() == cluster::Standing::kCutOff) judge_.Saw(now_, i, Sight::kCutOff, i);
+    if (notice.what == What::kSelfStatus) {
+      if (mind.status() == cluster::SelfStatus::kConnected) judge_.Saw(now_, i, Sight::kIn, i);
+      if (mind.status() == cluster::SelfStatus::kCutOff) judge_.Saw(now_, i, Sight::kCutOff, i);
       continue;
     }
     constexpr std::pair<What, Sight> kSights[] = {
@@ -146,7 +146,8 @@
   for (cluster::Outgoing& out : mind.TakeOutgoing()) {
     const int to = IndexOf(out.to);
     size_t bytes = kAround;
-    for (const cluster::Claim& claim : out.message.claims) bytes += cluster::Gossip::SizeOf(claim);
+    for (const cluster::Update& update : out.message.updates)
+      bytes += cluster::GossipQueue::MaxEncodedSize(update);
     ++datagrams_;
     bytes_ += bytes;
     if (to < 0) continue;
@@ -159,8 +160,9 @@
   for (cluster::Call& call : mind.TakeCalls()) {
     ++calls_;
     const int to = IndexOf(call.to);
-    const Micros give_up = now_ + call.patience;
-    Push({give_up, 0, i, one.life, Flight::What::kCallEnd, to, call.id, cluster::CallEnd::kSilent, nullptr});
+    const Micros give_up = now_ + call.timeout;
+    Push({give_up, 0, i, one.life, Flight::What::kCallEnd, to, call.id, cluster::CallResult::kNoAnswer,
+          nullptr});
     if (to < 0) continue;
     // A connection takes a round trip, and the question half of one.
     const Micros there = paths_.Piece(now_, i, to, 100, now_);
@@ -177,7 +179,7 @@
           {},
           std::make_shared<cluster::Message>(std::move(call.message))});
   }
-  const Micros next = mind.next_at();
+  const Micros next = mind.next_tick_at();
   const Micros at = next == kNever ? kNever : std::max(now_, next - kBase);
   if (at != one.tick_at) {
     one.tick_at = at;
@@ -195,7 +197,7 @@
     if (!one.mind) {  // its machine says so
       if (back != kNever) {
         Push({back, 0, flight.from, flight.life, What::kCallEnd, flight.to, flight.call,
-              cluster::CallEnd::kRefused, nullptr});
+              cluster::CallResult::kRefused, nullptr});
       }
       return;
     }
@@ -203,7 +205,7 @@
       if (one.held.size() < kSocketHolds) one.held.push_back(flight);
       return;
     }
-    std::optional<cluster::Message> answer = one.mind->Answer(kBase + now_, *flight.message);
+    std::optional<cluster::Message> answer = one.mind->AnswerCall(kBase + now_, *flight.message);
     Settle(flight.to);
     if (!answer || back == kNever) return;
     Push({back,
@@ -230,14 +232,14 @@
   }
   switch (flight.what) {
     case What::kDatagram:
-      one.mind->Heard(kBase + now_, *flight.message);
+      one.mind->OnMessage(kBase + now_, *flight.message);
       break;
     case What::kCallBack:
-      one.mind->Heard(kBase + now_, *flight.message);
-      one.mind->Called(kBase + now_, flight.call, cluster::CallEnd::kAnswered);
+      one.mind->OnMessage(kBase + now_, *flight.message);
+      one.mind->OnCallEnded(kBase + now_, flight.call, cluster::CallResult::kAnswered);
       break;
     default:
-      one.mind->Called(kBase + now_, flight.call, flight.end);
+      one.mind->OnCallEnded(kBase + now_, flight.call, flight.end);
       break;
   }
   Settle(flight.to);
--- a/src/lab/members/virtual_members.h
+++ b/src/lab/members/virtual_members.h
@@ -26,11 +26,11 @@
   };
   using Tells = std::function<void(Micros at, int observer, const cluster::Notice& notice)>;
 
-  VirtualMembers(const Scenario& scenario, uint64_t seed, cluster::Rules rules);
+  VirtualMembers(const Scenario& scenario, uint64_t seed, cluster::Options rules);
   ~VirtualMembers();
   MemberVerdict Play();
   void OnNotice(Tells tells) { tells_ = std::move(tells); }
-  const cluster::Mind* mind(int i) const;  // nullptr: doesn't run
+  const cluster::FailureDetector* mind(int i) const;  // nullptr: doesn't run
   const MemberPlan& plan() const { return plan_; }
   Costs costs() const;
   // What takes the place of a datagram on its way, for members that lie: changes it, or drops it by false.
@@ -46,7 +46,7 @@
     enum class What { kDatagram, kTick, kCallIn, kCallBack, kCallEnd } what = What::kDatagram;
     int from = 0;
     uint64_t call = 0;
-    cluster::CallEnd end = cluster::CallEnd::kSilent;
+    cluster::CallResult end = cluster::CallResult::kNoAnswer;
     std::shared_ptr<cluster::Message> message;
     bool operator>(const Flight& other) const { return at != other.at ? at > other.at : order > other.order; }
   };
@@ -62,7 +62,7 @@
 
   const Scenario scenario_;
   const uint64_t seed_;
-  const cluster::Rules rules_;
+  const cluster::Options rules_;
   const MemberPlan plan_;
   MemberJudge judge_;
   PathModel paths_;
--- a/src/lab/members_command.cpp
+++ b/src/lab/members_command.cpp
@@ -57,12 +57,15 @@
 }
 
 // A mechanism taken away, to see what it is for. False where there is none of that name.
-bool TakeAway(const std::string& what, cluster::Rules& rules) {
-  const std::pair<const char*, bool cluster::Rules::*> kAll[] = {
-      {"own-pauses", &cluster::Rules::own_pauses}, {"two-ears", &cluster::Rules::two_ears},
-      {"indirect", &cluster::Rules::indirect},     {"refutes", &cluster::Rules::refutes},
-      {"exchanges", &cluster::Rules::exchanges},   {"incarnations", &cluster::Rules::incarnations},
-      {"suspicion", &cluster::Rules::suspicion}};
+bool TakeAway(const std::string& what, cluster::Options& rules) {
+  const std::pair<const char*, bool cluster::Options::*> kAll[] = {
+      {"own-pauses", &cluster::Options::detect_own_pauses},
+      {"two-ears", &cluster::Options::require_second_observer},
+      {"indirect", &cluster::Options::indirect_pings},
+      {"refutes", &cluster::Options::refutation},
+      {"exchanges", &cluster::Options::full_sync},
+      {"incarnations", &cluster::Options::incarnations},
+      {"suspicion", &cluster::Options::suspicion}};
   for (const auto& [name, member] : kAll) {
     if (what != name) continue;
     rules.*member = false;
@@ -109,7 +112,7 @@
 
 int RunVirtual(const Words& words, const Scenario& scenario, const std::string& name,
                nlohmann::ordered_json& all) {
-  cluster::Rules rules;
+  cluster::Options rules;
   if (!TakeAway(words.without, rules)) {
     Complain("--without: own-pauses, two-ears, indirect, refutes, exchanges, incarnations or suspicion");
     return kUnusable;
--- a/src/member/member.cpp
+++ b/src/member/member.cpp
@@ -12,54 +12,56 @@
 namespace burlfall {
 namespace {
 
-constexpr size_t kMostTaken = 64;  // connections of others at a time; further ones wait to be accepted
-constexpr size_t kMostAskers = 8;
-constexpr int kDatagramsATurn = 512;           // read before the timers are looked at
-constexpr Micros kLinkPatience = 2 * kSecond;  // for the whole of another's call
-constexpr Micros kRefreshEvery = 250 * kMs;
-constexpr Micros kTellLate = 100 * kMs;  // no room for a connection: look again
-constexpr Micros kBehindFor = 3 * kSecond;
+constexpr size_t kMaxAcceptedConnections = 64;  // at a time; further ones wait to be accepted
+constexpr size_t kMaxCommandClients = 8;
+constexpr int kDatagramsPerTurn = 512;              // read before the timers are checked
+constexpr Micros kServedCallTimeout = 2 * kSecond;  // for a whole call of another member
+constexpr Micros kRefreshInterval = 250 * kMs;
+constexpr Micros kRetryInterval = 100 * kMs;  // for binding, and for accepting at the limit
+constexpr Micros kListBehindDelay = 3 * kSecond;
 constexpr size_t kHistoryLines = 400;
-constexpr size_t kPiece = 32 * 1024;  // of an answer on the Unix socket
-constexpr size_t kHeadBytes = 4;      // of a frame on a connection: its length
+constexpr size_t kChunkBytes = 32 * 1024;  // of an answer on the Unix socket
+constexpr size_t kLengthPrefixBytes = 4;   // of a frame on a connection: its length
 
-cluster::Rules RulesOf(const ClusterSettings& settings) {
-  cluster::Rules rules;
+cluster::Options OptionsOf(const ClusterSettings& settings) {
+  cluster::Options options;
   const auto us = [](double seconds) { return static_cast<Micros>(seconds * static_cast<double>(kSecond)); };
-  rules.period = settings.period_ms * kMs;
-  rules.patience = rules.period * 3 / 10;
-  rules.wait_least = us(settings.wait_s.low);
-  rules.wait_most = us(settings.wait_s.high);
-  rules.wait_refused = std::min(rules.wait_refused, rules.wait_least);
-  rules.forget_dead = us(settings.remember_s);
-  rules.most_members = static_cast<size_t>(settings.most_members);
-  return rules;
+  options.period = settings.period_ms * kMs;
+  options.ping_timeout = options.period * 3 / 10;
+  options.suspicion_timeout_min = us(settings.wait_s.low);
+  options.suspicion_timeout_max = us(settings.wait_s.high);
+  options.suspicion_timeout_refused =
+      std::min(options.suspicion_timeout_refused, options.suspicion_timeout_min);
+  options.dead_retention = us(settings.remember_s);
+  options.max_members = static_cast<size_t>(settings.most_members);
+  return options;
 }
 
-// A life's number is later than those of the lives before, as far as the clock on the wall is right; where it
-// is not, the others say so, and it takes a later one.
-cluster::Identity SelfOf(const ClusterSettings& settings, const std::string& name, Micros wall) {
-  return {name.substr(0, cluster::kLongestName),
+// The start number comes from the wall clock, so it is higher than those of earlier process generations.
+// Where the clock was set back, the other members report the higher number, and this one takes an even
+// higher one.
+cluster::Identity IdentityOf(const ClusterSettings& settings, const std::string& name, Micros wall) {
+  return {name.substr(0, cluster::kMaxNameBytes),
           settings.told.empty() ? settings.listen : settings.told,
           {static_cast<uint64_t>(std::max<Micros>(wall, 1)), 0}};
 }
 
-std::string Framed(const std::string& frame) {
+std::string WithLengthPrefix(const std::string& frame) {
   std::string out;
   for (int byte = 3; byte >= 0; --byte) out += static_cast<char>(frame.size() >> (8 * byte) & 0xff);
   return out += frame;
 }
 
-// Reads one frame; empty where it did not come whole. `broken`: the connection was reset.
+// Reads one frame; empty where it was truncated or is too large. `broken`: the connection was reset.
 Task<std::string> ReadFrame(Stream& stream, Micros until, bool& broken) {
   std::string bytes;
   while (true) {
-    if (bytes.size() >= kHeadBytes) {
+    if (bytes.size() >= kLengthPrefixBytes) {
       size_t length = 0;
-      for (size_t byte = 0; byte < kHeadBytes; ++byte)
+      for (size_t byte = 0; byte < kLengthPrefixBytes; ++byte)
         length = length << 8 | static_cast<unsigned char>(bytes[byte]);
-      if (length > cluster::kLargestFrame) co_return "";
-      if (bytes.size() >= kHeadBytes + length) co_return bytes.substr(kHeadBytes, length);
+      if (length > cluster::kMaxFrameBytes) co_return "";
+      if (bytes.size() >= kLengthPrefixBytes + length) co_return bytes.substr(kLengthPrefixBytes, length);
     }
     const Io io = stream.Read(bytes);
     broken = io == Io::kBroken;
@@ -68,7 +70,7 @@
   }
 }
 
-Address Needed(const std::string& text) {
+Address RequireAddress(const std::string& text) {
   const std::optional<Address> address = ReadAddress(text);
   if (!address) throw std::runtime_error(std::string("cluster: no address: ") + text);
   return *address;
@@ -83,21 +85,21 @@
       setup_(std::move(setup)),
       log_(log),
       counters_(counters),
-      listen_(Needed(settings.listen)),
-      mind_(RulesOf(settings), SelfOf(settings, setup_.name, machine.WallClock()), settings.seeds,
-            machine.Entropy()),
-      refresh_(machine.scheduler()),
-      room_(machine.scheduler()) {}
+      listen_(RequireAddress(settings.listen)),
+      detector_(OptionsOf(settings), IdentityOf(settings, setup_.name, machine.WallClock()), settings.seeds,
+                machine.Entropy()),
+      refresh_event_(machine.scheduler()),
+      capacity_event_(machine.scheduler()) {}
 
 ClusterMember::~ClusterMember() = default;
 
 void ClusterMember::Start() {
-  opening_ = Open();
-  opening_.Start();
+  bind_task_ = BindAddresses();
+  bind_task_.Start();
 }
 
-Task<> ClusterMember::Open() {
-  bool told = false;
+Task<> ClusterMember::BindAddresses() {
+  bool reported = false;
   while (!socket_) {
     std::string why;
     try {
@@ -108,204 +110,211 @@
       why = e.what();
     }
     if (socket_) break;
-    if (!std::exchange(told, true)) log_.Tell<"cluster_unavailable">(settings_.listen, why);
-    co_await room_.Wait(machine_.Now() + kTellLate);
+    if (!std::exchange(reported, true)) log_.Tell<"cluster_unavailable">(settings_.listen, why);
+    co_await capacity_event_.Wait(machine_.Now() + kRetryInterval);
   }
-  mind_.Tell(setup_.facts());
-  mind_.Begin(machine_.Now());
-  log_.Tell<"cluster_serving">(settings_.site, mind_.self().address);
+  detector_.SetFacts(setup_.facts());
+  detector_.Start(machine_.Now());
+  log_.Tell<"cluster_serving">(settings_.site, detector_.self().address);
   if (!setup_.socket.empty()) {
     std::string why;
-    asked_ = machine_.network().Await(setup_.socket, why);
-    if (asked_) {
-      awaiting_ = Await();
-      awaiting_.Start();
+    command_listener_ = machine_.network().Await(setup_.socket, why);
+    if (command_listener_) {
+      command_accept_task_ = AcceptCommandClients();
+      command_accept_task_.Start();
     } else {
       log_.Tell<"cluster_socket_unavailable">(setup_.socket, why);
     }
   }
-  listening_ = Listen();
-  listening_.Start();
-  accepting_ = Accept();
-  accepting_.Start();
-  refreshing_ = Refresh();
-  refreshing_.Start();
+  receive_task_ = ReceiveLoop();
+  receive_task_.Start();
+  accept_task_ = AcceptConnections();
+  accept_task_.Start();
+  refresh_task_ = RefreshFacts();
+  refresh_task_.Start();
 }
 
 void ClusterMember::Leave() {
   if (!socket_) return;
-  mind_.Leave(machine_.Now());
-  Settle();
+  detector_.Leave(machine_.Now());
+  DispatchOutput();
 }
 
 // ---- Datagrams -------------------------------------------------------------------------------------------
 
-// What has come is heard before any timer: of a process that stood still, much has.
-bool ClusterMember::TakeDatagrams() {
+// Reads the datagrams that have arrived; false where there may be more. They are processed before any timer,
+// as many are waiting after a pause of this process.
+bool ClusterMember::ReadDatagrams() {
   std::string bytes;
   Address from;
-  for (int i = 0; i < kDatagramsATurn; ++i) {
+  for (int i = 0; i < kDatagramsPerTurn; ++i) {
     if (socket_->Receive(bytes, from) != Io::kSome) return true;
     ++counters_.cluster_in;
-    const cluster::ReadMessage read = cluster::Read(bytes, settings_.site);
+    const cluster::DecodedMessage read = cluster::Decode(bytes, settings_.site);
     if (read.message) {
-      mind_.Heard(machine_.Now(), *read.message);
+      detector_.OnMessage(machine_.Now(), *read.message);
     } else {
-      mind_.Dropped(read.why, from.text);
+      detector_.CountDropped(read.why, from.text);
     }
-    Settle();
+    DispatchOutput();
   }
   return false;
 }
 
-Task<> ClusterMember::Listen() {
+Task<> ClusterMember::ReceiveLoop() {
   while (true) {
-    Bury();
-    const bool all = TakeDatagrams();
-    if (all && machine_.Now() >= mind_.next_at()) {
-      mind_.Tick(machine_.Now());
-      Settle();
+    RemoveFinished();
+    const bool all = ReadDatagrams();
+    if (all && machine_.Now() >= detector_.next_tick_at()) {
+      detector_.Tick(machine_.Now());
+      DispatchOutput();
     }
-    co_await socket_->Wait(all ? mind_.next_at() : machine_.Now());
+    co_await socket_->Wait(all ? detector_.next_tick_at() : machine_.Now());
   }
 }
 
-void ClusterMember::Settle() {
-  for (const cluster::Outgoing& out : mind_.TakeOutgoing()) {
+void ClusterMember::DispatchOutput() {
+  for (const cluster::Outgoing& out : detector_.TakeOutgoing()) {
     const std::optional<Address> to = ReadAddress(out.to);
     if (!to) continue;
-    const std::string frame = cluster::Write(out.message, settings_.site);
+    const std::string frame = cluster::Encode(out.message, settings_.site);
     if (socket_->Send(*to, frame) == Io::kSome) ++counters_.cluster_out;
     counters_.cluster_bytes_out += frame.size();
   }
-  for (cluster::Call& call : mind_.TakeCalls()) {
+  for (cluster::Call& call : detector_.TakeCalls()) {
     ++counters_.cluster_calls;
-    auto link = std::make_unique<Link>();
-    Link& here = *link;
-    links_.push_back(std::move(link));
-    here.task = Call(here, std::move(call));
-    here.task.Start();
+    auto connection = std::make_unique<Connection>();
+    Connection& stored = *connection;
+    connections_.push_back(std::move(connection));
+    stored.task = MakeCall(stored, std::move(call));
+    stored.task.Start();
   }
-  for (const cluster::Notice& notice : mind_.TakeNotices()) Tell(notice);
+  for (const cluster::Notice& notice : detector_.TakeNotices()) LogNotice(notice);
 }
 
-void ClusterMember::Bury() {
-  std::erase_if(links_, [](const auto& link) { return link->over && link->task.Done(); });
-  std::erase_if(askers_, [](const auto& asker) { return asker->over && asker->task.Done(); });
+void ClusterMember::RemoveFinished() {
+  std::erase_if(connections_,
+                [](const auto& connection) { return connection->finished && connection->task.Done(); });
+  std::erase_if(clients_, [](const auto& client) { return client->finished && client->task.Done(); });
 }
 
 // ---- Connections -----------------------------------------------------------------------------------------
 
-Task<> ClusterMember::Call(Link& link, cluster::Call call) {
-  const Micros until = machine_.Now() + call.patience;
-  cluster::CallEnd end = cluster::CallEnd::kSilent;
+Task<> ClusterMember::MakeCall(Connection& connection, cluster::Call call) {
+  const Micros until = machine_.Now() + call.timeout;
+  cluster::CallResult end = cluster::CallResult::kNoAnswer;
   NoConnection why = NoConnection::kRefused;
   const std::optional<Address> to = ReadAddress(call.to);
-  if (to) link.stream = machine_.network().ConnectFrom(&listen_, *to, why);
-  if (link.stream) {
-    const bool up = co_await Connected(*link.stream, until);
-    if (!up && link.stream->Opened() == Stream::State::kFailed) end = cluster::CallEnd::kRefused;
+  if (to) connection.stream = machine_.network().ConnectFrom(&listen_, *to, why);
+  if (connection.stream) {
+    const bool up = co_await Connected(*connection.stream, until);
+    if (!up && connection.stream->Opened() == Stream::State::kFailed) end = cluster::CallResult::kRefused;
     if (up) {
-      const std::string frame = Framed(cluster::Write(call.message, settings_.site));
+      const std::string frame = WithLengthPrefix(cluster::Encode(call.message, settings_.site));
       bool broken = false;
       std::string back;
-      if (co_await WriteAll(*link.stream, frame, until))
-        back = co_await ReadFrame(*link.stream, until, broken);
-      if (broken) end = cluster::CallEnd::kRefused;
+      if (co_await WriteAll(*connection.stream, frame, until))
+        back = co_await ReadFrame(*connection.stream, until, broken);
+      if (broken) end = cluster::CallResult::kRefused;
       if (!back.empty()) {
-        const cluster::ReadMessage read = cluster::Read(back, settings_.site);
+        const cluster::DecodedMessage read = cluster::Decode(back, settings_.site);
         if (read.message) {
-          mind_.Heard(machine_.Now(), *read.message);
-          end = cluster::CallEnd::kAnswered;
+          detector_.OnMessage(machine_.Now(), *read.message);
+          end = cluster::CallResult::kAnswered;
         } else {
-          mind_.Dropped(read.why, call.to);
+          detector_.CountDropped(read.why, call.to);
         }
       }
     }
-    link.stream.reset();
+    connection.stream.reset();
   }
-  mind_.Called(machine_.Now(), call.id, end);
-  link.over = true;
-  socket_->Notify();  // what came of it is carried out there, and the timers looked at
+  detector_.OnCallEnded(machine_.Now(), call.id, end);
+  connection.finished = true;
+  socket_->Notify();  // ReceiveLoop() dispatches the output of the failure detector and checks its timers
 }
 
-Task<> ClusterMember::Accept() {
+Task<> ClusterMember::AcceptConnections() {
   while (true) {
     std::unique_ptr<Stream> stream;
-    if (taken_links_ >= kMostTaken) {
-      co_await room_.Wait(machine_.Now() + kTellLate);
+    if (accepted_connections_ >= kMaxAcceptedConnections) {
+      co_await capacity_event_.Wait(machine_.Now() + kRetryInterval);
       continue;
     }
     const Listener::Accepted accepted = listener_->Accept(stream);
     if (accepted == Listener::Accepted::kNone) co_await listener_->Wait();
-    if (accepted == Listener::Accepted::kNoRoom) co_await room_.Wait(machine_.Now() + kTellLate);
+    if (accepted == Listener::Accepted::kNoRoom)
+      co_await capacity_event_.Wait(machine_.Now() + kRetryInterval);
     if (accepted != Listener::Accepted::kOne) continue;
-    auto link = std::make_unique<Link>();
-    link->stream = std::move(stream);
-    Link& here = *link;
-    links_.push_back(std::move(link));
-    ++taken_links_;
-    here.task = Answer(here);
-    here.task.Start();
+    auto connection = std::make_unique<Connection>();
+    connection->stream = std::move(stream);
+    Connection& stored = *connection;
+    connections_.push_back(std::move(connection));
+    ++accepted_connections_;
+    stored.task = ServeCall(stored);
+    stored.task.Start();
   }
 }
 
-Task<> ClusterMember::Answer(Link& link) {
-  const Micros until = machine_.Now() + kLinkPatience;
+Task<> ClusterMember::ServeCall(Connection& connection) {
+  const Micros until = machine_.Now() + kServedCallTimeout;
   bool broken = false;
-  const std::string frame = co_await ReadFrame(*link.stream, until, broken);
+  const std::string frame = co_await ReadFrame(*connection.stream, until, broken);
   if (!frame.empty()) {
-    const cluster::ReadMessage read = cluster::Read(frame, settings_.site);
+    const cluster::DecodedMessage read = cluster::Decode(frame, settings_.site);
     if (read.message) {
-      const std::optional<cluster::Message> answer = mind_.Answer(machine_.Now(), *read.message);
-      if (answer) co_await WriteAll(*link.stream, Framed(cluster::Write(*answer, settings_.site)), until);
+      const std::optional<cluster::Message> answer = detector_.AnswerCall(machine_.Now(), *read.message);
+      if (answer)
+        co_await WriteAll(*connection.stream, WithLengthPrefix(cluster::Encode(*answer, settings_.site)),
+                          until);
     } else {
-      mind_.Dropped(read.why, link.stream->Peer().text);
+      detector_.CountDropped(read.why, connection.stream->Peer().text);
     }
   }
-  link.stream.reset();
-  link.over = true;
-  --taken_links_;
-  room_.Notify();
+  connection.stream.reset();
+  connection.finished = true;
+  --accepted_connections_;
+  capacity_event_.Notify();
   socket_->Notify();
 }
 
-// ---- What it tells ---------------------------------------------------------------------------------------
+// ---- Facts and notices -----------------------------------------------------------------------------------
 
-Task<> ClusterMember::Refresh() {
+Task<> ClusterMember::RefreshFacts() {
   while (true) {
-    mind_.Tell(setup_.facts());
-    counters_.cluster_alive = mind_.alive();
-    // News reaches the members one after the other: only who still lacks it after a while has lost its watch.
-    const uint64_t newest = cluster::NewestList(mind_, machine_.Now());
-    if (newest <= mind_.facts().list_version) behind_since_ = 0;
-    if (newest > mind_.facts().list_version && behind_since_ == 0) behind_since_ = machine_.Now();
-    if (behind_since_ > 0 && machine_.Now() - behind_since_ >= kBehindFor && newest > told_list_) {
-      told_list_ = newest;
-      log_.Tell<"cluster_list_behind">(mind_.facts().list_version, newest);
-      setup_.list_behind();
+    detector_.SetFacts(setup_.facts());
+    counters_.cluster_alive = detector_.alive_count();
+    // A new list reaches the members one after the other. A member that still lacks it after kListBehindDelay
+    // has lost its watch.
+    const uint64_t newest = cluster::NewestListVersion(detector_, machine_.Now());
+    if (newest <= detector_.facts().list_version) behind_since_ = 0;
+    if (newest > detector_.facts().list_version && behind_since_ == 0) behind_since_ = machine_.Now();
+    if (behind_since_ > 0 && machine_.Now() - behind_since_ >= kListBehindDelay &&
+        newest > reported_list_version_) {
+      reported_list_version_ = newest;
+      log_.Tell<"cluster_list_behind">(detector_.facts().list_version, newest);
+      setup_.on_list_behind();
     }
-    co_await refresh_.Wait(machine_.Now() + kRefreshEvery);
+    co_await refresh_event_.Wait(machine_.Now() + kRefreshInterval);
   }
 }
 
-void ClusterMember::Tell(const cluster::Notice& notice) {
+void ClusterMember::LogNotice(const cluster::Notice& notice) {
   using What = cluster::Notice::What;
-  const auto start = notice.life.start;
-  const size_t alive = mind_.alive();
+  const auto start = notice.generation.start;
+  const size_t alive = detector_.alive_count();
   std::string line;
   switch (notice.what) {
     case What::kJoined:
       log_.Tell<"member_joined">(notice.who, notice.by, start, alive);
-      line = "joined, told by ";
+      line = "joined, reported by ";
       break;
     case What::kSuspected:
       log_.Tell<"member_suspected">(notice.who, notice.by);
       line = "suspected, by ";
       break;
     case What::kCleared:
-      log_.Tell<"member_cleared">(notice.who, notice.life.incarnation);
-      line = "says that it lives, by way of ";
+      log_.Tell<"member_cleared">(notice.who, notice.generation.incarnation);
+      line = "refuted the suspicion, reported by ";
       break;
     case What::kDied:
       log_.Tell<"member_died">(notice.who, notice.by, alive);
@@ -313,19 +322,19 @@
       break;
     case What::kReturned:
       log_.Tell<"member_returned">(notice.who, alive);
-      line = "back from the dead, by way of ";
+      line = "alive again after it was held dead, reported by ";
       break;
     case What::kLeft:
       log_.Tell<"member_left">(notice.who, alive);
-      line = "left, told by ";
+      line = "left, reported by ";
       break;
-    case What::kAccused:
-      log_.Tell<"cluster_accused">(notice.by, mind_.self().life.incarnation);
-      line = "is accused by ";
+    case What::kSelfSuspected:
+      log_.Tell<"cluster_accused">(notice.by, detector_.self().generation.incarnation);
+      line = "is suspected by ";
       break;
-    case What::kStanding:
-      log_.Tell<"cluster_standing">(NameOf(mind_.standing()), alive - 1);
-      line = "stands: ";
+    case What::kSelfStatus:
+      log_.Tell<"cluster_standing">(NameOf(detector_.status()), alive - 1);
+      line = "changed status: ";
       break;
     case What::kPaused:
       log_.Tell<"cluster_paused">(notice.span / kMs);
@@ -343,61 +352,61 @@
   history_.push_back(std::to_string(machine_.Now() / kMs) + " ms: " + notice.who + " " + line + notice.by);
 }
 
-// ---- Who asks --------------------------------------------------------------------------------------------
+// ---- Commands on the Unix socket -------------------------------------------------------------------------
 
-std::string ClusterMember::Ask(const std::string& words) {
+std::string ClusterMember::RunCommand(const std::string& command) {
   const Micros now = machine_.Now();
-  const bool json = words.ends_with(" json");
-  const std::string what = json ? words.substr(0, words.size() - 5) : words;
-  if (what == "members") return json ? MembersJson(mind_, now) : MembersText(mind_, now);
-  if (what == "who-differs") return json ? DiffersJson(mind_, now) : DiffersText(mind_, now);
+  const bool json = command.ends_with(" json");
+  const std::string what = json ? command.substr(0, command.size() - 5) : command;
+  if (what == "members") return json ? MembersJson(detector_, now) : MembersText(detector_, now);
+  if (what == "who-differs") return json ? DifferencesJson(detector_, now) : DifferencesText(detector_, now);
   if (what.starts_with("explain ")) {
     const std::string name = what.substr(8);
-    return json ? ExplainJson(mind_, name, now, history_) : ExplainText(mind_, name, now, history_);
+    return json ? ExplainJson(detector_, name, now, history_) : ExplainText(detector_, name, now, history_);
   }
-  return "unknown question\n";
+  return "unknown command\n";
 }
 
-Task<> ClusterMember::Await() {
+Task<> ClusterMember::AcceptCommandClients() {
   while (true) {
-    std::unique_ptr<Channel> channel = asked_->Accept();
+    std::unique_ptr<Channel> channel = command_listener_->Accept();
     if (!channel) {
-      co_await asked_->Wait(machine_.Now() + kSecond);
+      co_await command_listener_->Wait(machine_.Now() + kSecond);
       continue;
     }
-    if (askers_.size() >= kMostAskers) continue;
-    auto asker = std::make_unique<Asker>();
-    asker->channel = std::move(channel);
-    Asker& here = *asker;
-    askers_.push_back(std::move(asker));
-    here.task = Serve(here);
-    here.task.Start();
+    if (clients_.size() >= kMaxCommandClients) continue;
+    auto client = std::make_unique<CommandClient>();
+    client->channel = std::move(channel);
+    CommandClient& stored = *client;
+    clients_.push_back(std::move(client));
+    stored.task = ServeCommand(stored);
+    stored.task.Start();
   }
 }
 
-Task<> ClusterMember::Serve(Asker& asker) {
+Task<> ClusterMember::ServeCommand(CommandClient& client) {
   const Micros until = machine_.Now() + 2 * kSecond;
-  std::string words;
-  std::unique_ptr<Stream> along;
+  std::string command;
+  std::unique_ptr<Stream> passed_stream;
   Io io = Io::kLater;
-  while ((io = asker.channel->Receive(words, along)) == Io::kLater) {
-    if (!co_await asker.channel->Wait(until)) break;
+  while ((io = client.channel->Receive(command, passed_stream)) == Io::kLater) {
+    if (!co_await client.channel->Wait(until)) break;
   }
   if (io == Io::kSome) {
-    const std::string answer = Ask(words);
+    const std::string answer = RunCommand(command);
     for (size_t at = 0; at < answer.size();) {
-      const Io sent = asker.channel->Send(std::string_view(answer).substr(at, kPiece));
+      const Io sent = client.channel->Send(std::string_view(answer).substr(at, kChunkBytes));
       if (sent == Io::kBroken) break;
       if (sent == Io::kSome) {
-        at += kPiece;
-      } else if (!co_await asker.channel->Wait(until)) {
+        at += kChunkBytes;
+      } else if (!co_await client.channel->Wait(until)) {
         break;
       }
     }
   }
-  asker.channel.reset();
-  asker.over = true;
-  refresh_.Notify();
+  client.channel.reset();
+  client.finished = true;
+  refresh_event_.Notify();
 }
 
 }  // namespace burlfall
--- a/src/member/member.h
+++ b/src/member/member.h
@@ -1,5 +1,6 @@
-// A cluster's member as it goes on the wire: the mind (src/cluster) between a socket for datagrams,
-// connections on the same address, and whoever asks on a Unix socket. Nothing is decided here.
+// Runs the failure detector (src/cluster) of one cluster member on the network: a datagram socket,
+// connections on the same address, and a Unix socket for `burlfall cluster`. All decisions are made by the
+// failure detector.
 #ifndef BURLFALL_MEMBER_MEMBER_H_
 #define BURLFALL_MEMBER_MEMBER_H_
 
@@ -23,47 +24,47 @@
   struct Setup {
     std::string name;
     std::string socket;  // the path for `burlfall cluster`; empty: none
-    // What it tells of itself, asked a few times a second.
+    // The facts that it reports about itself; called a few times a second.
     std::function<cluster::Facts()> facts;
-    // Others have a newer list of servers than it.
-    std::function<void()> list_behind = [] {};
+    // Called when other members have a newer list of servers.
+    std::function<void()> on_list_behind = [] {};
   };
 
-  // `log` and `counters` must outlive it.
+  // `log` and `counters` must outlive it. Throws std::runtime_error where the settings hold no valid address.
   ClusterMember(Machine& machine, const ClusterSettings& settings, Setup setup, Log& log, Counters& counters);
   ~ClusterMember();
 
-  // Binds the addresses, and tries again for as long as they can't be had: the process before may still hold
-  // them, and service goes on meanwhile.
+  // Binds the addresses. Retries until that succeeds, as the previous process may still hold them; the
+  // balancer serves meanwhile.
   void Start();
-  void Leave();  // says so to the others, and is silent from then on
-  const cluster::Mind& mind() const { return mind_; }
+  void Leave();  // notifies the others, and sends nothing afterwards
+  const cluster::FailureDetector& detector() const { return detector_; }
 
  private:
-  struct Link {  // a connection, ours or another's
+  struct Connection {  // a connection that this member or another one opened
     std::unique_ptr<Stream> stream;
-    bool over = false;
-    Task<> task;  // last: what it uses must outlive it
+    bool finished = false;
+    Task<> task;  // last member: what it uses must outlive it
   };
-  struct Asker {
+  struct CommandClient {
     std::unique_ptr<Channel> channel;
-    bool over = false;
+    bool finished = false;
     Task<> task;
   };
 
-  Task<> Open();
-  Task<> Listen();
-  Task<> Accept();
-  Task<> Answer(Link& link);
-  Task<> Call(Link& link, cluster::Call call);
-  Task<> Await();
-  Task<> Serve(Asker& asker);
-  Task<> Refresh();
-  bool TakeDatagrams();
-  void Settle();
-  void Tell(const cluster::Notice& notice);
-  void Bury();
-  std::string Ask(const std::string& words);
+  Task<> BindAddresses();
+  Task<> ReceiveLoop();
+  Task<> AcceptConnections();
+  Task<> ServeCall(Connection& connection);
+  Task<> MakeCall(Connection& connection, cluster::Call call);
+  Task<> AcceptCommandClients();
+  Task<> ServeCommand(CommandClient& client);
+  Task<> RefreshFacts();
+  bool ReadDatagrams();
+  void DispatchOutput();
+  void LogNotice(const cluster::Notice& notice);
+  void RemoveFinished();
+  std::string RunCommand(const std::string& command);
 
   Machine& machine_;
   const ClusterSettings settings_;
@@ -71,23 +72,23 @@
   Log& log_;
   Counters& counters_;
   const Address listen_;
-  cluster::Mind mind_;
+  cluster::FailureDetector detector_;
   std::unique_ptr<DatagramSocket> socket_;
   std::unique_ptr<Listener> listener_;
-  std::unique_ptr<ChannelListener> asked_;
-  std::list<std::unique_ptr<Link>> links_;
-  std::list<std::unique_ptr<Asker>> askers_;
-  size_t taken_links_ = 0;
-  uint64_t told_list_ = 0;            // the newest version that it was told to be behind of
-  Micros behind_since_ = 0;           // others have a newer list; 0: they have not
-  std::vector<std::string> history_;  // the last notices, for `explain`
-  Event refresh_;
-  Event room_;      // for a connection
-  Task<> opening_;  // the tasks last: what they use must outlive them
-  Task<> listening_;
-  Task<> accepting_;
-  Task<> awaiting_;
-  Task<> refreshing_;
+  std::unique_ptr<ChannelListener> command_listener_;
+  std::list<std::unique_ptr<Connection>> connections_;
+  std::list<std::unique_ptr<CommandClient>> clients_;
+  size_t accepted_connections_ = 0;
+  uint64_t reported_list_version_ = 0;  // the newest version for which it was reported behind
+  Micros behind_since_ = 0;             // since when others have a newer list; 0: they have not
+  std::vector<std::string> history_;    // the last notices, for `explain`
+  Event refresh_event_;
+  Event capacity_event_;  // an accepted connection has ended
+  Task<> bind_task_;      // the tasks are last: what they use must outlive them
+  Task<> receive_task_;
+  Task<> accept_task_;
+  Task<> command_accept_task_;
+  Task<> refresh_task_;
 };
 
 }  // namespace burlfall
--- a/src/member/view_text.h
+++ b/src/member/view_text.h
@@ -1,4 +1,4 @@
-// A member's view as people and programs read it.
+// The view of a cluster member as text and as JSON, for `burlfall cluster`.
 #ifndef BURLFALL_MEMBER_VIEW_TEXT_H_
 #define BURLFALL_MEMBER_VIEW_TEXT_H_
 
@@ -9,14 +9,14 @@
 
 namespace burlfall {
 
-std::string MembersText(const cluster::Mind& mind, Micros now);
-std::string MembersJson(const cluster::Mind& mind, Micros now);
-std::string DiffersText(const cluster::Mind& mind, Micros now);
-std::string DiffersJson(const cluster::Mind& mind, Micros now);
-// `history`: lines that were told of members, the oldest first.
-std::string ExplainText(const cluster::Mind& mind, const std::string& name, Micros now,
+std::string MembersText(const cluster::FailureDetector& detector, Micros now);
+std::string MembersJson(const cluster::FailureDetector& detector, Micros now);
+std::string DifferencesText(const cluster::FailureDetector& detector, Micros now);
+std::string DifferencesJson(const cluster::FailureDetector& detector, Micros now);
+// `history`: lines about earlier changes of members, the oldest first.
+std::string ExplainText(const cluster::FailureDetector& detector, const std::string& name, Micros now,
                         const std::vector<std::string>& history);
-std::string ExplainJson(const cluster::Mind& mind, const std::string& name, Micros now,
+std::string ExplainJson(const cluster::FailureDetector& detector, const std::string& name, Micros now,
                         const std::vector<std::string>& history);
 
 }  // namespace burlfall
--- a/src/serve/program.cpp
+++ b/src/serve/program.cpp
@@ -138,7 +138,7 @@
     facts.zone = zone;
     return facts;
   };
-  setup.list_behind = [this] { discovery_.Again(); };
+  setup.on_list_behind = [this] { discovery_.Again(); };
   member_.emplace(machine_, cluster, std::move(setup), log_, counters_);
   member_->Start();
 }
@@ -154,7 +154,7 @@
   std::map<std::string, Seen> zones;
   zones[cluster_->zone].all += 1;
   double alive = 1, without_list = hosts_.version() == 0 ? 1 : 0;
-  for (const auto& [name, member] : member_->mind().members()) {
+  for (const auto& [name, member] : member_->detector().members()) {
     const bool dead = member.state == cluster::State::kDead;
     if (member.state == cluster::State::kLeft || (dead && now - member.since > kCountsFor)) continue;
     Seen& zone = zones[member.facts.zone];
@@ -424,7 +424,7 @@
 // just shrunk counts as it was.
 void Program::ShareByMembers() {
   if (!asking_ || !member_ || start_.balancers > 0) return;
-  const size_t known = member_->mind().MostWithin(machine_.Now(), kCountsFor);
+  const size_t known = member_->detector().MaxAliveWithin(machine_.Now(), kCountsFor);
   asking_->SharedBy(std::max<double>(config_.settings.nodes, static_cast<double>(known)));
 }
 
--- a/tests/cluster/failure_detector_test.cpp
+++ b/tests/cluster/failure_detector_test.cpp
@@ -14,7 +14,9 @@
 
 // One mind, and others that say what a test wants.
 struct Stage {
-  explicit Stage(Rules rules = {}) : mind(rules, {"me", "10.0.0.1:1", {100, 0}}, {}, 7) { mind.Begin(now); }
+  explicit Stage(Options options = {}) : detector(options, {"me", "10.0.0.1:1", {100, 0}}, {}, 7) {
+    detector.Start(now);
+  }
 
   Message From(const std::string& name, Message::Kind kind, uint64_t start = 50, uint64_t incarnation = 0) {
     Message message;
@@ -25,41 +27,42 @@
     return message;
   }
   void Hear(const Message& message) {
-    mind.Heard(now, message);
+    detector.OnMessage(now, message);
     Collect();
   }
-  void Say(const std::string& by, const Claim& claim) {
+  void Say(const std::string& by, const Update& update) {
     Message message = From(by, Message::Kind::kGossip);
-    message.claims.push_back(claim);
+    message.updates.push_back(update);
     Hear(message);
   }
-  Claim About(const std::string& name, State state, uint64_t incarnation = 0,
-              std::vector<std::string> accusers = {}, uint64_t start = 50) {
-    return {From(name, Message::Kind::kGossip, start, incarnation).from, state, std::move(accusers), false};
+  Update About(const std::string& name, State state, uint64_t incarnation = 0,
+               std::vector<std::string> suspected_by = {}, uint64_t start = 50) {
+    return {From(name, Message::Kind::kGossip, start, incarnation).from, state, std::move(suspected_by),
+            false};
   }
   void Collect() {
-    for (const Outgoing& out : mind.TakeOutgoing()) sent.push_back(out);
-    for (const Call& call : mind.TakeCalls()) calls.push_back(call);
-    for (const Notice& notice : mind.TakeNotices()) notices.push_back(notice);
+    for (const Outgoing& out : detector.TakeOutgoing()) sent.push_back(out);
+    for (const Call& call : detector.TakeCalls()) calls.push_back(call);
+    for (const Notice& notice : detector.TakeNotices()) notices.push_back(notice);
   }
   // Timers alone, until then; `answers`: whose pings are answered.
   void Run(Micros span, const std::vector<std::string>& answers = {}) {
     const Micros until = now + span;
     while (now < until) {
-      now = std::min(until, std::max(now, mind.next_at()));
-      mind.Tick(now);
+      now = std::min(until, std::max(now, detector.next_tick_at()));
+      detector.Tick(now);
       const size_t from = sent.size();
       Collect();
       for (size_t i = from; i < sent.size(); ++i) {
         const Message& ping = sent[i].message;
-        if (ping.kind != Message::Kind::kPing && ping.kind != Message::Kind::kAsk) continue;
+        if (ping.kind != Message::Kind::kPing && ping.kind != Message::Kind::kPingRequest) continue;
         for (const std::string& name : answers) {
-          Message back =
-              From(name, ping.kind == Message::Kind::kPing ? Message::Kind::kAnswer : Message::Kind::kTold);
+          Message back = From(
+              name, ping.kind == Message::Kind::kPing ? Message::Kind::kAck : Message::Kind::kPingResult);
           if (back.from.address != sent[i].to) continue;
-          back.number = ping.number;
-          back.about = ping.about;
-          mind.Heard(now, back);
+          back.request_id = ping.request_id;
+          back.ping_target = ping.ping_target;
+          detector.OnMessage(now, back);
         }
       }
       Collect();
@@ -68,11 +71,11 @@
   bool Noted(Notice::What what, const std::string& who) const {
     return std::ranges::any_of(notices, [&](const Notice& n) { return n.what == what && n.who == who; });
   }
-  State Of(const std::string& name) const { return mind.members().at(name).state; }
+  State Of(const std::string& name) const { return detector.members().at(name).state; }
 
   Micros now = kBegin;
   uint64_t sequence = 0;
-  Mind mind;
+  FailureDetector detector;
   std::vector<Outgoing> sent;
   std::vector<Call> calls;
   std::vector<Notice> notices;
@@ -83,7 +86,7 @@
   for (const char* name : {"a", "b", "c", "d"}) stage.Hear(stage.From(name, Message::Kind::kGossip));
   stage.Run(30 * kSecond);
   for (const char* name : {"a", "b", "c", "d"}) EXPECT_EQ(stage.Of(name), State::kAlive) << name;
-  EXPECT_EQ(stage.mind.standing(), Standing::kCutOff);
+  EXPECT_EQ(stage.detector.status(), SelfStatus::kCutOff);
 }
 
 TEST(Mind, OneThatHelpersDoNotReachEitherIsHeldDeadAfterItsTimeToSayOtherwise) {
@@ -91,7 +94,7 @@
   for (const char* name : {"a", "b", "c", "d"}) stage.Hear(stage.From(name, Message::Kind::kGossip));
   stage.Run(12 * kSecond, {"a", "b", "c"});  // their word for it is "not reached"
   EXPECT_EQ(stage.Of("d"), State::kDead);
-  EXPECT_EQ(stage.mind.standing(), Standing::kIn);
+  EXPECT_EQ(stage.detector.status(), SelfStatus::kConnected);
   const auto accused =
       std::ranges::find_if(stage.notices, [](const Notice& n) { return n.what == Notice::What::kSuspected; });
   ASSERT_NE(accused, stage.notices.end());
@@ -101,15 +104,15 @@
 TEST(Mind, TheAccusedSaysThatItLivesAndTellsWhoAccusedItAtOnce) {
   Stage stage;
   stage.Hear(stage.From("a", Message::Kind::kGossip));
-  Claim claim{{"me", "10.0.0.1:1", {100, 0}}, State::kSuspect, {"a"}, false};
+  Update update{{"me", "10.0.0.1:1", {100, 0}}, State::kSuspect, {"a"}, false};
   stage.sent.clear();
-  stage.Say("a", claim);
-  EXPECT_EQ(stage.mind.self().life.incarnation, 1u);
+  stage.Say("a", update);
+  EXPECT_EQ(stage.detector.self().generation.incarnation, 1u);
   ASSERT_FALSE(stage.sent.empty());
-  EXPECT_EQ(stage.sent[0].message.from.life.incarnation, 1u);
+  EXPECT_EQ(stage.sent[0].message.from.generation.incarnation, 1u);
   // An accusation that is older than the word against it changes nothing more.
-  stage.Say("a", claim);
-  EXPECT_EQ(stage.mind.self().life.incarnation, 1u);
+  stage.Say("a", update);
+  EXPECT_EQ(stage.detector.self().generation.incarnation, 1u);
 }
 
 TEST(Mind, ARumourOfADeathAfterItsRefutationIsNoNewsNorIsOneAWeekLater) {
@@ -120,7 +123,7 @@
   EXPECT_EQ(stage.Of("d"), State::kAlive);
   // Of one that nobody here knows, it does not even make an entry.
   stage.Say("a", stage.About("long-gone", State::kDead, 3));
-  EXPECT_FALSE(stage.mind.members().contains("long-gone"));
+  EXPECT_FALSE(stage.detector.members().contains("long-gone"));
 }
 
 TEST(Mind, ADeathThatIsToldIsAnAccusationAndNotADeath) {
@@ -138,13 +141,13 @@
   for (const char* name : {"a", "b", "c", "e", "f", "d"})
     stage.Hear(stage.From(name, Message::Kind::kGossip));
   stage.Say("a", stage.About("d", State::kSuspect, 0, {"a"}));
-  const Rules rules;
-  EXPECT_EQ(stage.mind.members().at("d").wait_until - stage.now, rules.wait_most);
+  const Options options;
+  EXPECT_EQ(stage.detector.members().at("d").suspicion_ends_at - stage.now, options.suspicion_timeout_max);
   stage.Say("b", stage.About("d", State::kSuspect, 0, {"b"}));
-  EXPECT_LT(stage.mind.members().at("d").wait_until - stage.now, rules.wait_most);
+  EXPECT_LT(stage.detector.members().at("d").suspicion_ends_at - stage.now, options.suspicion_timeout_max);
   stage.Say("c", stage.About("d", State::kSuspect, 0, {"c", "e", "f"}));
-  EXPECT_EQ(stage.mind.members().at("d").wait_until - stage.now, rules.wait_least);
-  EXPECT_LE(stage.mind.members().at("d").accusers.size(), kMostAccusers);
+  EXPECT_EQ(stage.detector.members().at("d").suspicion_ends_at - stage.now, options.suspicion_timeout_min);
+  EXPECT_LE(stage.detector.members().at("d").suspected_by.size(), kMaxSuspectingMembers);
 }
 
 TEST(Mind, WhoStoodStillGivesTheAccusedTheWholeOfItsWait) {
@@ -153,11 +156,11 @@
   stage.Say("a", stage.About("d", State::kSuspect, 0, {"a"}));
   stage.Run(500 * kMs, {"a", "b", "c"});
   stage.now += 60 * kSecond;  // stands still
-  stage.mind.Tick(stage.now);
+  stage.detector.Tick(stage.now);
   stage.Collect();
   EXPECT_TRUE(stage.Noted(Notice::What::kPaused, "me"));
   EXPECT_EQ(stage.Of("d"), State::kSuspect);
-  EXPECT_GT(stage.mind.members().at("d").wait_until, stage.now + 2 * kSecond);
+  EXPECT_GT(stage.detector.members().at("d").suspicion_ends_at, stage.now + 2 * kSecond);
   // What was on its way in is heard before any verdict.
   Message word = stage.From("d", Message::Kind::kGossip, 50, 1);
   stage.Hear(word);
@@ -165,15 +168,15 @@
 }
 
 TEST(Mind, WithoutKnowingItsOwnPausesItWouldKillTheAccusedAndHoldItselfCutOff) {
-  Rules rules;
-  rules.own_pauses = false;
-  Stage stage(rules);
+  Options options;
+  options.detect_own_pauses = false;
+  Stage stage(options);
   for (const char* name : {"a", "b", "c", "d"}) stage.Hear(stage.From(name, Message::Kind::kGossip));
   stage.Run(2 * kSecond, {"a", "b", "c", "d"});
-  ASSERT_EQ(stage.mind.standing(), Standing::kIn);
+  ASSERT_EQ(stage.detector.status(), SelfStatus::kConnected);
   stage.now += 60 * kSecond;
-  stage.mind.Tick(stage.now);
-  EXPECT_EQ(stage.mind.standing(), Standing::kCutOff);
+  stage.detector.Tick(stage.now);
+  EXPECT_EQ(stage.detector.status(), SelfStatus::kCutOff);
 }
 
 TEST(Mind, ADatagramIsHeardOnceAndOneOfALongPastNotAtAll) {
@@ -183,7 +186,7 @@
   const size_t answers = stage.sent.size();
   stage.Hear(ping);
   EXPECT_EQ(stage.sent.size(), answers);
-  EXPECT_EQ(stage.mind.dropped().at("replayed"), 1u);
+  EXPECT_EQ(stage.detector.dropped().at("replayed"), 1u);
   // Overtaken ones are heard.
   Message late = ping, early = ping;
   late.sequence += 10;
@@ -195,20 +198,20 @@
   stage.Hear(late);
   early.sequence += 1;
   stage.Hear(early);
-  EXPECT_EQ(stage.mind.dropped().at("replayed"), 2u);
+  EXPECT_EQ(stage.detector.dropped().at("replayed"), 2u);
 }
 
 TEST(Mind, ARestartIsANewLifeAndTheOldOneIsNotHeardAnyMore) {
   Stage stage;
   stage.Hear(stage.From("a", Message::Kind::kGossip, 50));
   stage.Hear(stage.From("a", Message::Kind::kGossip, 60));
-  EXPECT_EQ(stage.mind.members().at("a").who.life.start, 60u);
+  EXPECT_EQ(stage.detector.members().at("a").who.generation.start, 60u);
   stage.sent.clear();
   stage.Hear(stage.From("a", Message::Kind::kPing, 50));
-  EXPECT_EQ(stage.mind.members().at("a").who.life.start, 60u);
-  EXPECT_EQ(stage.mind.dropped().at("an old life"), 1u);
+  EXPECT_EQ(stage.detector.members().at("a").who.generation.start, 60u);
+  EXPECT_EQ(stage.detector.dropped().at("an old life"), 1u);
   ASSERT_EQ(stage.sent.size(), 1u);  // it is told of the later one, and nothing else
-  EXPECT_EQ(stage.sent[0].message.claims.at(0).who.life.start, 60u);
+  EXPECT_EQ(stage.sent[0].message.updates.at(0).who.generation.start, 60u);
 }
 
 TEST(Mind, AStartWithAClockThatStandsBackTakesALaterNumberThanTheLifeBefore) {
@@ -216,62 +219,62 @@
   stage.Hear(stage.From("a", Message::Kind::kGossip));
   stage.Say("a",
             {{"me", "10.0.0.1:1", {500, 3}}, State::kAlive, {}, false});  // at this address: the life before
-  EXPECT_EQ(stage.mind.self().life.start, 501u);
+  EXPECT_EQ(stage.detector.self().generation.start, 501u);
   stage.Say("a", {{"me", "10.0.0.9:1", {900, 0}}, State::kDead, {}, false});  // elsewhere, and gone
-  EXPECT_EQ(stage.mind.self().life.start, 901u);
+  EXPECT_EQ(stage.detector.self().generation.start, 901u);
 }
 
 TEST(Mind, TwoProcessesOfOneNameAreNamedAndTheEarlierOneFallsSilent) {
   Stage stage;
   for (const char* name : {"a", "b"}) stage.Hear(stage.From(name, Message::Kind::kGossip));
   stage.Say("a", {{"me", "10.0.0.9:1", {900, 0}}, State::kAlive, {}, false});
-  EXPECT_EQ(stage.mind.standing(), Standing::kDouble);
-  EXPECT_TRUE(stage.Noted(Notice::What::kStanding, "me"));
+  EXPECT_EQ(stage.detector.status(), SelfStatus::kDuplicateName);
+  EXPECT_TRUE(stage.Noted(Notice::What::kSelfStatus, "me"));
   stage.sent.clear();
   stage.Run(5 * kSecond);
   EXPECT_TRUE(stage.sent.empty());
   // The other one ends: it takes a later life, and is back.
   stage.Say("a", {{"me", "10.0.0.9:1", {900, 0}}, State::kDead, {}, false});
-  EXPECT_EQ(stage.mind.self().life.start, 901u);
+  EXPECT_EQ(stage.detector.self().generation.start, 901u);
   stage.Run(2 * kSecond, {"a", "b"});
-  EXPECT_EQ(stage.mind.standing(), Standing::kIn);
+  EXPECT_EQ(stage.detector.status(), SelfStatus::kConnected);
 }
 
 TEST(Mind, ALieWithTheLargestNumberIsDroppedAndCanAlwaysBeContradicted) {
   Stage stage;
   stage.Hear(stage.From("a", Message::Kind::kGossip));
   stage.Say("a", {{"me", "10.0.0.1:1", {100, UINT64_MAX}}, State::kDead, {}, false});
-  EXPECT_EQ(stage.mind.self().life.incarnation, 0u);
-  EXPECT_EQ(stage.mind.dropped().at("an impossible number"), 1u);
-  stage.Say("a", {{"me", "10.0.0.1:1", {100, kMostNumber / 2}}, State::kDead, {}, false});
-  EXPECT_EQ(stage.mind.self().life.incarnation, kMostNumber / 2 + 1);
+  EXPECT_EQ(stage.detector.self().generation.incarnation, 0u);
+  EXPECT_EQ(stage.detector.dropped().at("an impossible number"), 1u);
+  stage.Say("a", {{"me", "10.0.0.1:1", {100, kMaxGenerationNumber / 2}}, State::kDead, {}, false});
+  EXPECT_EQ(stage.detector.self().generation.incarnation, kMaxGenerationNumber / 2 + 1);
   // And others take that word.
   Stage other;
-  other.Say("a", other.About("liar", State::kAlive, kMostNumber / 2));
-  other.Say("a", other.About("liar", State::kAlive, kMostNumber / 2 + 1));
-  EXPECT_EQ(other.mind.members().at("liar").who.life.incarnation, kMostNumber / 2 + 1);
+  other.Say("a", other.About("liar", State::kAlive, kMaxGenerationNumber / 2));
+  other.Say("a", other.About("liar", State::kAlive, kMaxGenerationNumber / 2 + 1));
+  EXPECT_EQ(other.detector.members().at("liar").who.generation.incarnation, kMaxGenerationNumber / 2 + 1);
 }
 
 TEST(Mind, AFloodOfNamesIsBoundedByTheSecondAndInAll) {
-  Rules rules;
-  rules.most_members = 100;
-  Stage stage(rules);
+  Options options;
+  options.max_members = 100;
+  Stage stage(options);
   for (int burst = 0; burst < 10; ++burst) {
     Message message = stage.From("a", Message::Kind::kGossip);
     for (int i = 0; i < 80; ++i) {
       std::string name("ghost-");
-      message.claims.push_back(stage.About(name.append(std::to_string(burst * 80 + i)), State::kAlive));
+      message.updates.push_back(stage.About(name.append(std::to_string(burst * 80 + i)), State::kAlive));
     }
     stage.Hear(message);
     if (burst == 0) {
-      EXPECT_EQ(stage.mind.members().size(), 51u);
+      EXPECT_EQ(stage.detector.members().size(), 51u);
     }
     stage.now += 1100 * kMs;
-    stage.mind.Tick(stage.now);
+    stage.detector.Tick(stage.now);
   }
-  EXPECT_LT(stage.mind.members().size(), 100u);
-  EXPECT_GT(stage.mind.dropped().at("too many names at once"), 0u);
-  EXPECT_GT(stage.mind.dropped().at("too many members"), 0u);
+  EXPECT_LT(stage.detector.members().size(), 100u);
+  EXPECT_GT(stage.detector.dropped().at("too many names at once"), 0u);
+  EXPECT_GT(stage.detector.dropped().at("too many members"), 0u);
 }
 
 TEST(Mind, WhatGoesOutFitsADatagramHoweverMuchNewsThereIs) {
@@ -284,7 +287,7 @@
   stage.Run(5 * kSecond);
   ASSERT_GT(stage.sent.size(), 20u);
   for (const Outgoing& out : stage.sent) {
-    EXPECT_LE(Write(out.message, std::string(kLongestName, 's')).size(), kLargestDatagram);
+    EXPECT_LE(Encode(out.message, std::string(kMaxNameBytes, 's')).size(), kMaxDatagramBytes);
   }
 }
 
@@ -294,19 +297,19 @@
   stage.Run(20 * kSecond, {"a", "b", "c"});
   stage.sent.clear();
   stage.Run(20 * kSecond, {"a", "b", "c"});
-  for (const Outgoing& out : stage.sent) EXPECT_TRUE(out.message.claims.empty());
+  for (const Outgoing& out : stage.sent) EXPECT_TRUE(out.message.updates.empty());
 }
 
 TEST(Mind, TheMostThatThereWereIsRememberedWhileTheViewShrinks) {
   Stage stage;
   for (const char* name : {"a", "b", "c", "d"}) stage.Hear(stage.From(name, Message::Kind::kGossip));
-  EXPECT_EQ(stage.mind.MostWithin(stage.now, 600 * kSecond), 5u);
+  EXPECT_EQ(stage.detector.MaxAliveWithin(stage.now, 600 * kSecond), 5u);
   stage.Say("a", stage.About("d", State::kLeft));
   stage.Say("a", stage.About("c", State::kLeft));
-  EXPECT_EQ(stage.mind.alive(), 3u);
+  EXPECT_EQ(stage.detector.alive_count(), 3u);
   stage.now += 60 * kSecond;
-  EXPECT_EQ(stage.mind.MostWithin(stage.now, 600 * kSecond), 5u);
-  EXPECT_EQ(stage.mind.MostWithin(stage.now, 30 * kSecond), 3u);
+  EXPECT_EQ(stage.detector.MaxAliveWithin(stage.now, 600 * kSecond), 5u);
+  EXPECT_EQ(stage.detector.MaxAliveWithin(stage.now, 30 * kSecond), 3u);
 }
 
 TEST(Mind, OneThatLeftIsNotDeadAndNobodyLooksForIt) {
@@ -320,7 +323,7 @@
   const std::string address = stage.From("d", Message::Kind::kGossip).from.address;
   for (const Outgoing& out : stage.sent) EXPECT_NE(out.to, address);
   stage.Run(60 * kSecond, {"a", "b", "c"});
-  EXPECT_FALSE(stage.mind.members().contains("d"));
+  EXPECT_FALSE(stage.detector.members().contains("d"));
 }
 
 TEST(Mind, OneThatWasDeadAndLeftInALaterLifeIsNotCalledAsDead) {
@@ -341,10 +344,10 @@
       stage.sent, [](const Outgoing& out) { return out.message.kind == Message::Kind::kPing; });
   ASSERT_NE(ping, stage.sent.end());
   for (const char* name : {"a", "b", "c"}) {
-    Message late = stage.From(name, Message::Kind::kAnswer);
-    late.number = ping->message.number;
+    Message late = stage.From(name, Message::Kind::kAck);
+    late.request_id = ping->message.request_id;
     stage.Hear(late);
-    EXPECT_EQ(stage.mind.members().at(name).answered_at, 0) << name;
+    EXPECT_EQ(stage.detector.members().at(name).acked_at, 0) << name;
   }
 }
 
@@ -358,11 +361,11 @@
   const std::string address = stage.From("d", Message::Kind::kGossip).from.address;
   const auto call = std::ranges::find_if(stage.sent, [&](const Outgoing& out) { return out.to == address; });
   ASSERT_NE(call, stage.sent.end());
-  EXPECT_EQ(call->message.claims.at(0).state, State::kDead);  // it hears what is held of it
-  stage.Hear(stage.From("d", Message::Kind::kAnswer, 50, 0));
+  EXPECT_EQ(call->message.updates.at(0).state, State::kDead);  // it hears what is held of it
+  stage.Hear(stage.From("d", Message::Kind::kAck, 50, 0));
   EXPECT_EQ(stage.Of("d"), State::kDead);  // from before the word
   stage.Hear(
-      stage.From("d", Message::Kind::kAnswer, 50, call->message.claims.at(0).who.life.incarnation + 1));
+      stage.From("d", Message::Kind::kAck, 50, call->message.updates.at(0).who.generation.incarnation + 1));
   EXPECT_EQ(stage.Of("d"), State::kAlive);
 }
 
--- a/tests/cluster/scenarios_test.cpp
+++ b/tests/cluster/scenarios_test.cpp
@@ -37,7 +37,7 @@
   return scenario;
 }
 
-uint64_t Broken(const Scenario& scenario, uint64_t seeds, const cluster::Rules& rules = {}) {
+uint64_t Broken(const Scenario& scenario, uint64_t seeds, const cluster::Options& rules = {}) {
   uint64_t broken = 0;
   for (uint64_t seed = 1; seed <= seeds; ++seed) {
     const MemberVerdict verdict = VirtualMembers(scenario, seed, rules).Play();
@@ -62,17 +62,17 @@
 }
 
 TEST(Members, WithoutEachOfItsMechanismsANamedScenarioFails) {
-  auto without = [](bool cluster::Rules::*what) {
-    cluster::Rules rules;
+  auto without = [](bool cluster::Options::*what) {
+    cluster::Options rules;
     rules.*what = false;
     return rules;
   };
-  EXPECT_GT(Broken(Shipped("cut-deaf", 30), 3, without(&cluster::Rules::two_ears)), 0u);
-  EXPECT_GT(Broken(Shipped("cut-mute", 30), 3, without(&cluster::Rules::indirect)), 0u);
-  EXPECT_GT(Broken(Shipped("halves-1", 30), 3, without(&cluster::Rules::refutes)), 0u);
-  EXPECT_GT(Broken(Shipped("killed-one", 30), 3, without(&cluster::Rules::incarnations)), 0u);
-  EXPECT_GT(Broken(Shipped("paused-2", 30, 120), 2, without(&cluster::Rules::suspicion)), 0u);
-  EXPECT_GT(Broken(Shipped("bad-start", 60), 10, without(&cluster::Rules::exchanges)), 0u);
+  EXPECT_GT(Broken(Shipped("cut-deaf", 30), 3, without(&cluster::Options::require_second_observer)), 0u);
+  EXPECT_GT(Broken(Shipped("cut-mute", 30), 3, without(&cluster::Options::indirect_pings)), 0u);
+  EXPECT_GT(Broken(Shipped("halves-1", 30), 3, without(&cluster::Options::refutation)), 0u);
+  EXPECT_GT(Broken(Shipped("killed-one", 30), 3, without(&cluster::Options::incarnations)), 0u);
+  EXPECT_GT(Broken(Shipped("paused-2", 30, 120), 2, without(&cluster::Options::suspicion)), 0u);
+  EXPECT_GT(Broken(Shipped("bad-start", 60), 10, without(&cluster::Options::full_sync)), 0u);
 }
 
 // MORE: so many more seeds, where the environment asks for them.
--- a/tests/cluster/wire_test.cpp
+++ b/tests/cluster/wire_test.cpp
@@ -15,7 +15,7 @@
       static_cast<size_t>(*rc::gen::inRange<int>(static_cast<int>(least), 65)), letter);
   who.address = *rc::gen::container<std::string>(
       static_cast<size_t>(*rc::gen::inRange<int>(static_cast<int>(least), 65)), letter);
-  who.life = {*rc::gen::arbitrary<uint64_t>(), *rc::gen::arbitrary<uint64_t>()};
+  who.generation = {*rc::gen::arbitrary<uint64_t>(), *rc::gen::arbitrary<uint64_t>()};
   return who;
 }
 
@@ -23,20 +23,20 @@
   Message message;
   message.kind = static_cast<Message::Kind>(*rc::gen::inRange(0, 7));
   message.from = Drawn(1);
-  message.about = Drawn(0);
+  message.ping_target = Drawn(0);
   message.sequence = *rc::gen::arbitrary<uint64_t>();
-  message.number = *rc::gen::arbitrary<uint64_t>();
+  message.request_id = *rc::gen::arbitrary<uint64_t>();
   message.digest = *rc::gen::arbitrary<uint64_t>();
   message.reached = *rc::gen::arbitrary<bool>();
   message.cut_off = *rc::gen::arbitrary<bool>();
   message.facts.zone = "zone-a";
   message.facts.list_version = *rc::gen::arbitrary<uint64_t>();
   message.facts.used_percent = *rc::gen::arbitrary<uint8_t>();
-  const int claims = *rc::gen::inRange(0, 6);
-  for (int i = 0; i < claims; ++i) {
-    Claim claim{Drawn(1), static_cast<State>(*rc::gen::inRange(0, 4)), {}, *rc::gen::arbitrary<bool>()};
-    for (int a = *rc::gen::inRange(0, 5); a > 0; --a) claim.accusers.push_back(Drawn(1).name);
-    message.claims.push_back(std::move(claim));
+  const int updates = *rc::gen::inRange(0, 6);
+  for (int i = 0; i < updates; ++i) {
+    Update update{Drawn(1), static_cast<State>(*rc::gen::inRange(0, 4)), {}, *rc::gen::arbitrary<bool>()};
+    for (int a = *rc::gen::inRange(0, 5); a > 0; --a) update.suspected_by.push_back(Drawn(1).name);
+    message.updates.push_back(std::move(update));
   }
   return message;
 }
@@ -44,7 +44,7 @@
 TEST(Wire, WhatIsWrittenReadsBackAsTheSame) {
   EXPECT_TRUE(rc::check([] {
     const Message message = DrawnMessage();
-    const ReadMessage read = Read(Write(message, "zuerich"), "zuerich");
+    const DecodedMessage read = Decode(Encode(message, "zuerich"), "zuerich");
     RC_ASSERT(read.message.has_value());
     RC_ASSERT(*read.message == message);
   }));
@@ -53,45 +53,45 @@
 TEST(Wire, WhatIsNotOneOfOursIsRefusedByName) {
   Message message;
   message.from = {"m1", "127.0.0.1:1", {1, 0}};
-  const std::string good = Write(message, "zuerich");
-  EXPECT_STREQ(Read(good, "bern").why, "another site");
-  EXPECT_STREQ(Read("GET / HTTP/1.1", "zuerich").why, "not ours");
-  EXPECT_STREQ(Read("", "zuerich").why, "not ours");
+  const std::string good = Encode(message, "zuerich");
+  EXPECT_STREQ(Decode(good, "bern").why, "another site");
+  EXPECT_STREQ(Decode("GET / HTTP/1.1", "zuerich").why, "not ours");
+  EXPECT_STREQ(Decode("", "zuerich").why, "not ours");
   std::string later = good;
   later[3] = 2;
-  EXPECT_STREQ(Read(later, "zuerich").why, "another version");
+  EXPECT_STREQ(Decode(later, "zuerich").why, "another version");
   for (size_t at = 4; at < good.size(); ++at) {
     std::string flipped = good;
     flipped[at] = static_cast<char>(flipped[at] ^ 0x10);
-    EXPECT_STREQ(Read(flipped, "zuerich").why, "damaged") << at;
+    EXPECT_STREQ(Decode(flipped, "zuerich").why, "damaged") << at;
   }
   for (size_t length = 12; length < good.size(); ++length) {
-    EXPECT_STREQ(Read(good.substr(0, length), "zuerich").why, "damaged") << length;
+    EXPECT_STREQ(Decode(good.substr(0, length), "zuerich").why, "damaged") << length;
   }
 }
 
 TEST(Wire, AMessageOfThisVersionWithWrongValuesIsMalformed) {
   Message message;
   message.from = {"", "127.0.0.1:1", {1, 0}};  // nobody
-  EXPECT_STREQ(Read(Write(message, "s"), "s").why, "malformed");
-  message.from.name = std::string(kLongestName + 1, 'm');
-  EXPECT_STREQ(Read(Write(message, "s"), "s").why, "malformed");
+  EXPECT_STREQ(Decode(Encode(message, "s"), "s").why, "malformed");
+  message.from.name = std::string(kMaxNameBytes + 1, 'm');
+  EXPECT_STREQ(Decode(Encode(message, "s"), "s").why, "malformed");
   message.from.name = "two words\n";  // would forge a line of a log
-  EXPECT_STREQ(Read(Write(message, "s"), "s").why, "malformed");
+  EXPECT_STREQ(Decode(Encode(message, "s"), "s").why, "malformed");
   message.from.name = "m1";
-  message.claims.assign(1, {{"m2", "a:1", {1, 0}}, State::kSuspect, {"a", "b", "c", "d", "e"}, false});
-  EXPECT_STREQ(Read(Write(message, "s"), "s").why, "malformed");
+  message.updates.assign(1, {{"m2", "a:1", {1, 0}}, State::kSuspect, {"a", "b", "c", "d", "e"}, false});
+  EXPECT_STREQ(Decode(Encode(message, "s"), "s").why, "malformed");
 }
 
 TEST(Wire, WhatGossipCountsIsNotLessThanWhatAClaimTakes) {
   EXPECT_TRUE(rc::check([] {
     Message message;
     message.from = {"m1", "a:1", {1, 0}};
-    const size_t without = Write(message, "s").size();
-    message.claims.push_back(DrawnMessage().claims.empty()
-                                 ? Claim{Drawn(1), State::kDead, {"x"}, true}
-                                 : Claim{Drawn(1), State::kSuspect, {Drawn(1).name}, true});
-    RC_ASSERT(Write(message, "s").size() <= without + Gossip::SizeOf(message.claims[0]));
+    const size_t without = Encode(message, "s").size();
+    message.updates.push_back(DrawnMessage().updates.empty()
+                                  ? Update{Drawn(1), State::kDead, {"x"}, true}
+                                  : Update{Drawn(1), State::kSuspect, {Drawn(1).name}, true});
+    RC_ASSERT(Encode(message, "s").size() <= without + GossipQueue::MaxEncodedSize(message.updates[0]));
   }));
 }
 
