--- a/fuzz/cluster_wire_fuzz.cpp
+++ b/fuzz/cluster_wire_fuzz.cpp
@@ -1,5 +1,7 @@
-// Any bytes as a member's frame: a message or a reason, and a message that is read is written back as the
-// same. The checksum is made right first, or nothing would get past it; and what was read goes to a mind.
+// Decodes arbitrary bytes as a frame of the membership protocol. Each gives a message or a reason, and a
+// decoded message must survive encoding and decoding. The checksum is computed here, else nearly every input
+// would fail on it. A decoded message also goes to a failure detector, whose datagrams must stay within their
+// size limit.
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
--- a/tests/cluster/member_checker_test.cpp
+++ b/tests/cluster/member_checker_test.cpp
@@ -1,4 +1,4 @@
-// A history that breaks each rule of the judge, and one that breaks none.
+// Tests the checker of member runs: for each rule a history that breaks it, and one history that breaks none.
 #include <gtest/gtest.h>
 
 #include "lab/members/member_judge.h"
@@ -8,8 +8,8 @@
 
 constexpr int kMembers = 4;
 
-struct Stage {
-  explicit Stage(const std::function<void(Scenario&)>& with = [](Scenario&) {}) {
+struct Fixture {
+  explicit Fixture(const std::function<void(Scenario&)>& with = [](Scenario&) {}) {
     scenario.members = kMembers;
     scenario.goals.known_worst_s = 5;
     scenario.goals.equal_within_s = 5;
@@ -23,7 +23,7 @@
       }
     }
   }
-  std::string First(Micros at = 30 * kSecond) {
+  std::string FirstFailure(Micros at = 30 * kSecond) {
     const MemberVerdict verdict = judge->Finish(at);
     return verdict.broken.empty() ? "" : verdict.broken[0];
   }
@@ -32,60 +32,62 @@
   std::optional<MemberJudge> judge;
 };
 
-bool Has(const std::string& text, const std::string& part) { return text.find(part) != std::string::npos; }
+bool Contains(const std::string& text, const std::string& part) {
+  return text.find(part) != std::string::npos;
+}
 
-TEST(MemberJudge, KeepsWhereEachSeesWhatIs) {
-  Stage stage([](Scenario& s) {
+TEST(MemberJudge, AcceptsViewsThatMatchTheFaults) {
+  Fixture fixture([](Scenario& s) {
     MemberFault fault;
     fault.at_s = 10;
     fault.who = "name:m003";
     s.faults.push_back(fault);
   });
-  stage.judge->Ended(10 * kSecond, 3, false);
-  for (int i = 0; i < 3; ++i) stage.judge->Saw(12 * kSecond, i, Sight::kDied, 3);
-  EXPECT_EQ(stage.First(), "");
+  fixture.judge->Ended(10 * kSecond, 3, false);
+  for (int i = 0; i < 3; ++i) fixture.judge->Saw(12 * kSecond, i, Sight::kDied, 3);
+  EXPECT_EQ(fixture.FirstFailure(), "");
 }
 
-TEST(MemberJudge, RejectsADeathOfOneThatRuns) {
-  Stage stage;
-  stage.judge->Saw(10 * kSecond, 0, Sight::kDied, 1);
-  stage.judge->Saw(11 * kSecond, 0, Sight::kReturned, 1);
-  EXPECT_TRUE(Has(stage.First(), "m000 holds m001 dead, which runs"));
+TEST(MemberJudge, RejectsADeathOfARunningMember) {
+  Fixture fixture;
+  fixture.judge->Saw(10 * kSecond, 0, Sight::kDied, 1);
+  fixture.judge->Saw(11 * kSecond, 0, Sight::kReturned, 1);
+  EXPECT_TRUE(Contains(fixture.FirstFailure(), "m000 holds m001 dead, which runs"));
 }
 
-TEST(MemberJudge, RejectsADeathThatOneNeverKnew) {
-  Stage stage;
-  stage.judge->Ended(10 * kSecond, 3, false);
-  for (int i = 0; i < 2; ++i) stage.judge->Saw(12 * kSecond, i, Sight::kDied, 3);
-  EXPECT_TRUE(Has(stage.First(), "m002 never knew that m003 is gone"));
+TEST(MemberJudge, RejectsADeathThatAMemberNeverLearned) {
+  Fixture fixture;
+  fixture.judge->Ended(10 * kSecond, 3, false);
+  for (int i = 0; i < 2; ++i) fixture.judge->Saw(12 * kSecond, i, Sight::kDied, 3);
+  EXPECT_TRUE(Contains(fixture.FirstFailure(), "m002 never knew that m003 is gone"));
 }
 
 TEST(MemberJudge, RejectsADeathKnownTooLate) {
-  Stage stage;
-  stage.judge->Ended(10 * kSecond, 3, false);
-  for (int i = 0; i < 3; ++i) stage.judge->Saw((12 + 3 * i) * kSecond, i, Sight::kDied, 3);
-  EXPECT_TRUE(Has(stage.First(), "to the last: 8.00 s"));
+  Fixture fixture;
+  fixture.judge->Ended(10 * kSecond, 3, false);
+  for (int i = 0; i < 3; ++i) fixture.judge->Saw((12 + 3 * i) * kSecond, i, Sight::kDied, 3);
+  EXPECT_TRUE(Contains(fixture.FirstFailure(), "to the last: 8.00 s"));
 }
 
 TEST(MemberJudge, RejectsViewsThatDifferAtTheEnd) {
-  Stage stage([](Scenario& s) { s.goals.known_worst_s.reset(); });
-  stage.judge->Ended(10 * kSecond, 3, false);
-  stage.judge->Saw(12 * kSecond, 0, Sight::kDied, 3);
-  EXPECT_TRUE(Has(stage.First(), "views are not equal and right at the end: 2"));
+  Fixture fixture([](Scenario& s) { s.goals.known_worst_s.reset(); });
+  fixture.judge->Ended(10 * kSecond, 3, false);
+  fixture.judge->Saw(12 * kSecond, 0, Sight::kDied, 3);
+  EXPECT_TRUE(Contains(fixture.FirstFailure(), "views are not equal and right at the end: 2"));
 }
 
-TEST(MemberJudge, RejectsAStartThatOneNeverHeardOf) {
-  Stage stage([](Scenario& s) { s.goals.joined_worst_s = 3; });
-  stage.judge->Ended(5 * kSecond, 3, true);
-  for (int i = 0; i < 3; ++i) stage.judge->Saw(5 * kSecond, i, Sight::kLeft, 3);
-  stage.judge->Started(10 * kSecond, 3);
-  for (int i = 0; i < 3; ++i) stage.judge->Saw(11 * kSecond, 3, Sight::kJoined, i);
-  for (int i = 0; i < 2; ++i) stage.judge->Saw(11 * kSecond, i, Sight::kJoined, 3);
-  EXPECT_TRUE(Has(stage.First(), "m002 never heard of m003"));
+TEST(MemberJudge, RejectsAStartThatAMemberNeverLearned) {
+  Fixture fixture([](Scenario& s) { s.goals.joined_worst_s = 3; });
+  fixture.judge->Ended(5 * kSecond, 3, true);
+  for (int i = 0; i < 3; ++i) fixture.judge->Saw(5 * kSecond, i, Sight::kLeft, 3);
+  fixture.judge->Started(10 * kSecond, 3);
+  for (int i = 0; i < 3; ++i) fixture.judge->Saw(11 * kSecond, 3, Sight::kJoined, i);
+  for (int i = 0; i < 2; ++i) fixture.judge->Saw(11 * kSecond, i, Sight::kJoined, 3);
+  EXPECT_TRUE(Contains(fixture.FirstFailure(), "m002 never heard of m003"));
 }
 
-TEST(MemberJudge, RejectsAChangeInTheViewOfOneThatNoFaultIsAbout) {
-  Stage stage([](Scenario& s) {
+TEST(MemberJudge, RejectsAViewChangeAboutAMemberWithoutFault) {
+  Fixture fixture([](Scenario& s) {
     s.goals.nobody_else = true;
     MemberFault fault;
     fault.kind = MemberFaultKind::kPaused;
@@ -94,22 +96,22 @@
     fault.who = "name:m003";
     s.faults.push_back(fault);
   });
-  stage.judge->Saw(10 * kSecond, 0, Sight::kSuspected, 3);
-  stage.judge->Saw(10 * kSecond, 0, Sight::kCleared, 3);
-  stage.judge->Saw(10 * kSecond, 0, Sight::kSuspected, 1);
-  EXPECT_TRUE(Has(stage.First(), "m000 says of m001, whom no fault is about: suspect"));
+  fixture.judge->Saw(10 * kSecond, 0, Sight::kSuspected, 3);
+  fixture.judge->Saw(10 * kSecond, 0, Sight::kCleared, 3);
+  fixture.judge->Saw(10 * kSecond, 0, Sight::kSuspected, 1);
+  EXPECT_TRUE(Contains(fixture.FirstFailure(), "m000 says of m001, whom no fault is about: suspect"));
 }
 
-TEST(MemberJudge, RejectsAnAccusationByOneThatJustStoodStill) {
-  Stage stage;
-  stage.judge->Paused(10 * kSecond, 0, true);
-  stage.judge->Paused(12 * kSecond, 0, false);
-  stage.judge->Saw(12 * kSecond + 100 * kMs, 0, Sight::kSuspected, 1, true);
-  EXPECT_TRUE(Has(stage.First(), "m000 stood still until 12.00 s, and accuses m001"));
+TEST(MemberJudge, RejectsASuspicionRightAfterAPause) {
+  Fixture fixture;
+  fixture.judge->Paused(10 * kSecond, 0, true);
+  fixture.judge->Paused(12 * kSecond, 0, false);
+  fixture.judge->Saw(12 * kSecond + 100 * kMs, 0, Sight::kSuspected, 1, true);
+  EXPECT_TRUE(Contains(fixture.FirstFailure(), "m000 stood still until 12.00 s, and accuses m001"));
 }
 
-TEST(MemberJudge, RejectsACutThatOneDoesNotSee) {
-  Stage stage([](Scenario& s) {
+TEST(MemberJudge, RejectsACutThatTheCutMemberDoesNotNotice) {
+  Fixture fixture([](Scenario& s) {
     s.goals.cut_off_within_s = 10;
     MemberFault fault;
     fault.kind = MemberFaultKind::kCut;
@@ -119,15 +121,15 @@
     s.faults.push_back(fault);
   });
   for (int i = 0; i < 3; ++i)
-    stage.judge->Saw(12 * kSecond, i, Sight::kDied, 3);  // m003 itself does not know
-  for (int i = 0; i < 3; ++i) stage.judge->Saw(21 * kSecond, i, Sight::kReturned, 3);
-  EXPECT_TRUE(Has(stage.First(), "known in 3 of 4 views"));
+    fixture.judge->Saw(12 * kSecond, i, Sight::kDied, 3);  // m003 itself does not notice
+  for (int i = 0; i < 3; ++i) fixture.judge->Saw(21 * kSecond, i, Sight::kReturned, 3);
+  EXPECT_TRUE(Contains(fixture.FirstFailure(), "known in 3 of 4 views"));
 }
 
-TEST(MemberJudge, RejectsOneThatHoldsItselfCutOffAtTheEnd) {
-  Stage stage;
-  stage.judge->Saw(12 * kSecond, 2, Sight::kCutOff, 2);
-  EXPECT_TRUE(Has(stage.First(), "m002 holds itself cut off at the end"));
+TEST(MemberJudge, RejectsAMemberThatHoldsItselfCutOffAtTheEnd) {
+  Fixture fixture;
+  fixture.judge->Saw(12 * kSecond, 2, Sight::kCutOff, 2);
+  EXPECT_TRUE(Contains(fixture.FirstFailure(), "m002 holds itself cut off at the end"));
 }
 
 }  // namespace
--- a/tests/cluster/scenarios_test.cpp
+++ b/tests/cluster/scenarios_test.cpp
@@ -1,5 +1,5 @@
-// Clusters of minds on a virtual clock: the shipped scenarios and seeds of drawn ones; and each mechanism
-// taken away, which must make the scenario fail that it is for.
+// Clusters of failure detectors on a virtual clock: the shipped scenarios and randomly generated ones. Each
+// mechanism is also disabled in turn, which must make the scenario fail that the mechanism is for.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -20,7 +20,7 @@
   return text.str();
 }
 
-Scenario Shipped(const std::string& name, int members, double length_s = 0) {
+Scenario ShippedScenario(const std::string& name, int members, double length_s = 0) {
   const std::string path = std::string(SCENARIOS) + "/" + name + ".toml";
   const Loaded<Scenario> loaded = ScenarioSchema().Parse(path, TextOf(path));
   for (const ConfigError& error : loaded.errors) ADD_FAILURE() << error.Line();
@@ -37,46 +37,52 @@
   return scenario;
 }
 
-uint64_t Broken(const Scenario& scenario, uint64_t seeds, const cluster::Options& rules = {}) {
-  uint64_t broken = 0;
+uint64_t CountFailedSeeds(const Scenario& scenario, uint64_t seeds, const cluster::Options& options = {}) {
+  uint64_t failed_seeds = 0;
   for (uint64_t seed = 1; seed <= seeds; ++seed) {
-    const MemberVerdict verdict = VirtualMembers(scenario, seed, rules).Play();
-    if (verdict.broken_count > 0 && ++broken < 3) {
+    const MemberVerdict verdict = VirtualMembers(scenario, seed, options).Play();
+    if (verdict.broken_count > 0 && ++failed_seeds < 3) {
       for (const std::string& line : verdict.broken)
         std::printf("seed %d: %s\n", static_cast<int>(seed), line.c_str());
     }
   }
-  return broken;
+  return failed_seeds;
 }
 
-TEST(Members, ShippedScenariosAreKeptOnTheVirtualClock) {
-  EXPECT_EQ(Broken(Shipped("killed-fifth", 40), 10), 0u);
-  EXPECT_EQ(Broken(Shipped("cut-deaf", 40), 10), 0u);
-  EXPECT_EQ(Broken(Shipped("cut-mute", 40), 10), 0u);
-  EXPECT_EQ(Broken(Shipped("halves-1", 40), 10), 0u);
-  EXPECT_EQ(Broken(Shipped("ci-faults", 24), 10), 0u);
-  EXPECT_EQ(Broken(Shipped("ci-lossy", 24), 10), 0u);
-  EXPECT_EQ(Broken(Shipped("lossy-20", 30, 60), 2), 0u);
-  EXPECT_EQ(Broken(Shipped("paused-2", 30, 60), 2), 0u);
-  EXPECT_EQ(Broken(Shipped("cut-third", 30, 60), 2), 0u);
+TEST(Members, ShippedScenariosPassOnTheVirtualClock) {
+  EXPECT_EQ(CountFailedSeeds(ShippedScenario("killed-fifth", 40), 10), 0u);
+  EXPECT_EQ(CountFailedSeeds(ShippedScenario("cut-deaf", 40), 10), 0u);
+  EXPECT_EQ(CountFailedSeeds(ShippedScenario("cut-mute", 40), 10), 0u);
+  EXPECT_EQ(CountFailedSeeds(ShippedScenario("halves-1", 40), 10), 0u);
+  EXPECT_EQ(CountFailedSeeds(ShippedScenario("ci-faults", 24), 10), 0u);
+  EXPECT_EQ(CountFailedSeeds(ShippedScenario("ci-lossy", 24), 10), 0u);
+  EXPECT_EQ(CountFailedSeeds(ShippedScenario("lossy-20", 30, 60), 2), 0u);
+  EXPECT_EQ(CountFailedSeeds(ShippedScenario("paused-2", 30, 60), 2), 0u);
+  EXPECT_EQ(CountFailedSeeds(ShippedScenario("cut-third", 30, 60), 2), 0u);
 }
 
-TEST(Members, WithoutEachOfItsMechanismsANamedScenarioFails) {
-  auto without = [](bool cluster::Options::*what) {
-    cluster::Options rules;
-    rules.*what = false;
-    return rules;
+TEST(Members, WithoutEachMechanismANamedScenarioFails) {
+  auto without = [](bool cluster::Options::*mechanism) {
+    cluster::Options options;
+    options.*mechanism = false;
+    return options;
   };
-  EXPECT_GT(Broken(Shipped("cut-deaf", 30), 3, without(&cluster::Options::require_second_observer)), 0u);
-  EXPECT_GT(Broken(Shipped("cut-mute", 30), 3, without(&cluster::Options::indirect_pings)), 0u);
-  EXPECT_GT(Broken(Shipped("halves-1", 30), 3, without(&cluster::Options::refutation)), 0u);
-  EXPECT_GT(Broken(Shipped("killed-one", 30), 3, without(&cluster::Options::incarnations)), 0u);
-  EXPECT_GT(Broken(Shipped("paused-2", 30, 120), 2, without(&cluster::Options::suspicion)), 0u);
-  EXPECT_GT(Broken(Shipped("bad-start", 60), 10, without(&cluster::Options::full_sync)), 0u);
+  EXPECT_GT(CountFailedSeeds(ShippedScenario("cut-deaf", 30), 3,
+                             without(&cluster::Options::require_second_observer)),
+            0u);
+  EXPECT_GT(CountFailedSeeds(ShippedScenario("cut-mute", 30), 3, without(&cluster::Options::indirect_pings)),
+            0u);
+  EXPECT_GT(CountFailedSeeds(ShippedScenario("halves-1", 30), 3, without(&cluster::Options::refutation)), 0u);
+  EXPECT_GT(CountFailedSeeds(ShippedScenario("killed-one", 30), 3, without(&cluster::Options::incarnations)),
+            0u);
+  EXPECT_GT(CountFailedSeeds(ShippedScenario("paused-2", 30, 120), 2, without(&cluster::Options::suspicion)),
+            0u);
+  EXPECT_GT(CountFailedSeeds(ShippedScenario("bad-start", 60), 10, without(&cluster::Options::full_sync)),
+            0u);
 }
 
-// MORE: so many more seeds, where the environment asks for them.
-TEST(Members, AfterDrawnFaultsAllViewsComeTogetherAndNobodyAccusesFromItsOwnPause) {
+// The environment variable MORE gives a number of additional seeds.
+TEST(Members, AfterRandomFaultsAllViewsConvergeAndPausesCauseNoSuspicions) {
   const char* more = std::getenv("MORE");
   const uint64_t seeds = 40 + (more != nullptr ? std::strtoull(more, nullptr, 10) : 0);
   for (uint64_t seed = 1; seed <= seeds; ++seed) {
@@ -87,7 +93,7 @@
   }
 }
 
-TEST(Members, EveryShippedScenarioReadsAndDraws) {
+TEST(Members, EveryShippedScenarioParsesAndGivesAPlan) {
   for (const auto& entry : std::filesystem::directory_iterator(SCENARIOS)) {
     const Loaded<Scenario> loaded =
         ScenarioSchema().Parse(entry.path().string(), TextOf(entry.path().string()));
@@ -97,28 +103,28 @@
   }
 }
 
-TEST(Members, TheSameSeedGivesTheSameCourse) {
-  const Scenario scenario = Shipped("ci-lossy", 24);
+TEST(Members, TheSameSeedGivesTheSameRun) {
+  const Scenario scenario = ShippedScenario("ci-lossy", 24);
   const MemberVerdict one = VirtualMembers(scenario, 3, {}).Play(),
                       two = VirtualMembers(scenario, 3, {}).Play();
   EXPECT_EQ(one.suspicions, two.suspicions);
   EXPECT_EQ(one.known.worst, two.known.worst);
 }
 
-TEST(ClusterSettings, TheShippedFileReadsAndSlipsAreNamed) {
+TEST(ClusterSettings, TheShippedFileParsesAndErrorsNameTheKey) {
   const Loaded<ClusterSettings> shipped =
       ParseCluster("cluster.toml", TextOf(std::string(DEPLOY) + "/cluster.toml"));
   ASSERT_TRUE(shipped.value.has_value());
   EXPECT_EQ(shipped.value->seeds.size(), 2u);
-  auto slip = [](const std::string& text) {
+  auto first_error = [](const std::string& text) {
     const Loaded<ClusterSettings> loaded = ParseCluster("c.toml", text);
     return loaded.errors.empty() ? std::string() : loaded.errors[0].Line();
   };
-  EXPECT_NE(slip("listen = \"127.0.0.1:1\"\n").find("site"), std::string::npos);
-  EXPECT_NE(slip("site = \"s\"\nlisten = \"nowhere\"\n").find("listen"), std::string::npos);
-  EXPECT_NE(slip("site = \"s\"\nlisten = \"127.0.0.1:1\"\nseeds = [\"x\"]\n").find("seeds[0]"),
+  EXPECT_NE(first_error("listen = \"127.0.0.1:1\"\n").find("site"), std::string::npos);
+  EXPECT_NE(first_error("site = \"s\"\nlisten = \"nowhere\"\n").find("listen"), std::string::npos);
+  EXPECT_NE(first_error("site = \"s\"\nlisten = \"127.0.0.1:1\"\nseeds = [\"x\"]\n").find("seeds[0]"),
             std::string::npos);
-  EXPECT_NE(slip("site = \"s\"\nlisten = \"127.0.0.1:1\"\nperiods_ms = 5\n").find("period_ms"),
+  EXPECT_NE(first_error("site = \"s\"\nlisten = \"127.0.0.1:1\"\nperiods_ms = 5\n").find("period_ms"),
             std::string::npos);
 }
 
