--- a/src/consensus/core.h
+++ b/src/consensus/core.h
@@ -1,13 +1,15 @@
-// The council's agreed log: one voter's core, and whoever follows from outside. They decide, and do nothing:
-// messages, what came of writes, and the time go in; messages, writes, applied entries and notices come out.
-// Their chance is a seed. docs/design/council.md, section "The log", weighs the ways and names the promises.
+// A Raft-style replicated log: Core is one voter, Follower is a client that replicates the committed log
+// without a vote. Both are pure state machines without I/O. Inputs are messages, completions of writes and
+// the time; outputs are messages, writes, applied entries and notices. All randomness derives from a seed.
+// docs/design/council.md, section "The log", compares the alternatives and names the guarantees.
 //
-// How a carrier goes round, at each event (a message, a flush's end, next_at(), a call):
-//   1. tell the core (Heard, Wrote, Tick, Propose, Read, ...), with the time of its monotonic clock;
-//   2. TakeWrites(): put them on disk in order, and tell Wrote() of each number or of the last of several;
-//   3. TakeMessages(): send them; a loss is nobody's fault. What rests on a write comes out after Wrote();
-//   4. TakeApplied(): give them to the state machine, in order; TakeReads(): answer; TakeNotices(): log.
-// Steps 2 to 4 in any order, and a write may take as long as it will: a core goes on in the meantime.
+// What the host does at each event (a message, a completed flush, next_at(), a call):
+//   1. Call the core (OnMessage, OnWritten, Tick, Propose, Read, ...) with the time of a monotonic clock.
+//   2. TakeWrites(): write to disk in order; report each number, or the last of several, to OnWritten().
+//   3. TakeMessages(): send; messages may be lost. Those that need a durable write come out after
+//   OnWritten().
+//   4. TakeApplied(): apply to the state machine in order. TakeReads(): answer readers. TakeNotices(): log.
+// Steps 2 to 4 may run in any order, and a write may take any time: the core goes on meanwhile.
 #ifndef BURLFALL_CONSENSUS_CORE_H_
 #define BURLFALL_CONSENSUS_CORE_H_
 
@@ -28,203 +30,214 @@
 
 namespace burlfall::consensus {
 
+// Settings of a voter.
 struct Rules {
-  Micros heartbeat = 100 * kMs;
-  // Without a word from a leader, a voter asks whether it would be elected after a span drawn from these. A
-  // leader that hears no majority for `election_most` steps down.
-  Micros election_least = 400 * kMs;
-  Micros election_most = 800 * kMs;
-  Micros resend = 200 * kMs;            // a batch or piece without an answer
-  Micros join_patience = 30 * kSecond;  // for a new voter to catch up before it is brought in
-  Micros transfer_patience = kSecond;   // for another to take office; then proposals are taken again
-  size_t most_voters = 7;
-  size_t most_uncommitted = 1024;      // entries that a leader takes before the earlier ones are committed
-  size_t largest_entry = 256 * 1024;   // bytes of data
-  size_t batch_entries = 128;          // in one append, and in one answer to a follower
-  size_t batch_bytes = 512 * 1024;     // likewise; one entry always goes
-  size_t piece_bytes = 256 * 1024;     // of a snapshot
-  size_t largest_snapshot = 64 << 20;  // bytes
-  size_t keep_entries = 1024;          // behind a snapshot, for those a little behind
-  size_t most_reads = 4096;            // waiting at one time
-  size_t follow_answers = 400;         // a second, to those that follow from outside; more are put off
-  // Taken away one by one to see what each is for; a program leaves them as they are.
+  Micros heartbeat_interval = 100 * kMs;
+  // A voter that hears no leader starts an election after a random timeout from [election_min, election_max).
+  // A leader that does not hear from a majority for election_max steps down.
+  Micros election_min = 400 * kMs;
+  Micros election_max = 800 * kMs;
+  Micros resend_timeout = 200 * kMs;   // for the response to a batch or snapshot chunk
+  Micros join_timeout = 30 * kSecond;  // for a new voter to catch up before its change is proposed
+  Micros transfer_timeout = kSecond;   // for the target to be elected; then proposals are accepted again
+  size_t max_voters = 7;
+  size_t max_uncommitted = 1024;        // entries that a leader accepts beyond the commit index
+  size_t max_entry_bytes = 256 * 1024;  // of an entry's data
+  size_t batch_entries = 128;           // limit in one append, and in one response to a follower
+  size_t batch_bytes = 512 * 1024;      // likewise; one entry is always sent
+  size_t chunk_bytes = 256 * 1024;      // of a snapshot
+  size_t max_snapshot_bytes = 64 << 20;
+  size_t keep_entries = 1024;  // retained before the snapshot's index, for peers slightly behind
+  size_t max_waiting_reads = 4096;
+  size_t max_follow_responses = 400;  // per second, to followers; further requests get kRetryLater
+  // Safety rules of the protocol. Tests switch them off one at a time to show which failure each prevents; a
+  // program leaves all of them on.
   bool votes_wait_for_flush = true;
   bool appends_wait_for_flush = true;
   bool counts_itself_after_flush = true;
   bool commits_own_term_only = true;
-  bool reads_confirm = true;  // by a round of answers that began after the read came
+  bool reads_confirm_leadership = true;  // by responses of a majority to messages sent after the read arrived
   bool reads_wait_for_own_term = true;
   bool pre_vote = true;
   bool check_quorum = true;
   bool one_change_at_a_time = true;
   bool votes_for_newer_log_only = true;
-  bool votes_once = true;       // in a term
-  bool checks_previous = true;  // an append fits on the entry before it
+  bool votes_once = true;             // in a term
+  bool checks_previous_entry = true;  // an append must match the entry before it
   bool stops_on_failed_write = true;
 };
 
 struct Setup {
   VoterId self;
   Rules rules;
-  uint64_t seed = 0;  // of its draws: another one at each start
-  // Council time where the log and the leader have told none yet, for instance Unix time. Only the very first
-  // leader stamps by it.
-  Micros wall = 0;
+  uint64_t seed = 0;  // for random timeouts; must differ at each start
+  // Log time to start from while neither the log nor a leader provides one, for instance Unix time. Only the
+  // very first leader stamps entries by it.
+  Micros initial_log_time = 0;
 };
 
-// What a disk held at the start. Empty: a new voter's folder; it is silent until a leader speaks to it, which
-// happens once an operator has it brought in by ChangeVoter() elsewhere.
-struct Stored {
+// What the disk held at the start. Empty: a new voter's folder. Such a voter stays silent until a leader
+// contacts it, which happens after an operator has it added with ChangeVoter() at the leader.
+struct PersistentState {
   uint64_t term = 0;
   std::optional<VoterId> vote;  // given in `term`
-  Snapshot snapshot;            // index 0: none, `voters` are those that the log began with
-  // In order without a gap. It may begin before the snapshot's end, and never after the entry next to it.
+  Snapshot snapshot;            // index 0: none; `voters` is then the log's initial configuration
+  // In order without gaps. It may begin before the snapshot's end, but at the latest with the next entry
+  // after it.
   std::vector<Entry> log;
 };
 
-// The log's very beginning, by an operator's call, on ONE voter and once: it is then the only one, leads, and
-// the others are brought in one by one. `floor`: the first entry's index is above it (0 but where a council
-// begins anew after its majority was lost; then above each index that anybody may have seen).
-Stored FirstVoter(const Voter& self, uint64_t floor = 0);
+// The initial state of a new log. An operator bootstraps exactly ONE voter with it, once: that voter is the
+// only one, leads, and the others are added one by one. The first entry's index is above `index_floor`, which
+// is 0 except when a log is started anew after the loss of a majority: then it is above each index that
+// anybody may have seen.
+PersistentState BootstrapState(const Voter& self, uint64_t index_floor = 0);
 
-// What has to be durable. To be done in the order of the numbers: a later one may rest on an earlier, and
-// after one that failed none is done any more.
+// State that must be made durable. Writes are executed in the order of their numbers, as a later one may
+// depend on an earlier one; after a failure no further write is executed.
 struct DiskWrite {
   uint64_t number = 0;
-  // These replace the term and vote on disk.
-  struct Promise {
+  // Replaces the term and vote on disk.
+  struct TermVote {
     uint64_t term = 0;
     std::optional<VoterId> vote;
   };
-  std::optional<Promise> promise;
-  // The snapshot on disk is replaced whole.
+  std::optional<TermVote> term_vote;
+  // Replaces the snapshot on disk.
   std::optional<Snapshot> snapshot;
-  // Not 0: entries below this index are dropped, after the snapshot is durable. A crash between the two is
-  // fine: Begin() takes what is left, and writes again what was not done.
+  // If not 0: drop the entries below this index, once the snapshot is durable. A crash between the two is
+  // harmless: Begin() accepts what is left and repeats the unfinished write.
   uint64_t keep_from = 0;
-  // Not 0: all entries from this index on are replaced by `entries` (which may be empty).
-  uint64_t from = 0;
+  // If not 0: replace all entries from this index on by `entries` (which may be empty).
+  uint64_t replace_from = 0;
   std::vector<Entry> entries;
 };
 
 struct Outgoing {
-  // Of the voter, as the log's configuration has it. Empty: an answer to one that this core's configuration
-  // does not name (a leader that feeds a new voter): it goes back where the message came from.
+  // Address of the voter in the log's configuration. Empty for a response to a sender that the configuration
+  // of this core does not name (a leader that replicates to a new voter): it goes back to where the message
+  // came from.
   std::string address;
-  Message message;  // message.to says who it is for
+  Message message;  // message.to is the receiver
 };
 
-// For the state machine, each index once and in order since Begin(): a snapshot, which replaces all state
-// (with empty data: by the state that everything begins with), or an entry. Entries of kind kNothing and
-// kVoters come as well.
+// Input for the state machine, each index once and in order since Begin(): either a snapshot, which replaces
+// all state (one with empty data resets to the initial state), or an entry. Entries of kinds kNoOp and
+// kVoters are included.
 struct Applied {
   std::optional<Snapshot> snapshot;
-  Entry entry;  // where there is no snapshot
+  Entry entry;  // if there is no snapshot
 };
 
 enum class Refusal : uint8_t {
   kNone,
-  kNotLeader,       // ask the one in `leader`, or wait for an election where it is empty
-  kNoMajority,      // a leader that has lost its office: as kNotLeader, and the outcome of a read is unknown
-  kDiskLost,        // this voter has stopped: see its notice
-  kBusy,            // too much is waiting for the majority: again in a moment
-  kTooLarge,        // larger than Rules::largest_entry
-  kHandingOver,     // another one is about to lead: again in a moment
-  kTermTooYoung,    // nothing of this leader's term is committed yet: again in a moment
+  kNotLeader,       // ask the one in `leader`; if it is empty, wait for an election
+  kNoMajority,      // a leader that lost its leadership: as kNotLeader, and the outcome of a read is unknown
+  kDiskLost,        // this voter has stopped after a disk failure: see its notice
+  kBusy,            // too many entries or reads are waiting for the majority: retry shortly
+  kTooLarge,        // larger than Rules::max_entry_bytes
+  kHandingOver,     // leadership is being transferred: retry shortly
+  kTermTooYoung,    // no entry of this leader's term is committed yet: retry shortly
   kChangeUnderWay,  // an earlier change of voters is not committed yet
-  kAlreadyVoter,    // also where the same name is a voter with another disk: that one is removed first
+  kAlreadyVoter,    // also if a voter has the same name with another disk: remove that one first
   kUnknownVoter,
   kTooManyVoters,
-  kLastVoter,  // the only one can't be removed
+  kLastVoter,  // the only voter can't be removed
 };
 const char* NameOf(Refusal refusal);  // such as "not-leader"
 
-// Of Propose() and ChangeVoter(). Taken is not yet agreed: it is once an entry of this index AND term comes
-// out of TakeApplied(). If another term's entry comes at this index, it was lost and may be proposed again.
-// If this core loses its office or its process first, the outcome is open.
-struct Proposed {
+// Result of Propose() and ChangeVoter(). Accepted does not mean committed: the proposal is committed once an
+// entry of this index AND term comes out of TakeApplied(). If an entry of another term comes out at this
+// index, the proposal was lost and may be repeated. If this core loses leadership or its process ends first,
+// the outcome is unknown.
+struct ProposeResult {
   Refusal refusal = Refusal::kNone;
-  VoterId leader;       // with kNotLeader: who leads, as far as known; else with an empty name
-  std::string address;  // its address
-  uint64_t index = 0;   // 0 for a new voter that catches up first: a notice tells the end
+  VoterId leader;       // with kNotLeader: the leader as far as known; otherwise with an empty name
+  std::string address;  // the leader's
+  uint64_t index = 0;   // 0 for a new voter, which catches up first: a notice reports the result
   uint64_t term = 0;
 };
 
-struct ReadAnswer {
+struct ReadResult {
   uint64_t token = 0;
   Refusal refusal = Refusal::kNone;
   VoterId leader;
   std::string address;
-  // All entries through this one are in TakeApplied() by now: the state then is current, as of some moment
-  // after the call.
+  // The entries through this one are available from TakeApplied() by now: with them applied, the state is
+  // current as of some moment after the call.
   uint64_t index = 0;
 };
 
+// An event to be logged.
 struct Notice {
-  enum class What : uint8_t {
-    kLeads,        // this voter, from `term` on
-    kSteppedDown,  // `text`: "newer term", "no majority", "removed", "disk", "handed over"
-    kFollows,      // `who` leads in `term`
-    kNoLeader,     // none has been heard for an election time-out
-    kVoters,       // the configuration is now another one; index
-    kJoined,       // `who` has caught up and its change is proposed, at `index`
-    kJoinFailed,   // `who` did not catch up in time, or the leader changed first
+  enum class Kind : uint8_t {
+    kBecameLeader,   // this voter leads, from `term` on
+    kSteppedDown,    // `text`: "newer term", "no majority", "removed", "disk", "handed over"
+    kFollowsLeader,  // `who` leads in `term`
+    kNoLeader,       // no leader was heard for an election timeout
+    kVotersChanged,  // the configuration changed with the entry at `index`
+    kJoined,         // `who` has caught up; the change that adds it is proposed at `index`
+    kJoinFailed,     // `who` did not catch up in time, or the leader changed first
     kTransferFailed,
-    kDiskLost,   // a write failed, or the disk was not fit at Begin(): no vote, no lead until a new start.
-                 // Operator: mend the disk; start with the same folder if it is whole, or else with an
-                 // empty one as a new voter, that is brought in by a change of voters
-    kOlderDisk,  // told by the leader: `who` has no longer what it had said yes to, through `index`. It
-                 // counts for nothing in this term and is told to stop. Operator: as kDiskLost, for that
-                 // voter
-    kDropped,    // a message, `text` why; counted in dropped()
+    // A write failed, or the disk was unusable at Begin(): this voter neither votes nor leads until it is
+    // restarted. Operator: repair the disk; start with the same folder if it is undamaged, otherwise with an
+    // empty one as a new voter, which has to be added by a change of voters.
+    kDiskLost,
+    // Reported by the leader: `who` no longer has the entries through `index` that it acknowledged. It is not
+    // counted in this term and is told to stop. Operator: for that voter as with kDiskLost.
+    kOlderDisk,
+    kMessageDropped,  // `text`: the reason; counted in dropped()
   };
-  What what = What::kLeads;
+  Kind kind = Kind::kBecameLeader;
   uint64_t term = 0;
   uint64_t index = 0;
   VoterId who;
   std::string text;
 };
-const char* NameOf(Notice::What what);
+const char* NameOf(Notice::Kind kind);
 
-enum class Role : uint8_t { kFollower, kAsking, kCandidate, kLeader };  // kAsking: before a vote (pre-vote)
+enum class Role : uint8_t { kFollower, kPreCandidate, kCandidate, kLeader };
 const char* NameOf(Role role);
 
+// One voter. See the head of this file for how a host drives it.
 class Core {
  public:
   explicit Core(Setup setup);
 
-  // Once, before anything else. `may_vote` is false where the disk is not fit to promise on (full, read-only,
-  // damaged, another voter's). Then, as after a write that failed, it is silent among voters: no vote, no
-  // yes, no lead, no writes. Only Answer() goes on, with what it knew; the carrier keeps the member's own
-  // state machine up by a Follower. Times are of a monotonic clock; one that goes backwards counts as
-  // standing still.
-  void Begin(Micros now, Stored stored, bool may_vote);
-  void Heard(Micros now, const Message& message);
-  // All writes through `number` are durable; or this one failed (a flush that failed once is never believed
-  // again): the core stops voting and leading. Numbers that are not outstanding are passed over.
-  void Wrote(Micros now, uint64_t number, bool ok);
+  // Called once, before anything else. `may_vote` is false if the disk can't be relied on (full, read-only,
+  // damaged, another voter's). The core then takes no part among voters, as after a failed write: it does not
+  // vote, acknowledge, lead or write. Only HandleFollowRequest() still works, from the state loaded at the
+  // start; the host keeps its own state machine current with a Follower. Times are of a monotonic clock; a
+  // time that lies before an earlier one counts as that earlier one.
+  void Begin(Micros now, PersistentState stored, bool may_vote);
+  void OnMessage(Micros now, const Message& message);
+  // If ok, all writes through `number` are durable. If not, this write failed: the core stops voting and
+  // leading, as a retry after a failed flush can't be trusted. Numbers that are not outstanding are ignored.
+  void OnWritten(Micros now, uint64_t number, bool ok);
   void Tick(Micros now);
-  Micros next_at() const;  // Tick() has something to do then
+  Micros next_at() const;  // when Tick() is due
 
-  Proposed Propose(Micros now, std::string data);
-  // The answer comes from TakeReads(), after as many entries as it needs have come from TakeApplied().
+  ProposeResult Propose(Micros now, std::string data);
+  // Linearizable read: the result comes from TakeReads(), after all entries that it needs have come from
+  // TakeApplied().
   void Read(Micros now, uint64_t token);
-  // One at a time. A voter that is added catches up first. Removing the leader is allowed: it steps down when
-  // that is committed.
+  // One change at a time. A voter that is added catches up first. Removing the leader is allowed: it steps
+  // down once the change is committed.
   enum class Change : uint8_t { kAdd, kRemove };
-  Proposed ChangeVoter(Micros now, Change change, const Voter& voter);
-  // Another voter takes office as soon as it has the whole log; proposals are refused until then.
+  ProposeResult ChangeVoter(Micros now, Change change, const Voter& voter);
+  // Hands leadership to another voter as soon as it has the whole log; proposals are refused until then.
   Refusal Transfer(Micros now, const VoterId& to);
-  // The state machine was saved as it is after entry `index`, which must have come out of TakeApplied(): the
-  // log before may be dropped. Passed over if not newer than the last, or larger than largest_snapshot.
+  // `data` is the state machine's state after entry `index`, which must have come out of TakeApplied():
+  // earlier log entries may then be dropped. Ignored if not newer than the last snapshot, or larger than
+  // max_snapshot_bytes.
   void SaveSnapshot(Micros now, uint64_t index, std::string data);
-  // To one that follows from outside; only what is committed.
-  FollowAnswer Answer(Micros now, const FollowAsk& ask);
+  // Response to a follower; contains committed entries only.
+  FollowResponse HandleFollowRequest(Micros now, const FollowRequest& request);
 
   std::vector<DiskWrite> TakeWrites();
   std::vector<Outgoing> TakeMessages();
   std::vector<Applied> TakeApplied();
-  std::vector<ReadAnswer> TakeReads();
+  std::vector<ReadResult> TakeReads();
   std::vector<Notice> TakeNotices();
 
   const VoterId& self() const { return setup_.self; }
@@ -232,64 +245,66 @@
   uint64_t term() const { return term_; }
   const std::optional<VoterId>& leader() const { return leader_; }  // as far as known
   uint64_t commit() const { return commit_; }
-  uint64_t first_index() const;  // of the log that is kept
+  uint64_t first_index() const;  // of the retained log
   uint64_t last_index() const;
-  // Nothing where the log is not kept so far back, or ends before.
+  // Null if the index is before the retained log or after its end.
   const Entry* entry(uint64_t index) const;
   const std::vector<Voter>& voters() const { return voters_; }  // the latest in the log, committed or not
   bool is_voter() const;
   bool may_vote() const { return may_vote_; }
-  // Council time now, as this voter would stamp it: never behind the log's last entry.
-  Micros council_now(Micros now) const;
-  // Of each other voter: when it was last heard by this one as a leader (own clock); for a status page and
-  // for naming who is missing.
-  std::map<VoterId, Micros> heard_at() const;
-  const std::map<std::string, uint64_t>& dropped() const { return dropped_; }  // messages, by why
-  // All that it decides by, but for times: for a tool that goes through every state.
+  // The log time that this voter would assign now; never before that of the log's last entry.
+  Micros log_time(Micros now) const;
+  // For each other voter, when this leader last received a message from it (own clock). Empty unless this
+  // voter leads. For a status page, and to name the missing voters.
+  std::map<VoterId, Micros> last_contacts() const;
+  const std::map<std::string, uint64_t>& dropped() const { return dropped_; }  // messages, by reason
+  // All state that decisions depend on, except times: for a tool that explores every state.
   std::string Fingerprint() const;
 
  private:
-  // What the leader knows of another voter, or of one that is to be brought in.
+  // What the leader knows of another voter, or of one that is being added.
   struct Peer {
     std::string address;
-    uint64_t match = 0;  // its log agrees with this one through here, durably
-    uint64_t next = 1;   // to be sent
-    uint64_t out = 0;    // last index of the batch under way; 0: none
-    Micros out_at = 0;
-    uint64_t round = 0;        // the highest that it has answered
-    uint64_t no_round = 0;     // likewise with no
-    uint64_t match_round = 0;  // the last that was sent when `match` came to be known
-    bool stopped = false;      // its disk is older than its promises
-    Micros heard_at = 0;
-    std::shared_ptr<const Snapshot> sending;  // it is that far behind
-    uint64_t offset = 0;
+    uint64_t match = 0;            // its durable log matches this one through here
+    uint64_t next = 1;             // next index to send
+    uint64_t in_flight_index = 0;  // last index of the batch or snapshot in flight; 0: none
+    Micros in_flight_since = 0;
+    uint64_t acked_round = 0;     // the highest that it responded to
+    uint64_t rejected_round = 0;  // the highest that it responded to with a rejection
+    uint64_t match_round = 0;     // the last round sent when `match` was last raised
+    bool stopped = false;         // its disk is older than its acknowledgements
+    Micros last_contact = 0;
+    std::shared_ptr<const Snapshot> sending_snapshot;  // set if it is too far behind for the retained log
+    uint64_t snapshot_offset = 0;                      // bytes
   };
   struct Configuration {
     uint64_t index = 0;
     std::vector<Voter> voters;
   };
-  struct Held {
-    uint64_t number = 0;  // of the write that it rests on
+  // A message held back until a write is durable.
+  struct HeldMessage {
+    uint64_t number = 0;  // of the write
     Outgoing outgoing;
   };
   struct WaitingRead {
     uint64_t token = 0;
-    uint64_t round = 0;  // answered by a majority, it counts
-    uint64_t index = 0;  // 0: not known before an entry of this term is committed
+    uint64_t round = 0;  // leadership is confirmed once a majority responded to this round
+    uint64_t index = 0;  // commit index to wait for; 0: unknown until an entry of this term is committed
   };
   struct Joining {
     Voter voter;
-    Micros until = 0;
+    Micros deadline = 0;
   };
-  struct Handing {
+  struct LeadershipTransfer {
     VoterId to;
-    Micros until = 0;
+    Micros deadline = 0;
   };
 
-  uint64_t Draw();
-  Micros NoticeTime(Micros now);
-  void Note(Notice::What what, const VoterId& who = {}, const std::string& text = "", uint64_t index = 0);
-  void Drop(const char* why, const VoterId& who);
+  uint64_t NextRandom();
+  Micros AdvanceClock(Micros now);
+  void AddNotice(Notice::Kind kind, const VoterId& who = {}, const std::string& text = "",
+                 uint64_t index = 0);
+  void DropMessage(const char* reason, const VoterId& who);
 
   uint64_t LastTerm() const;
   std::optional<uint64_t> TermAt(uint64_t index) const;
@@ -297,54 +312,54 @@
   size_t Majority() const { return voters_.size() / 2 + 1; }
   const Voter* FindVoter(const VoterId& id) const;
 
-  uint64_t Keep(DiskWrite write);  // its number
-  void KeepPromise();
-  void Add(Entry entry);  // to the log in memory
-  void CutFrom(uint64_t index);
-  void TakeConfiguration();
-  void Send(const std::string& address, Message message, bool rests_on_writes = false);
-  Message Make(Message::Kind kind, const VoterId& to) const;
-  void Answer(const Message& to, Message answer, bool rests_on_writes = false);
-  void Release();
-  void LoseDisk(const std::string& why);
-
-  void Rest();  // until the next election time-out
-  void Follow(uint64_t term, const std::optional<VoterId>& leader, const std::string& why);
-  void AskAround();
-  void AskVotes(bool again);
-  void Stand(bool handed_over);
-  void TakeOffice();
+  uint64_t QueueWrite(DiskWrite write);  // returns its number
+  void QueueTermVote();
+  void AppendToLog(Entry entry);  // in memory
+  void TruncateFrom(uint64_t index);
+  void ApplyConfiguration();
+  void Send(const std::string& address, Message message, bool after_writes = false);
+  Message MakeMessage(Message::Kind kind, const VoterId& to) const;
+  void Respond(const Message& to, Message response, bool after_writes = false);
+  void ReleaseHeldMessages();
+  void StopVoting(const std::string& reason);
+
+  void ResetElectionTimer();
+  void BecomeFollower(uint64_t term, const std::optional<VoterId>& leader, const std::string& reason);
+  void BecomePreCandidate();
+  void RequestVotes(bool retry);
+  void BecomeCandidate(bool handed_over);
+  void BecomeLeader();
   void CountVotes();
-  bool LogIsAsNew(const Message& ask) const;
-  bool HearsLeader() const;
-
-  void HeardAsk(const Message& message);
-  void HeardVote(const Message& message);
-  void HeardAppend(const Message& message);
-  void HeardAppendAnswer(const Message& message);
-  void HeardPiece(const Message& message);
-  void HeardPieceAnswer(const Message& message);
-  bool HearLeader(const Message& message);
-  void Install(Snapshot snapshot);
-
-  uint64_t Lead(Entry::Kind kind, std::string data);  // the new entry's index
-  void SendTo(const VoterId& id, Peer& peer, bool heartbeat);
+  bool IsUpToDate(const Message& request) const;
+  bool HasRecentLeader() const;
+
+  void HandleVoteRequest(const Message& message);
+  void HandleVoteResponse(const Message& message);
+  void HandleAppend(const Message& message);
+  void HandleAppendResponse(const Message& message);
+  void HandleSnapshotChunk(const Message& message);
+  void HandleSnapshotChunkResponse(const Message& message);
+  bool AcceptLeader(const Message& message);
+  void InstallSnapshot(Snapshot snapshot);
+
+  uint64_t AppendAsLeader(Entry::Kind kind, std::string data);  // returns the new entry's index
+  void SendToPeer(const VoterId& id, Peer& peer, bool heartbeat);
   void SendBatch(const VoterId& id, Peer& peer);
-  void SendPiece(const VoterId& id, Peer& peer);
+  void SendSnapshotChunk(const VoterId& id, Peer& peer);
   void SendHeartbeats();
-  void SendAll();
-  void Advance();  // the commit, as the leader
+  void SendToPeers();
+  void AdvanceCommit();
   void CommitThrough(uint64_t index);
-  void AnswerReads();
-  void RefuseReads(Refusal why);
-  void Join();
-  void HandOver();
-  bool HasMajority() const;
-  Proposed Refuse(Refusal why) const;
+  void CompleteReads();
+  void RefuseReads(Refusal reason);
+  void AddCaughtUpVoter();
+  void ContinueTransfer();
+  bool HasMajorityContact() const;
+  ProposeResult Refuse(Refusal reason) const;
 
   const Setup setup_;
   const Rules rules_;
-  uint64_t draws_;
+  uint64_t random_state_;
   Micros now_ = 0;
   bool began_ = false;
   bool may_vote_ = false;
@@ -354,114 +369,115 @@
   std::shared_ptr<const Snapshot> snapshot_;
   std::deque<Entry> log_;
   uint64_t log_first_ = 1;
-  std::deque<Configuration> configurations_;  // the first is committed in the snapshot
-  std::vector<Voter> voters_;                 // the last of them
+  std::deque<Configuration> configurations_;  // the first is the snapshot's, which is committed
+  std::vector<Voter> voters_;                 // of the last configuration
   uint64_t commit_ = 0;
-  uint64_t given_ = 0;  // to TakeApplied()
+  uint64_t applied_index_ = 0;  // last index handed out through TakeApplied()
 
   Role role_ = Role::kFollower;
   std::optional<VoterId> leader_;
-  Micros leader_heard_at_ = 0;
-  bool leader_heard_ = false;  // in this run
-  Micros election_at_ = 0;
-  Micros ask_again_at_ = 0;
-  std::set<VoterId> yes_;
-  uint64_t vote_write_ = 0;  // its own vote counts once this is durable
+  Micros leader_contact_at_ = 0;
+  bool leader_contacted_ = false;  // since Begin()
+  Micros election_deadline_ = 0;
+  Micros vote_retry_at_ = 0;
+  std::set<VoterId> votes_;  // granted to this voter, or pre-votes
+  uint64_t vote_write_ = 0;  // number of the write with its own vote, which counts once that is durable
   bool handed_over_ = false;
-  // A snapshot on its way in.
-  Snapshot incoming_;
-  // Council time: `council_` at `council_at_` of the own clock.
-  Micros council_ = 0;
-  Micros council_at_ = 0;
-
-  uint64_t written_ = 0;  // number of the last write that came out
-  uint64_t durable_ = 0;  // likewise that is done
+  // A snapshot that is being received.
+  Snapshot incoming_snapshot_;
+  // Log time: `log_time_` when the own clock was `log_time_set_at_`.
+  Micros log_time_ = 0;
+  Micros log_time_set_at_ = 0;
+
+  uint64_t last_write_ = 0;     // number of the last queued write
+  uint64_t durable_write_ = 0;  // number of the last durable write
   uint64_t durable_index_ = 0;
-  std::deque<std::pair<uint64_t, uint64_t>> marks_;  // write under way, and the log's last index with it
-  std::deque<Held> held_;
+  std::deque<std::pair<uint64_t, uint64_t>> pending_writes_;  // number, and the log's last index with it
+  std::deque<HeldMessage> held_messages_;
 
   std::map<VoterId, Peer> peers_;  // of a leader
-  uint64_t own_term_index_ = 0;
-  uint64_t round_ = 0;
+  uint64_t own_term_index_ = 0;    // first entry of this leader's term
+  uint64_t round_ = 0;             // counts the appends and snapshot chunks sent
   Micros heartbeat_at_ = 0;
-  std::deque<WaitingRead> reads_;
-  uint64_t read_round_ = 0;  // the last that was sent for reads
+  std::deque<WaitingRead> waiting_reads_;
+  uint64_t read_round_ = 0;  // last round sent for reads
   std::optional<Joining> joining_;
-  std::optional<Handing> handing_;
-  Micros follow_second_ = 0;
-  size_t followed_ = 0;
+  std::optional<LeadershipTransfer> transfer_;
+  Micros follow_window_start_ = 0;  // of the second in which follow_responses_ counts
+  size_t follow_responses_ = 0;
 
   std::vector<DiskWrite> writes_;
   std::vector<Outgoing> outgoing_;
   std::vector<Applied> applied_;
-  std::vector<ReadAnswer> answers_;
+  std::vector<ReadResult> read_results_;
   std::vector<Notice> notices_;
   std::map<std::string, uint64_t> dropped_;
 };
 
-// Whoever is no voter and follows: it asks voters in turn for what is committed, and checks that each answer
-// goes on where it stands. The cost to a voter is one small answer in a period for each follower, and the
-// voter's own bound (Rules::follow_answers).
+// Settings of a follower, which polls the voters in turn for committed entries and checks that each response
+// continues its own log. It costs a voter one small response per poll interval and follower, limited by the
+// voter's Rules::max_follow_responses.
 struct FollowerRules {
-  Micros period = 500 * kMs;  // between asks, with a draw of up to a half added
-  Micros patience = kSecond;  // for an answer, before another voter is asked
-  size_t largest_snapshot = 64 << 20;
+  Micros poll_interval = 500 * kMs;   // plus a random part of up to half of it
+  Micros response_timeout = kSecond;  // before another voter is asked
+  size_t max_snapshot_bytes = 64 << 20;
 };
 
+// A member without a vote that replicates the committed log.
 class Follower {
  public:
-  // `name` is a member's; `seeds` are addresses of voters known from the settings. Those of the log replace
-  // them once it is known.
+  // `name` is the member's; `seeds` are the addresses of voters in the settings. The voters named in the log
+  // replace them once they are known.
   Follower(FollowerRules rules, std::string name, std::vector<std::string> seeds, uint64_t seed);
 
   void Begin(Micros now);
-  void Heard(Micros now, const FollowAnswer& answer);
+  void OnResponse(Micros now, const FollowResponse& response);
   void Tick(Micros now);
-  void AskNow(Micros now);  // something is wanted at once; bounded by one ask under way
-  Micros next_at() const;
+  void PollNow(Micros now);  // does not wait for the poll interval; still only one request is in flight
+  Micros next_at() const;    // when Tick() is due
 
-  struct Ask {
+  struct Request {
     std::string address;
-    FollowAsk ask;
+    FollowRequest request;
   };
-  std::vector<Ask> TakeAsks();
+  std::vector<Request> TakeRequests();
   std::vector<Applied> TakeApplied();
 
-  uint64_t applied() const { return index_; }       // through this entry it knows all
-  uint64_t known_commit() const { return known_; }  // the highest that a voter told of
-  Micros heard_at() const { return heard_at_; }     // last answer from any voter; 0: never
+  uint64_t applied() const { return index_; }                    // the last entry that it has
+  uint64_t known_commit() const { return known_commit_; }        // the highest that a voter reported
+  Micros last_response_at() const { return last_response_at_; }  // from any voter; 0: never
   const std::vector<Voter>& voters() const { return voters_; }
-  const VoterId& leader() const { return leader_; }  // as the last answering voter knew; may be empty
-  uint64_t damaged() const { return damaged_; }      // answers that did not fit what it has
+  const VoterId& leader() const { return leader_; }  // as the last responding voter knew; may be empty
+  uint64_t rejected() const { return rejected_; }    // responses that did not continue its log
 
  private:
-  uint64_t Draw();
+  uint64_t NextRandom();
   void NextVoter(bool failed);
-  bool TakeEntries(const FollowAnswer& answer);
-  bool TakePiece(const FollowAnswer& answer);
+  bool AcceptEntries(const FollowResponse& response);
+  bool AcceptSnapshotChunk(const FollowResponse& response);
 
   const FollowerRules rules_;
   const std::string name_;
   const std::vector<std::string> seeds_;
   std::vector<std::string> addresses_;
-  uint64_t draws_;
-  uint64_t number_ = 0;
-  uint64_t asked_ = 0;  // the ask under way; 0: none
-  Micros asked_at_ = 0;
-  Micros ask_at_ = 0;
-  size_t turn_ = 0;
+  uint64_t random_state_;
+  uint64_t last_number_ = 0;  // of the last request
+  uint64_t in_flight_ = 0;    // number of the request in flight; 0: none
+  Micros requested_at_ = 0;
+  Micros next_request_at_ = 0;
+  size_t turn_ = 0;                // modulo the number of addresses: the voter to ask next
   uint64_t index_ = 0, term_ = 0;  // of the last entry that it has
-  uint64_t known_ = 0;
+  uint64_t known_commit_ = 0;
   std::vector<Voter> voters_;
   VoterId leader_;
-  Micros heard_at_ = 0;
-  uint64_t damaged_ = 0;
-  size_t failures_ = 0;  // in a row
-  size_t unknown_ = 0;   // voters in a row that don't know what it has
-  // A snapshot on its way in.
-  uint64_t piece_index_ = 0, piece_term_ = 0;
-  std::string pieces_;
-  std::vector<Ask> asks_;
+  Micros last_response_at_ = 0;
+  uint64_t rejected_ = 0;
+  size_t failures_ = 0;         // consecutive
+  size_t unknown_entries_ = 0;  // consecutive kUnknownEntry responses
+  // A snapshot that is being received.
+  uint64_t snapshot_index_ = 0, snapshot_term_ = 0;
+  std::string snapshot_data_;
+  std::vector<Request> requests_;
   std::vector<Applied> applied_;
 };
 
--- a/src/consensus/message.h
+++ b/src/consensus/message.h
@@ -1,5 +1,5 @@
-// What voters of the council say to one another, and to those that follow, as values. wire.h puts them into
-// bytes.
+// Messages between the voters of the replicated log, and between voters and followers, as plain structs.
+// wire.h encodes them.
 #ifndef BURLFALL_CONSENSUS_MESSAGE_H_
 #define BURLFALL_CONSENSUS_MESSAGE_H_
 
@@ -13,9 +13,10 @@
 
 namespace burlfall::consensus {
 
-// Who votes: a member by its name, and the disk that it promised on. `disk` is a number drawn when a voter's
-// folder was made new (never 0): one that comes back with an empty disk has another, and is not the voter of
-// before.
+// Identity of a voter: the member's name, and the disk that holds its vote and log. `disk` is a random
+// number, never 0, chosen when the voter's data folder is created. A member that returns with an empty disk
+// gets a new number and therefore is a different voter: the votes and acknowledgements of the lost disk don't
+// bind it.
 struct VoterId {
   std::string name;
   uint64_t disk = 0;
@@ -30,94 +31,103 @@
 
 struct Entry {
   enum class Kind : uint8_t {
-    kNothing,  // a leader's first: with it, all before is committed
-    kCommand,  // data: the state machine's
-    kVoters,   // data: WriteVoters(); in force from the moment it is in a log
+    kNoOp,     // a leader's first entry; committing it commits all entries before it
+    kCommand,  // `data` belongs to the state machine
+    kVoters,   // `data` is EncodeVoters(); takes effect as soon as the entry is in a log, committed or not
   };
-  uint64_t index = 0;  // from 1 on, without a gap
+  uint64_t index = 0;  // starts at 1, without gaps
   uint64_t term = 0;
-  Kind kind = Kind::kNothing;
-  Micros at = 0;  // council time: the leader's stamp, never below that of the entry before
+  Kind kind = Kind::kNoOp;
+  Micros at = 0;  // log time: assigned by the leader, never less than that of the entry before
   std::string data;
   bool operator==(const Entry&) const = default;
 };
 
 struct Snapshot {
-  uint64_t index = 0;  // the last entry in it
+  uint64_t index = 0;  // of the last entry that it includes
   uint64_t term = 0;
-  Micros at = 0;              // that entry's council time
-  std::vector<Voter> voters;  // in force at that entry
-  std::string data;           // the state machine's
+  Micros at = 0;              // that entry's log time
+  std::vector<Voter> voters;  // the configuration as of that entry
+  std::string data;           // the state machine's state
   bool operator==(const Snapshot&) const = default;
 };
 
-// Between voters. Fields that a kind doesn't name are 0 or empty.
+// A message between voters. Each kind lists the fields that it uses; the others are 0 or empty.
 struct Message {
   enum class Kind : uint8_t {
-    kPreVoteAsk,     // would you vote for me in `term`? index, log_term: the last entry; promises nothing
-    kPreVoteAnswer,  // yes; term: as asked on a yes, the answerer's own on a no
-    kVoteAsk,        // index, log_term; handed_over: the old leader wants it, although it is still heard
-    kVoteAnswer,     // yes
-    kAppend,         // index, log_term: the entry before the first of `entries`; commit, round, at
-    kAppendAnswer,   // yes, index: the log agrees through there; no: try after `index`; commit: its last.
-                     // round
-    kPiece,          // of a snapshot: index, log_term, at, voters, total, offset, data, round
-    kPieceAnswer,  // index: of the snapshot; offset: bytes that are there; yes: all of it, and durable. round
-    kTimeoutNow,   // stand for election at once: the leader hands over
-    kStop,         // the leader has had a yes to more than this voter\'s disk holds: it is an older one
+    // Asks whether the receiver would vote for the sender in `term`; changes no state at the receiver. index,
+    // log_term: of the sender's last entry.
+    kPreVoteRequest,
+    kPreVoteResponse,  // accepted. term: the requested one if accepted, otherwise the responder's own
+    // index, log_term: of the candidate's last entry. handed_over: the old leader asked for this election, so
+    // a voter grants its vote although it still hears that leader.
+    kVoteRequest,
+    kVoteResponse,  // accepted
+    // index, log_term: of the entry before the first of `entries`; commit, round, at. Without
+    // entries it is a heartbeat.
+    kAppend,
+    // accepted: the logs match through `index`. Not accepted: try again after `index`; commit: the
+    // responder's last index. Both: round.
+    kAppendResponse,
+    kSnapshotChunk,  // index, log_term, at, voters: of the snapshot; total, offset, data, round
+    // index: of the snapshot; offset: bytes received so far; accepted: all received and durable; round
+    kSnapshotChunkResponse,
+    kTimeoutNow,  // the leader hands over: the receiver starts an election at once
+    // The receiver's log lacks entries that it acknowledged to the leader: its disk is an older copy.
+    kStopVoting,
   };
   Kind kind = Kind::kAppend;
   VoterId from;
-  VoterId to;  // one with another disk passes it over
+  VoterId to;  // a voter with another disk number ignores the message
   uint64_t term = 0;
   uint64_t index = 0;
   uint64_t log_term = 0;
-  bool yes = false;
+  bool accepted = false;
   bool handed_over = false;
   uint64_t commit = 0;
-  uint64_t round = 0;  // of the leader's: an answer repeats it, which confirms reads
-  Micros at = 0;       // council time
+  uint64_t round = 0;  // the leader's counter of sent messages; a response repeats it, which confirms reads
+  Micros at = 0;       // log time
   std::vector<Entry> entries;
   std::vector<Voter> voters;
-  uint64_t total = 0;
-  uint64_t offset = 0;
+  uint64_t total = 0;   // bytes of the whole snapshot
+  uint64_t offset = 0;  // bytes
   std::string data;
   bool operator==(const Message&) const = default;
 };
 
-// From one that follows from outside: what is committed after `index`?
-struct FollowAsk {
-  std::string name;     // the member's
-  uint64_t number = 0;  // the answer repeats it
-  uint64_t index = 0;   // the last entry that it has, 0: none
+// A follower's request for the committed entries after `index`.
+struct FollowRequest {
+  std::string name;     // of the member that follows
+  uint64_t number = 0;  // the response repeats it
+  uint64_t index = 0;   // of the last entry that the follower has; 0: none
   uint64_t term = 0;    // of that entry
-  // A snapshot on its way: which one, and how much of it is there.
-  uint64_t piece_index = 0;
+  // The snapshot that is being received, and the number of bytes received so far.
+  uint64_t snapshot_index = 0;
   uint64_t offset = 0;
-  bool operator==(const FollowAsk&) const = default;
+  bool operator==(const FollowRequest&) const = default;
 };
 
-struct FollowAnswer {
+struct FollowResponse {
   enum class Kind : uint8_t {
-    kEntries,  // those after (index, term), which may be none
-    kPiece,    // of the snapshot (index, term)
-    kLater,    // too many ask: again in a while, or somebody else
-    kUnknown,  // the entry that was named is not in this voter's log, or not committed as far as it knows
+    kEntries,        // the entries after (index, term); may be empty
+    kSnapshotChunk,  // of the snapshot (index, term)
+    kRetryLater,     // rate limited: ask again later, or ask another voter
+    kUnknownEntry,   // the named entry is not in this voter's log, or not committed as far as it knows
   };
   uint64_t number = 0;
   Kind kind = Kind::kEntries;
   VoterId from;
-  VoterId leader;  // as the answerer knows; may be empty
+  VoterId leader;  // as far as the responder knows; may be empty
   uint64_t commit = 0;
   uint64_t index = 0;
   uint64_t term = 0;
-  std::vector<Entry> entries;  // committed, without a gap
-  std::vector<Voter> voters;   // in force, as far as committed
-  Micros at = 0;               // of a piece
-  uint64_t total = 0;
-  uint64_t offset = 0;
+  std::vector<Entry> entries;  // committed, without gaps
+  std::vector<Voter> voters;   // the latest committed configuration
+  Micros at = 0;               // of a snapshot: its log time
+  uint64_t total = 0;          // bytes of the whole snapshot
+  uint64_t offset = 0;         // bytes
   std::string data;
-  bool operator==(const FollowAnswer&) const = default;
+  bool operator==(const FollowResponse&) const = default;
 };
 
 }  // namespace burlfall::consensus
--- a/src/consensus/wire.h
+++ b/src/consensus/wire.h
@@ -1,6 +1,7 @@
-// The council's messages as bytes. A frame is "bfl", the version of the format, a checksum of the body (XXH3,
-// 64 bits, the low byte first), and the body: one MessagePack array, which begins with the site's name and
-// what it is. A later writer of the same version may add values at an array's end; they are passed over.
+// Encoding of the replicated log's messages. A frame is "bfl", the format version (one byte), a checksum of
+// the body (XXH3, 64 bits, little-endian) and the body: one MessagePack array, which begins with the site's
+// name and the type of the message. A newer writer of the same version may add values at the end of an array;
+// readers ignore them.
 #ifndef BURLFALL_CONSENSUS_WIRE_H_
 #define BURLFALL_CONSENSUS_WIRE_H_
 
@@ -16,30 +17,31 @@
 namespace burlfall::consensus {
 
 constexpr unsigned char kWireVersion = 1;
-// Bounds on what is taken from anybody.
-constexpr size_t kLongestName = 64;        // bytes, of a member or site
-constexpr size_t kLongestAddress = 64;     // as text
-constexpr size_t kMostEntries = 4096;      // in one message
-constexpr size_t kMostVotersRead = 16;     // in one list
-constexpr size_t kLargestFrame = 2 << 20;  // bytes, on a connection
+// Limits on what is accepted from a peer.
+constexpr size_t kMaxNameBytes = 64;        // of a member's or site's name
+constexpr size_t kMaxAddressBytes = 64;     // as text
+constexpr size_t kMaxEntries = 4096;        // in one message
+constexpr size_t kMaxVotersDecoded = 16;    // in one list
+constexpr size_t kMaxFrameBytes = 2 << 20;  // on a connection
 
-using AnyMessage = std::variant<Message, FollowAsk, FollowAnswer>;
-std::string Write(const AnyMessage& message, std::string_view site);
+using AnyMessage = std::variant<Message, FollowRequest, FollowResponse>;
+std::string Encode(const AnyMessage& message, std::string_view site);
 
-struct ReadMessage {
+struct DecodeResult {
   std::optional<AnyMessage> message;
-  // Where there is none: "not ours", "too large", "another version", "damaged", "another site", "malformed".
-  const char* why = "";
+  // Set if there is no message: "not ours", "too large", "another version", "damaged", "another
+  // site" or "malformed".
+  const char* error = "";
 };
-ReadMessage Read(std::string_view frame, std::string_view site);
+DecodeResult Decode(std::string_view frame, std::string_view site);
 
-// The data of an entry of kind kVoters. Read: nothing where it is malformed.
-std::string WriteVoters(const std::vector<Voter>& voters);
-std::optional<std::vector<Voter>> ReadVoters(std::string_view bytes);
+// The data of an entry of kind kVoters. Decoding returns nullopt for malformed bytes.
+std::string EncodeVoters(const std::vector<Voter>& voters);
+std::optional<std::vector<Voter>> DecodeVoters(std::string_view bytes);
 
-// One entry, for a carrier's files; without a checksum.
-std::string WriteEntry(const Entry& entry);
-std::optional<Entry> ReadEntry(std::string_view bytes);
+// One entry without a checksum, for the host's log files. Decoding returns nullopt for malformed bytes.
+std::string EncodeEntry(const Entry& entry);
+std::optional<Entry> DecodeEntry(std::string_view bytes);
 
 }  // namespace burlfall::consensus
 
--- a/src/council/council.cpp
+++ b/src/council/council.cpp
@@ -36,10 +36,10 @@
 
 consensus::Rules RulesOf(const CouncilSettings& settings) {
   consensus::Rules rules;
-  rules.heartbeat = settings.heartbeat_ms * kMs;
-  rules.election_least = settings.election_ms.low * kMs;
-  rules.election_most = settings.election_ms.high * kMs;
-  rules.resend = 2 * rules.heartbeat;
+  rules.heartbeat_interval = settings.heartbeat_ms * kMs;
+  rules.election_min = settings.election_ms.low * kMs;
+  rules.election_max = settings.election_ms.high * kMs;
+  rules.resend_timeout = 2 * rules.heartbeat_interval;
   rules.keep_entries = static_cast<size_t>(settings.most_log) / 4;
   return rules;
 }
@@ -229,11 +229,11 @@
   BeginCore(std::move(opened.held), fit);
 }
 
-void Council::BeginCore(consensus::Stored held, bool may_vote) {
+void Council::BeginCore(consensus::PersistentState held, bool may_vote) {
   core_.emplace(consensus::Setup{.self = {setup_.name, store_->disk()},
                                  .rules = RulesOf(settings_),
                                  .seed = machine_.Entropy(),
-                                 .wall = machine_.WallClock()});
+                                 .initial_log_time = machine_.WallClock()});
   saved_ = held.snapshot.index;
   core_->Begin(machine_.Now(), std::move(held), may_vote);
   Settle();
@@ -272,13 +272,13 @@
         began_ = true;
         begun_.Notify();
       } else if (core_) {
-        core_->Wrote(machine_.Now(), number, true);
+        core_->OnWritten(machine_.Now(), number, true);
       }
     }
     if (const std::string why = disk_->Why(); !why.empty() && fault_.empty()) {
       fault_ = "failed, " + why;
       log_.Tell<"council_disk">("failed", why);
-      if (core_ && !writing_.empty()) core_->Wrote(machine_.Now(), writing_.front(), false);
+      if (core_ && !writing_.empty()) core_->OnWritten(machine_.Now(), writing_.front(), false);
       begun_.Notify();
     }
     Settle();
@@ -325,22 +325,22 @@
     if (!read.word) return Dropped(read.why, who);
     HeardWord(from, std::move(*read.word));
   } else {
-    consensus::ReadMessage read = consensus::Read(frame, settings_.site);
-    if (!read.message) return Dropped(read.why, who);
+    consensus::DecodeResult read = consensus::Decode(frame, settings_.site);
+    if (!read.message) return Dropped(read.error, who);
     const Micros now = machine_.Now();
     if (auto* message = std::get_if<consensus::Message>(&*read.message)) {
       if (!core_ || from.stale) return;
       Promised(*message);
-      core_->Heard(now, *message);
-    } else if (auto* ask = std::get_if<consensus::FollowAsk>(&*read.message)) {
+      core_->OnMessage(now, *message);
+    } else if (auto* ask = std::get_if<consensus::FollowRequest>(&*read.message)) {
       if (core_) {
         // Owners send to voters themselves.
         from.follows =
             std::ranges::none_of(settings_.voters, [&](const auto& v) { return v.name == from.name; });
-        links_->Answer(from.number, consensus::Write(core_->Answer(now, *ask), settings_.site));
+        links_->Answer(from.number, consensus::Encode(core_->HandleFollowRequest(now, *ask), settings_.site));
       }
-    } else if (auto* answer = std::get_if<consensus::FollowAnswer>(&*read.message)) {
-      follower_->Heard(now, *answer);
+    } else if (auto* answer = std::get_if<consensus::FollowResponse>(&*read.message)) {
+      follower_->OnResponse(now, *answer);
     }
   }
   Settle();
@@ -405,13 +405,14 @@
 // An answer rests on the disk of whoever gave it.
 void Council::Promised(const consensus::Message& message) {
   using Kind = consensus::Message::Kind;
-  if (!message.yes || (message.kind != Kind::kAppendAnswer && message.kind != Kind::kVoteAnswer)) return;
+  if (!message.accepted || (message.kind != Kind::kAppendResponse && message.kind != Kind::kVoteResponse))
+    return;
   const auto it = known_.find(message.from.name);
   if (it == known_.end() || it->second.disk != message.from.disk || message.term < it->second.term) return;
   Known& known = it->second;
   if (message.term > known.term) known.agreed = 0;
   known.term = message.term;
-  if (message.kind == Kind::kAppendAnswer) known.agreed = std::max(known.agreed, message.index);
+  if (message.kind == Kind::kAppendResponse) known.agreed = std::max(known.agreed, message.index);
 }
 
 // More voters have come back with other disks than the log can bear.
@@ -442,10 +443,10 @@
         const bool repeats =
             out.message.kind == consensus::Message::Kind::kAppend && out.message.entries.empty();
         const std::string& address = out.address.empty() ? AddressOf(out.message.to.name) : out.address;
-        if (!address.empty()) links_->Send(address, consensus::Write(out.message, settings_.site), repeats);
+        if (!address.empty()) links_->Send(address, consensus::Encode(out.message, settings_.site), repeats);
       }
       for (const consensus::Applied& applied : core_->TakeApplied()) Take(applied);
-      for (const consensus::ReadAnswer& read : core_->TakeReads()) {
+      for (const consensus::ReadResult& read : core_->TakeReads()) {
         const auto it = reads_.find(read.token);
         if (it == reads_.end()) continue;
         Word back{.kind = Word::Kind::kReadBack, .number = it->second.number, .index = read.index};
@@ -461,8 +462,8 @@
       SnapshotIfDue();
     }
     if (follower_) {
-      for (const consensus::Follower::Ask& ask : follower_->TakeAsks())
-        links_->Send(ask.address, consensus::Write(ask.ask, settings_.site), true);
+      for (const consensus::Follower::Request& ask : follower_->TakeRequests())
+        links_->Send(ask.address, consensus::Encode(ask.request, settings_.site), true);
       for (const consensus::Applied& applied : follower_->TakeApplied()) Take(applied);
     }
   }
@@ -539,12 +540,12 @@
 }
 
 void Council::Tell(const consensus::Notice& notice) {
-  using What = consensus::Notice::What;
-  Note(std::string(consensus::NameOf(notice.what)) + " term " + std::to_string(notice.term) + " " +
+  using Kind = consensus::Notice::Kind;
+  Note(std::string(consensus::NameOf(notice.kind)) + " term " + std::to_string(notice.term) + " " +
        notice.who.name + " " + notice.text);
   const std::string none;
-  switch (notice.what) {
-    case What::kLeads: {
+  switch (notice.kind) {
+    case Kind::kBecameLeader: {
       std::vector<owner::Lease> standing;
       for (const auto& [name, work] : state_.owner().works()) {
         if (work.owner) standing.push_back({name, work.epoch, work.renewed, work.lease});
@@ -558,41 +559,41 @@
       ++counters_.council_led;
       break;
     }
-    case What::kSteppedDown:
+    case Kind::kSteppedDown:
       lapse_.TakeOffice(machine_.Now(), {});
       freeze_lapse_.TakeOffice(machine_.Now(), {});
       joining_.clear();
       log_.Tell<"council_stepped_down">(notice.term, notice.text);
       break;
-    case What::kFollows:
+    case Kind::kFollowsLeader:
       log_.Tell<"council_follows">(notice.who.name, notice.term);
       break;
-    case What::kNoLeader:
+    case Kind::kNoLeader:
       log_.Tell<"council_no_leader">(notice.term);
       break;
-    case What::kVoters: {
+    case Kind::kVotersChanged: {
       std::string names;
       for (const consensus::Voter& voter : core_->voters())
         names += (names.empty() ? "" : ", ") + voter.id.name;
       log_.Tell<"council_voters">(names, notice.index);
       break;
     }
-    case What::kDropped:
+    case Kind::kMessageDropped:
       Dropped(notice.text.c_str(), notice.who.name);
       break;
-    case What::kJoinFailed:
+    case Kind::kJoinFailed:
       log_.Tell<"council_join_failed">(notice.who.name, notice.text);
       break;
-    case What::kOlderDisk:  // its own log says so too
+    case Kind::kOlderDisk:  // its own log says so too
       Dropped("what rests on an older disk", notice.who.name);
       break;
-    case What::kDiskLost:  // told where it was found; but others may have found it
+    case Kind::kDiskLost:  // told where it was found; but others may have found it
       if (!fault_.empty()) break;
       fault_ = "older, " + notice.text;
       log_.Tell<"council_disk">("older", notice.text);
       break;
-    case What::kJoined:
-    case What::kTransferFailed:
+    case Kind::kJoined:
+    case Kind::kTransferFailed:
       break;
   }
 }
@@ -618,10 +619,10 @@
     core_->Propose(now, council::Envelope(command));
   }
   if (now < led_on_at_ + kLeadOnEvery) return;
-  for (const freeze::Command& end : state_.freeze().EndsDue(core_->council_now(now)))
+  for (const freeze::Command& end : state_.freeze().EndsDue(core_->log_time(now)))
     core_->Propose(now, council::Envelope(end));
   led_on_at_ = now;
-  if (core_->council_now(now) >= state_.ejection().next_at()) {
+  if (core_->log_time(now) >= state_.ejection().next_at()) {
     ejection::Command command;
     command.what = ejection::Command::What::kRunOut;
     core_->Propose(now, council::Envelope(command));
@@ -739,7 +740,7 @@
   }
   if (word.kind == Word::Kind::kPropose) {
     ++counters_.council_proposals;
-    const consensus::Proposed proposed = core_->Propose(now, word.data);
+    const consensus::ProposeResult proposed = core_->Propose(now, word.data);
     if (proposed.refusal == consensus::Refusal::kNone) {
       if (word.number != 0) waiting_[proposed.index].push_back({proposed.term, link, word.number});
       return;
@@ -849,7 +850,7 @@
     ~Listed() { all.erase(place); }
   } listed{on_applied_, on_applied_.insert(on_applied_.end(), &applied)};
   while (applied_ < index && machine_.Now() < until && !shut_) {
-    if (!VotedIn()) follower_->AskNow(machine_.Now());
+    if (!VotedIn()) follower_->PollNow(machine_.Now());
     Settle();
     stir_.Notify();
     if (applied_ < index) co_await applied.Wait(std::min(until, machine_.Now() + kTurnPause));
@@ -1262,7 +1263,7 @@
   }
   left_ = true;
   if (!Leads()) return;
-  const std::map<consensus::VoterId, Micros> heard = core_->heard_at();
+  const std::map<consensus::VoterId, Micros> heard = core_->last_contacts();
   const auto last = std::ranges::max_element(heard, {}, [](const auto& one) { return one.second; });
   if (last != heard.end()) core_->Transfer(machine_.Now(), last->first);
   left_ = false;  // until it has gone over
@@ -1296,7 +1297,7 @@
     return missing;
   }
   const Micros since = machine_.Now() - settings_.election_ms.high * kMs;
-  for (const auto& [id, at] : core_->heard_at()) {
+  for (const auto& [id, at] : core_->last_contacts()) {
     if (at < since) missing.push_back(id.name);
   }
   return missing;
@@ -1324,7 +1325,7 @@
     view.commit = core_->commit();
     view.first = core_->first_index();
     view.last = core_->last_index();
-    heard = core_->heard_at();
+    heard = core_->last_contacts();
     leader = core_->leader().value_or(consensus::VoterId());
   } else {
     view.commit = follower_->known_commit();
@@ -1390,7 +1391,8 @@
   for (const CouncilVoter& voter : settings_.voters) {
     if (voter.name == setup_.name) own = voter.address;
   }
-  const consensus::Stored held = consensus::FirstVoter({{setup_.name, store_->disk()}, own}, floor);
+  const consensus::PersistentState held =
+      consensus::BootstrapState({{setup_.name, store_->disk()}, own}, floor);
   core_.reset();
   began_ = false;
   writing_.push_back(0);
--- a/src/council/council.h
+++ b/src/council/council.h
@@ -121,7 +121,7 @@
   // The ways in.
   Task<> Open();
   void OpenDisk();
-  void BeginCore(consensus::Stored held, bool may_vote);
+  void BeginCore(consensus::PersistentState held, bool may_vote);
   Task<> Beat();
   Task<> HearDisk();
   Task<> HearEpochDisk();
--- a/src/council/links.cpp
+++ b/src/council/links.cpp
@@ -184,7 +184,7 @@
     size_t length = 0;
     for (size_t byte = 0; byte < kHeadBytes; ++byte)
       length = length << 8 | static_cast<unsigned char>(link.in[at + byte]);
-    if (length == 0 || length > consensus::kLargestFrame) return false;
+    if (length == 0 || length > consensus::kMaxFrameBytes) return false;
     if (link.in.size() - at < kHeadBytes + length) break;
     ++counts_.frames_in;
     hears_.frame(link, std::string_view(link.in).substr(at + kHeadBytes, length));
--- a/src/council/store.cpp
+++ b/src/council/store.cpp
@@ -31,7 +31,7 @@
 
 // The length has a check of its own: a flipped bit in it is told from a record that the file ends within.
 std::string Record(const consensus::Entry& entry) {
-  const std::string body = consensus::WriteEntry(entry);
+  const std::string body = consensus::EncodeEntry(entry);
   std::string out;
   PutLength(out, body.size());
   PutLength(out, CheckOf(body.size()));
@@ -139,7 +139,7 @@
         held.index = from.Number();
         held.term = from.Number();
         held.at = static_cast<Micros>(from.Number());
-        const auto voters = consensus::ReadVoters(from.Bytes(kLargestEntry));
+        const auto voters = consensus::DecodeVoters(from.Bytes(kLargestEntry));
         if (!voters) throw Slip{};
         held.voters = *voters;
         held.data = from.Bytes(kLargestFile);
@@ -176,7 +176,7 @@
         break;
       return fail("a record's checksum is wrong");
     }
-    std::optional<consensus::Entry> entry = consensus::ReadEntry(body);
+    std::optional<consensus::Entry> entry = consensus::DecodeEntry(body);
     if (!entry || (last != 0 && entry->index != last + 1)) return fail("a record is out of its order");
     last = entry->index;
     if (records_.empty()) first_ = entry->index;
@@ -202,7 +202,7 @@
   }
 }
 
-DurableWrite Store::Promise(const consensus::DiskWrite::Promise& promise) const {
+DurableWrite Store::Promise(const consensus::DiskWrite::TermVote& promise) const {
   const consensus::VoterId vote = promise.vote.value_or(consensus::VoterId());
   const std::string body =
       Packed(4).Add(promise.term).Add(promise.vote ? 1 : 0).Add(vote.name).Add(vote.disk).Take();
@@ -214,7 +214,7 @@
                                .Add(snapshot.index)
                                .Add(snapshot.term)
                                .Add(static_cast<uint64_t>(snapshot.at))
-                               .Add(consensus::WriteVoters(snapshot.voters))
+                               .Add(consensus::EncodeVoters(snapshot.voters))
                                .Add(snapshot.data)
                                .Take();
   return {Path(".snapshot"), {}, Headed(kSnapshot, body)};
@@ -229,7 +229,7 @@
   return write;
 }
 
-std::vector<DurableWrite> Store::Whole(const consensus::Stored& held) {
+std::vector<DurableWrite> Store::Whole(const consensus::PersistentState& held) {
   records_.clear();
   first_ = held.log.empty() ? 0 : held.log.front().index;
   for (const consensus::Entry& entry : held.log) records_.push_back(Record(entry));
@@ -238,11 +238,11 @@
 
 std::vector<DurableWrite> Store::Next(const consensus::DiskWrite& write) {
   std::vector<DurableWrite> out;
-  if (write.promise) out.push_back(Promise(*write.promise));
+  if (write.term_vote) out.push_back(Promise(*write.term_vote));
   if (write.snapshot) out.push_back(SnapshotFile(*write.snapshot));
   // A new voter's first write: all its files are there from then on.
   const bool first = !log_there_;
-  if (first && !write.promise) out.push_back(Promise({}));
+  if (first && !write.term_vote) out.push_back(Promise({}));
   if (first && !write.snapshot) out.push_back(SnapshotFile({}));
   bool anew = first || std::exchange(rewrite_log_, false);
   if (write.snapshot && write.keep_from > first_ && !records_.empty()) {
@@ -253,12 +253,12 @@
   }
   std::string more;
   uint64_t at = log_bytes_;
-  if (write.from != 0) {
-    while (!records_.empty() && first_ + records_.size() > write.from) {
+  if (write.replace_from != 0) {
+    while (!records_.empty() && first_ + records_.size() > write.replace_from) {
       at -= records_.back().size();
       records_.pop_back();
     }
-    if (records_.empty()) first_ = write.entries.empty() ? write.from : write.entries.front().index;
+    if (records_.empty()) first_ = write.entries.empty() ? write.replace_from : write.entries.front().index;
     for (const consensus::Entry& entry : write.entries) {
       records_.push_back(Record(entry));
       more += records_.back();
@@ -266,7 +266,7 @@
   }
   if (anew) {
     out.push_back(LogFile());
-  } else if (write.from != 0) {
+  } else if (write.replace_from != 0) {
     log_bytes_ = at + more.size();
     out.push_back({Path(".log"), at, std::move(more)});
   }
--- a/src/council/store.h
+++ b/src/council/store.h
@@ -37,17 +37,17 @@
 
   struct Opened {
     StoreFault fault = StoreFault::kNone;
-    std::string why;         // the file, and what is wrong with it
-    bool empty = false;      // a new folder: a new disk's number was taken, Begin() writes it down
-    size_t cut = 0;          // bytes of a record that was never flushed
-    consensus::Stored held;  // as far as there is no fault
+    std::string why;                  // the file, and what is wrong with it
+    bool empty = false;               // a new folder: a new disk's number was taken, Begin() writes it down
+    size_t cut = 0;                   // bytes of a record that was never flushed
+    consensus::PersistentState held;  // as far as there is no fault
   };
   // `draw`: what a new disk goes by; 0 counts as 1.
   Opened Open(Files& files, const std::string& folder, uint64_t draw);
   uint64_t disk() const { return disk_; }
 
   // All of it, as a log that begins: over whatever was there.
-  std::vector<DurableWrite> Whole(const consensus::Stored& held);
+  std::vector<DurableWrite> Whole(const consensus::PersistentState& held);
   // The next of the core's writes, in their order.
   std::vector<DurableWrite> Next(const consensus::DiskWrite& write);
   size_t log_bytes() const { return log_bytes_; }
@@ -56,7 +56,7 @@
   std::string Headed(char kind, std::string_view body) const;
   std::optional<std::string> Body(char kind, const std::string& path, const std::string& text,
                                   Opened& opened);
-  DurableWrite Promise(const consensus::DiskWrite::Promise& promise) const;
+  DurableWrite Promise(const consensus::DiskWrite::TermVote& promise) const;
   DurableWrite SnapshotFile(const consensus::Snapshot& snapshot) const;
   DurableWrite LogFile();
   void ReadLog(const std::string& text, Opened& opened);
--- a/src/lab/council_world/council_judge.cpp
+++ b/src/lab/council_world/council_judge.cpp
@@ -80,7 +80,7 @@
   }
   agreed_.push_back({entry.term, NextState(before, entry), entry.at});
   if (entry.kind != consensus::Entry::Kind::kVoters) return;
-  const auto voters = consensus::ReadVoters(entry.data);
+  const auto voters = consensus::DecodeVoters(entry.data);
   if (!voters) return Broken("voters that can't be read at entry " + Number(entry.index));
   const auto among = [](const auto& all) {
     return [&all](const auto& one) { return std::find(all.begin(), all.end(), one) != all.end(); };
--- a/src/lab/council_world/council_world.cpp
+++ b/src/lab/council_world/council_world.cpp
@@ -31,9 +31,9 @@
 consensus::Rules Small(consensus::Rules rules) {
   rules.batch_entries = std::min<size_t>(rules.batch_entries, 8);
   rules.keep_entries = 16;
-  rules.piece_bytes = 100;
-  rules.most_uncommitted = 64;
-  rules.join_patience = 5 * kSecond;
+  rules.chunk_bytes = 100;
+  rules.max_uncommitted = 64;
+  rules.join_timeout = 5 * kSecond;
   return rules;
 }
 
@@ -58,7 +58,7 @@
     machines_.push_back(std::move(machine));
   }
   // One begins, and the operator brings in the others.
-  machines_[0].stored = consensus::FirstVoter(VoterOf(0));
+  machines_[0].stored = consensus::BootstrapState(VoterOf(0));
   for (size_t i = 0; i < machines_.size(); ++i) Start(i);
   std::vector<std::string> seeds;
   for (const Machine& machine : machines_) seeds.push_back(machine.name);
@@ -168,20 +168,20 @@
 
 // A write on disk; `torn`: only what a crash leaves of it.
 void CouncilWorld::Save(Machine& machine, const consensus::DiskWrite& write, Crash* torn) {
-  consensus::Stored& stored = machine.stored;
+  consensus::PersistentState& stored = machine.stored;
   const bool part = torn != nullptr;
-  if (write.promise && !part) {
-    stored.term = write.promise->term;
-    stored.vote = write.promise->vote;
+  if (write.term_vote && !part) {
+    stored.term = write.term_vote->term;
+    stored.vote = write.term_vote->vote;
   }
   if (write.snapshot) {
     // It is put in place before the log is cut by it.
     stored.snapshot = *write.snapshot;
     if (part) return;
   }
-  if (write.from != 0) {
+  if (write.replace_from != 0) {
     if (part && write.entries.empty()) return;
-    std::erase_if(stored.log, [&](const Entry& entry) { return entry.index >= write.from; });
+    std::erase_if(stored.log, [&](const Entry& entry) { return entry.index >= write.replace_from; });
     const size_t count = part ? draws_.Below(write.entries.size()) : write.entries.size();
     for (size_t i = 0; i < count; ++i) stored.log.push_back(write.entries[i]);
   }
@@ -254,24 +254,26 @@
   Core& core = *machine.core;
   std::vector<consensus::Notice> notices = core.TakeNotices();
   for (const consensus::Notice& notice : notices) {
-    if (notice.what == consensus::Notice::What::kLeads) {
+    if (notice.kind == consensus::Notice::Kind::kBecameLeader) {
       std::vector<Entry> log;
       for (uint64_t i = core.first_index(); i <= core.last_index(); ++i) log.push_back(*core.entry(i));
       judge_.TookOffice(machine.run, notice.term, log);
-    } else if (notice.what == consensus::Notice::What::kOlderDisk) {
+    } else if (notice.kind == consensus::Notice::Kind::kOlderDisk) {
       judge_.Broken(machine.run + " takes a disk for an older one");  // none is, in these courses
-    } else if (notice.what == consensus::Notice::What::kDropped && notice.text == "two leaders in a term") {
+    } else if (notice.kind == consensus::Notice::Kind::kMessageDropped &&
+               notice.text == "two leaders in a term") {
       judge_.Broken(notice.text + " heard by " + machine.run);
     }
   }
   for (consensus::DiskWrite& write : core.TakeWrites()) {
     uint64_t before = 0;
     if (!write.entries.empty()) {
-      const Entry* entry = core.entry(write.from - 1);
+      const Entry* entry = core.entry(write.replace_from - 1);
       before = entry ? entry->term : 0;
       // Cut again within one event, or kept no more: nothing to compare.
-      const Entry* first = core.entry(write.from);
-      const bool there = first && first->term == write.entries.front().term && (entry || write.from == 1);
+      const Entry* first = core.entry(write.replace_from);
+      const bool there =
+          first && first->term == write.entries.front().term && (entry || write.replace_from == 1);
       if (there) judge_.InLog(machine.run, before, write.entries.front());
       for (size_t i = 1; i < write.entries.size(); ++i) {
         judge_.InLog(machine.run, write.entries[i - 1].term, write.entries[i]);
@@ -282,7 +284,7 @@
   Flush(who);
   for (const consensus::Outgoing& outgoing : core.TakeMessages()) Deliver(static_cast<int>(who), outgoing);
   for (const consensus::Applied& applied : core.TakeApplied()) Apply(who, applied);
-  for (const consensus::ReadAnswer& answer : core.TakeReads()) {
+  for (const consensus::ReadResult& answer : core.TakeReads()) {
     if (answer.refusal == consensus::Refusal::kNone) {
       if (machine.index < answer.index && answer.index > 1) judge_.Broken("a read before its entries");
       judge_.ReadAnswered(answer.token, machine.index);
@@ -342,7 +344,7 @@
   machine.disk_failed = machine.disk_failed || (failed && settings_.rules.stops_on_failed_write);
   if (machine.disk_failed) machine.pending.clear();
   const auto tell = [this, who, number, failed] {
-    machines_[who].core->Wrote(Local(machines_[who]), number, !failed);
+    machines_[who].core->OnWritten(Local(machines_[who]), number, !failed);
     Settle(who);
   };
   Flush(who);
@@ -355,7 +357,7 @@
   const int to = Find(outgoing.message.to.name);
   if (to < 0) return;
   if (settings_.through_wire) {
-    const auto read = consensus::Read(consensus::Write(outgoing.message, "s"), "s");
+    const auto read = consensus::Decode(consensus::Encode(outgoing.message, "s"), "s");
     const auto* same = read.message ? std::get_if<Message>(&*read.message) : nullptr;
     if (!same || !(*same == outgoing.message)) judge_.Broken("a message is another one after the wire");
   }
@@ -378,7 +380,7 @@
     machine.waiting.push_back([this, who, message] { Arrive(who, message); });
     return;
   }
-  machine.core->Heard(Local(machine), message);
+  machine.core->OnMessage(Local(machine), message);
   Settle(who);
 }
 
@@ -416,19 +418,20 @@
 
 void CouncilWorld::Watch(size_t which) {
   Watcher& watcher = watchers_[which];
-  for (const consensus::Follower::Ask& ask : watcher.follower->TakeAsks()) {
+  for (const consensus::Follower::Request& ask : watcher.follower->TakeRequests()) {
     const int to = Find(ask.address);
     if (to < 0 || draws_.Percent(settings_.loss_percent)) continue;
-    At(now_ + draws_.Span(settings_.delay_least, settings_.delay_most), [this, which, to, asked = ask.ask] {
-      Machine& machine = machines_[static_cast<size_t>(to)];
-      if (!machine.core || machine.paused) return;
-      const consensus::FollowAnswer answer = machine.core->Answer(Local(machine), asked);
-      if (draws_.Percent(settings_.loss_percent)) return;
-      At(now_ + draws_.Span(settings_.delay_least, settings_.delay_most), [this, which, answer] {
-        watchers_[which].follower->Heard(now_, answer);
-        Watch(which);
-      });
-    });
+    At(now_ + draws_.Span(settings_.delay_least, settings_.delay_most),
+       [this, which, to, asked = ask.request] {
+         Machine& machine = machines_[static_cast<size_t>(to)];
+         if (!machine.core || machine.paused) return;
+         const consensus::FollowResponse answer = machine.core->HandleFollowRequest(Local(machine), asked);
+         if (draws_.Percent(settings_.loss_percent)) return;
+         At(now_ + draws_.Span(settings_.delay_least, settings_.delay_most), [this, which, answer] {
+           watchers_[which].follower->OnResponse(now_, answer);
+           Watch(which);
+         });
+       });
   }
   for (const consensus::Applied& applied : watcher.follower->TakeApplied()) {
     if (applied.snapshot) {
--- a/src/lab/council_world/council_world.h
+++ b/src/lab/council_world/council_world.h
@@ -113,7 +113,7 @@
   struct Machine {
     std::string name;
     uint64_t disk = 0;
-    consensus::Stored stored;
+    consensus::PersistentState stored;
     std::deque<Pending> pending;
     size_t flushing = 0;  // so many of the first go with the flush under way
     bool slow_disk = false;
--- a/src/lab/council_world/every_state.cpp
+++ b/src/lab/council_world/every_state.cpp
@@ -24,7 +24,7 @@
 struct State {
   // Shared by the states in which this voter stands the same; copied before it is told anything.
   std::array<std::shared_ptr<const Core>, kVoters> cores;
-  std::array<consensus::Stored, kVoters> disks;
+  std::array<consensus::PersistentState, kVoters> disks;
   std::array<std::deque<consensus::DiskWrite>, kVoters> pending;
   std::vector<std::pair<std::string, Message>> messages;  // on their way, sorted by their bytes
   int elections = 0, proposals = 0, crashes = 0;
@@ -38,7 +38,7 @@
   Walk(const EveryStateBounds& bounds, consensus::Rules rules) : bounds_(bounds), rules_(rules) {
     rules_.pre_vote = false;
     rules_.check_quorum = false;
-    rules_.resend = kLong;
+    rules_.resend_timeout = kLong;
   }
 
   EveryStateResult Run() {
@@ -77,11 +77,11 @@
   // Takes what the core wants, and looks at it.
   void Settle(State& state, size_t who, Core core) {
     for (const consensus::Notice& notice : core.TakeNotices()) {
-      if (notice.what == consensus::Notice::What::kLeads) TookOffice(state, who, core);
+      if (notice.kind == consensus::Notice::Kind::kBecameLeader) TookOffice(state, who, core);
     }
     for (consensus::DiskWrite& write : core.TakeWrites()) state.pending[who].push_back(std::move(write));
     for (consensus::Outgoing& outgoing : core.TakeMessages()) {
-      std::pair<std::string, Message> one{consensus::Write(outgoing.message, ""),
+      std::pair<std::string, Message> one{consensus::Encode(outgoing.message, ""),
                                           std::move(outgoing.message)};
       const auto less = [](const auto& a, const auto& b) { return a.first < b.first; };
       state.messages.insert(std::upper_bound(state.messages.begin(), state.messages.end(), one, less),
@@ -123,10 +123,10 @@
       const Core& core = *state.cores[to];
       const uint64_t sure = state.disks[to].term;
       const bool leads = core.role() == Role::kLeader;
-      if (message.kind == Message::Kind::kVoteAnswer) {
-        return message.term < sure || (message.term == sure && (!message.yes || leads));
+      if (message.kind == Message::Kind::kVoteResponse) {
+        return message.term < sure || (message.term == sure && (!message.accepted || leads));
       }
-      if (message.kind != Message::Kind::kAppendAnswer) return false;
+      if (message.kind != Message::Kind::kAppendResponse) return false;
       return message.term < sure || (message.term == sure && !leads && core.term() >= sure);
     });
   }
@@ -147,15 +147,15 @@
       add("pending" + std::to_string(state.pending[i].size()));
       std::string disk = std::to_string(state.disks[i].term);
       if (state.disks[i].vote) disk.append(state.disks[i].vote->name);
-      for (const consensus::Entry& entry : state.disks[i].log) disk.append(consensus::WriteEntry(entry));
+      for (const consensus::Entry& entry : state.disks[i].log) disk.append(consensus::EncodeEntry(entry));
       add(disk);
       for (const consensus::DiskWrite& write : state.pending[i]) {
-        std::string bytes = std::to_string(write.from);
-        if (write.promise) {
-          bytes.append("p").append(std::to_string(write.promise->term));
-          if (write.promise->vote) bytes.append(write.promise->vote->name);
+        std::string bytes = std::to_string(write.replace_from);
+        if (write.term_vote) {
+          bytes.append("p").append(std::to_string(write.term_vote->term));
+          if (write.term_vote->vote) bytes.append(write.term_vote->vote->name);
         }
-        for (const consensus::Entry& entry : write.entries) bytes.append(consensus::WriteEntry(entry));
+        for (const consensus::Entry& entry : write.entries) bytes.append(consensus::EncodeEntry(entry));
         add(bytes);
       }
     }
@@ -184,7 +184,7 @@
         const Message message = next.messages[i].second;
         next.messages.erase(next.messages.begin() + static_cast<std::ptrdiff_t>(i));
         const auto who = static_cast<size_t>(message.to.name[0] - 'a');
-        return std::pair{who, [message](Core& core) { core.Heard(0, message); }};
+        return std::pair{who, [message](Core& core) { core.OnMessage(0, message); }};
       });
     }
     for (size_t who = 0; who < kVoters; ++who) {
@@ -193,16 +193,17 @@
         Step(state, [who](State& next) {
           const consensus::DiskWrite write = next.pending[who].front();
           next.pending[who].pop_front();
-          consensus::Stored& disk = next.disks[who];
-          if (write.promise) {
-            disk.term = write.promise->term;
-            disk.vote = write.promise->vote;
+          consensus::PersistentState& disk = next.disks[who];
+          if (write.term_vote) {
+            disk.term = write.term_vote->term;
+            disk.vote = write.term_vote->vote;
           }
-          if (write.from != 0) {
-            std::erase_if(disk.log, [&](const consensus::Entry& entry) { return entry.index >= write.from; });
+          if (write.replace_from != 0) {
+            std::erase_if(disk.log,
+                          [&](const consensus::Entry& entry) { return entry.index >= write.replace_from; });
             disk.log.insert(disk.log.end(), write.entries.begin(), write.entries.end());
           }
-          return std::pair{who, [number = write.number](Core& core) { core.Wrote(0, number, true); }};
+          return std::pair{who, [number = write.number](Core& core) { core.OnWritten(0, number, true); }};
         });
       }
       if (now.role() != Role::kLeader && state.elections < bounds_.elections) {
--- a/tests/consensus/core_test.cpp
+++ b/tests/consensus/core_test.cpp
@@ -22,15 +22,15 @@
 
 const Voter kA = Named("a", 1), kB = Named("b", 2), kC = Named("c", 3);
 
-Stored Three() {
-  Stored stored;
+PersistentState Three() {
+  PersistentState stored;
   stored.term = 1;
   stored.snapshot.voters = {kA, kB, kC};
   return stored;
 }
 
 void Flush(Core& core, Micros now) {
-  for (const DiskWrite& write : core.TakeWrites()) core.Wrote(now, write.number, true);
+  for (const DiskWrite& write : core.TakeWrites()) core.OnWritten(now, write.number, true);
 }
 
 Message From(const Voter& voter, Message::Kind kind, uint64_t term) {
@@ -48,20 +48,20 @@
     core.Begin(0, Three(), true);
     now = core.next_at();
     core.Tick(now);
-    Message yes = From(kB, Message::Kind::kPreVoteAnswer, 2);
-    yes.yes = true;
-    core.Heard(now, yes);
+    Message yes = From(kB, Message::Kind::kPreVoteResponse, 2);
+    yes.accepted = true;
+    core.OnMessage(now, yes);
     Flush(core, now);
-    yes.kind = Message::Kind::kVoteAnswer;
-    core.Heard(now, yes);
+    yes.kind = Message::Kind::kVoteResponse;
+    core.OnMessage(now, yes);
     Flush(core, now);
   }
   void Answer(const Voter& from, uint64_t index, uint64_t round) {
-    Message yes = From(from, Message::Kind::kAppendAnswer, core.term());
-    yes.yes = true;
+    Message yes = From(from, Message::Kind::kAppendResponse, core.term());
+    yes.accepted = true;
     yes.index = index;
     yes.round = round;
-    core.Heard(now, yes);
+    core.OnMessage(now, yes);
   }
   uint64_t LastRound() {
     uint64_t round = 0;
@@ -75,19 +75,19 @@
 TEST(Core, AVoteLeavesAfterItsFlush) {
   Core core({kA.id, {}, 1, 0});
   core.Begin(0, Three(), true);
-  core.Heard(1, From(kB, Message::Kind::kVoteAsk, 5));
+  core.OnMessage(1, From(kB, Message::Kind::kVoteRequest, 5));
   EXPECT_TRUE(core.TakeMessages().empty());
   const auto writes = core.TakeWrites();
   ASSERT_FALSE(writes.empty());
-  EXPECT_EQ(writes.back().promise->vote, kB.id);
-  core.Wrote(2, writes.back().number, true);
+  EXPECT_EQ(writes.back().term_vote->vote, kB.id);
+  core.OnWritten(2, writes.back().number, true);
   const auto messages = core.TakeMessages();
   ASSERT_EQ(messages.size(), 1u);
-  EXPECT_TRUE(messages[0].message.yes);
+  EXPECT_TRUE(messages[0].message.accepted);
   // Nobody else gets one in this term.
-  core.Heard(3, From(kC, Message::Kind::kVoteAsk, 5));
+  core.OnMessage(3, From(kC, Message::Kind::kVoteRequest, 5));
   Flush(core, 3);
-  EXPECT_FALSE(core.TakeMessages().at(0).message.yes);
+  EXPECT_FALSE(core.TakeMessages().at(0).message.accepted);
 }
 
 TEST(Core, AFailedWriteEndsItsVoice) {
@@ -95,13 +95,13 @@
   ASSERT_EQ(led.core.role(), Role::kLeader);
   led.core.TakeNotices();
   led.core.Propose(led.now, "x");
-  led.core.Wrote(led.now, led.core.TakeWrites().back().number, false);
+  led.core.OnWritten(led.now, led.core.TakeWrites().back().number, false);
   EXPECT_EQ(led.core.role(), Role::kFollower);
   EXPECT_FALSE(led.core.may_vote());
-  EXPECT_EQ(led.core.TakeNotices().back().what, Notice::What::kDiskLost);
+  EXPECT_EQ(led.core.TakeNotices().back().kind, Notice::Kind::kDiskLost);
   EXPECT_EQ(led.core.Propose(led.now, "y").refusal, Refusal::kDiskLost);
   led.core.TakeMessages();
-  led.core.Heard(led.now, From(kB, Message::Kind::kVoteAsk, 9));
+  led.core.OnMessage(led.now, From(kB, Message::Kind::kVoteRequest, 9));
   led.core.Tick(led.now + 10 * kSecond);
   EXPECT_TRUE(led.core.TakeMessages().empty());
   EXPECT_TRUE(led.core.TakeWrites().empty());
@@ -116,9 +116,9 @@
   led.Answer(wiped, index, 1);
   EXPECT_EQ(led.core.commit(), 0u);
   EXPECT_EQ(led.core.dropped().at("not a voter"), 1u);
-  Message other = From(kB, Message::Kind::kVoteAsk, 9);
+  Message other = From(kB, Message::Kind::kVoteRequest, 9);
   other.to.disk = 99;
-  led.core.Heard(led.now, other);
+  led.core.OnMessage(led.now, other);
   EXPECT_EQ(led.core.term(), 2u);
   EXPECT_EQ(led.core.dropped().at("for another disk"), 1u);
   led.Answer(kB, index, 1);
@@ -131,14 +131,14 @@
   Flush(led.core, led.now);
   led.Answer(kC, index, led.LastRound());
   led.core.Tick(led.core.next_at());
-  Message no = From(kC, Message::Kind::kAppendAnswer, 2);
+  Message no = From(kC, Message::Kind::kAppendResponse, 2);
   no.round = led.LastRound();
   no.commit = index - 1;  // its log ends before what it had
-  led.core.Heard(led.now, no);
-  EXPECT_EQ(led.core.TakeNotices().back().what, Notice::What::kOlderDisk);
+  led.core.OnMessage(led.now, no);
+  EXPECT_EQ(led.core.TakeNotices().back().kind, Notice::Kind::kOlderDisk);
   const auto messages = led.core.TakeMessages();
   ASSERT_EQ(messages.size(), 1u);
-  ASSERT_EQ(messages[0].message.kind, Message::Kind::kStop);
+  ASSERT_EQ(messages[0].message.kind, Message::Kind::kStopVoting);
   // What it says from now on counts for nothing.
   const uint64_t next = led.core.Propose(led.now, "y").index;
   Flush(led.core, led.now);
@@ -146,7 +146,7 @@
   EXPECT_LT(led.core.commit(), next);
   Core older({kC.id, {}, 1, 0});
   older.Begin(0, Three(), true);
-  older.Heard(1, messages[0].message);
+  older.OnMessage(1, messages[0].message);
   EXPECT_FALSE(older.may_vote());
 }
 
@@ -167,17 +167,17 @@
 
 TEST(Core, ProposalsAndMessagesAreBounded) {
   Led led;
-  EXPECT_EQ(led.core.Propose(led.now, std::string(Rules{}.largest_entry + 1, 'x')).refusal,
+  EXPECT_EQ(led.core.Propose(led.now, std::string(Rules{}.max_entry_bytes + 1, 'x')).refusal,
             Refusal::kTooLarge);
   size_t taken = 0;
   while (led.core.Propose(led.now, std::string(1000, 'x')).refusal == Refusal::kNone) ++taken;
-  EXPECT_LE(taken, Rules{}.most_uncommitted);
+  EXPECT_LE(taken, Rules{}.max_uncommitted);
   EXPECT_EQ(led.core.Propose(led.now, "x").refusal, Refusal::kBusy);
   led.core.TakeMessages();
   led.Answer(kB, 1, 1);
   for (const Outgoing& one : led.core.TakeMessages()) {
     EXPECT_LE(one.message.entries.size(), Rules{}.batch_entries);
-    EXPECT_LE(Write(one.message, "s").size(), kLargestFrame);
+    EXPECT_LE(Encode(one.message, "s").size(), kMaxFrameBytes);
   }
   led.Answer(kB, 100'000, 1);
   EXPECT_EQ(led.core.dropped().at("beyond the log"), 1u);
@@ -199,15 +199,15 @@
 }
 
 TEST(Core, WhatADiskHoldsIsNotGuessed) {
-  Stored gap = Three();
-  gap.log = {{1, 1, Entry::Kind::kNothing, 0, ""}, {3, 1, Entry::Kind::kNothing, 0, ""}};
+  PersistentState gap = Three();
+  gap.log = {{1, 1, Entry::Kind::kNoOp, 0, ""}, {3, 1, Entry::Kind::kNoOp, 0, ""}};
   Core core({kA.id, {}, 1, 0});
   core.Begin(0, gap, true);
   EXPECT_FALSE(core.may_vote());
   // The snapshot stands, and the log was not cut by it yet.
-  Stored cut = Three();
+  PersistentState cut = Three();
   cut.snapshot = {9, 1, 5, {kA, kB, kC}, "state"};
-  cut.log = {{1, 1, Entry::Kind::kNothing, 0, ""}};
+  cut.log = {{1, 1, Entry::Kind::kNoOp, 0, ""}};
   Core other({kA.id, {}, 1, 0});
   other.Begin(0, cut, true);
   EXPECT_TRUE(other.may_vote());
@@ -217,7 +217,7 @@
 
 TEST(Core, AFloorIsAboveAllEarlierEntries) {
   Core core({kA.id, {}, 1, 0});
-  core.Begin(0, FirstVoter(kA, 5000), true);
+  core.Begin(0, BootstrapState(kA, 5000), true);
   core.Tick(0);
   Flush(core, 0);
   Flush(core, 0);
@@ -229,29 +229,33 @@
   Led led;
   led.Answer(kB, 1, 1);
   size_t later = 0;
-  for (size_t i = 0; i < Rules{}.follow_answers + 10; ++i) {
-    later += led.core.Answer(led.now, {"f", i + 1, 0, 0, 0, 0}).kind == FollowAnswer::Kind::kLater ? 1 : 0;
+  for (size_t i = 0; i < Rules{}.max_follow_responses + 10; ++i) {
+    later += led.core.HandleFollowRequest(led.now, {"f", i + 1, 0, 0, 0, 0}).kind ==
+                     FollowResponse::Kind::kRetryLater
+                 ? 1
+                 : 0;
   }
   EXPECT_EQ(later, 10u);
-  EXPECT_EQ(led.core.Answer(led.now + kSecond, {"f", 9999, 1, 7, 0, 0}).kind, FollowAnswer::Kind::kEntries);
-  EXPECT_EQ(led.core.Answer(led.now + kSecond, {"f", 9999, 0, 0, 0, 0}).entries.size(), 1u);
+  EXPECT_EQ(led.core.HandleFollowRequest(led.now + kSecond, {"f", 9999, 1, 7, 0, 0}).kind,
+            FollowResponse::Kind::kEntries);
+  EXPECT_EQ(led.core.HandleFollowRequest(led.now + kSecond, {"f", 9999, 0, 0, 0, 0}).entries.size(), 1u);
 }
 
 TEST(Follower, TakesNothingThatDoesNotFit) {
   Follower follower({}, "f", {"a:1"}, 1);
   follower.Begin(0);
   follower.Tick(0);
-  FollowAnswer answer;
-  answer.number = follower.TakeAsks().at(0).ask.number;
+  FollowResponse answer;
+  answer.number = follower.TakeRequests().at(0).request.number;
   answer.commit = 2;
-  answer.entries = {{2, 1, Entry::Kind::kNothing, 0, ""}};
-  follower.Heard(1, answer);
+  answer.entries = {{2, 1, Entry::Kind::kNoOp, 0, ""}};
+  follower.OnResponse(1, answer);
   EXPECT_EQ(follower.applied(), 0u);
-  EXPECT_EQ(follower.damaged(), 1u);
+  EXPECT_EQ(follower.rejected(), 1u);
   follower.Tick(2 * kSecond);
-  answer.number = follower.TakeAsks().at(0).ask.number;
-  answer.entries = {{1, 1, Entry::Kind::kNothing, 0, ""}, {2, 1, Entry::Kind::kNothing, 0, ""}};
-  follower.Heard(2 * kSecond, answer);
+  answer.number = follower.TakeRequests().at(0).request.number;
+  answer.entries = {{1, 1, Entry::Kind::kNoOp, 0, ""}, {2, 1, Entry::Kind::kNoOp, 0, ""}};
+  follower.OnResponse(2 * kSecond, answer);
   EXPECT_EQ(follower.applied(), 2u);
   EXPECT_EQ(follower.TakeApplied().size(), 2u);
 }
--- a/tests/consensus/judge_test.cpp
+++ b/tests/consensus/judge_test.cpp
@@ -20,7 +20,7 @@
     voter.id.name = voter.address = name;
     voters.push_back(voter);
   }
-  return {index, 1, Entry::Kind::kVoters, 0, consensus::WriteVoters(voters)};
+  return {index, 1, Entry::Kind::kVoters, 0, consensus::EncodeVoters(voters)};
 }
 
 TEST(CouncilJudge, TakesAGoodHistory) {
@@ -124,12 +124,12 @@
       {"vote before flush", &consensus::Rules::votes_wait_for_flush, 100},
       {"append yes before flush", &consensus::Rules::appends_wait_for_flush, 100},
       {"leader counts itself before its flush", &consensus::Rules::counts_itself_after_flush, 100},
-      {"read without a round", &consensus::Rules::reads_confirm, 50},
+      {"read without a round", &consensus::Rules::reads_confirm_leadership, 50},
       {"read before an entry of the own term", &consensus::Rules::reads_wait_for_own_term, 10},
       {"two changes of voters at once", &consensus::Rules::one_change_at_a_time, 20},
       {"vote for an older log", &consensus::Rules::votes_for_newer_log_only, 10},
       {"two votes in a term", &consensus::Rules::votes_once, 20},
-      {"append without a look at the entry before", &consensus::Rules::checks_previous, 20},
+      {"append without a look at the entry before", &consensus::Rules::checks_previous_entry, 20},
       {"on after a failed flush", &consensus::Rules::stops_on_failed_write, 10},
   };
   for (const Planted& one : all) {
--- a/tests/council/store_test.cpp
+++ b/tests/council/store_test.cpp
@@ -16,7 +16,7 @@
 
 consensus::DiskWrite From(uint64_t index, std::vector<Entry> entries) {
   consensus::DiskWrite write;
-  write.from = index;
+  write.replace_from = index;
   write.entries = std::move(entries);
   return write;
 }
@@ -33,9 +33,9 @@
     Store store("/d/v", "v1");
     ASSERT_TRUE(Open(store).empty);
     consensus::DiskWrite promise;
-    promise.promise.emplace();
-    promise.promise->term = 3;
-    promise.promise->vote = consensus::VoterId{"v2", 9};
+    promise.term_vote.emplace();
+    promise.term_vote->term = 3;
+    promise.term_vote->vote = consensus::VoterId{"v2", 9};
     Do(store.Next(promise));
     std::vector<Entry> log;
     for (uint64_t i = 1; i <= 5; ++i) log.push_back(EntryAt(i, 2, "data " + std::to_string(i)));
