--- a/tests/consensus/core_test.cpp
+++ b/tests/consensus/core_test.cpp
@@ -1,4 +1,4 @@
-// One core at a time, and small councils in which each fault has its place.
+// Tests of a single voter and a single follower, and of small simulated clusters with scripted faults.
 #include "consensus/core.h"
 
 #include <gtest/gtest.h>
@@ -13,27 +13,27 @@
 using lab::CouncilWorld;
 using lab::Crash;
 
-Voter Named(const std::string& name, uint64_t disk) {
+Voter MakeVoter(const std::string& name, uint64_t disk) {
   Voter voter;
   voter.id.name = voter.address = name;
   voter.id.disk = disk;
   return voter;
 }
 
-const Voter kA = Named("a", 1), kB = Named("b", 2), kC = Named("c", 3);
+const Voter kA = MakeVoter("a", 1), kB = MakeVoter("b", 2), kC = MakeVoter("c", 3);
 
-PersistentState Three() {
+PersistentState ThreeVoters() {
   PersistentState stored;
   stored.term = 1;
   stored.snapshot.voters = {kA, kB, kC};
   return stored;
 }
 
-void Flush(Core& core, Micros now) {
+void FlushWrites(Core& core, Micros now) {
   for (const DiskWrite& write : core.TakeWrites()) core.OnWritten(now, write.number, true);
 }
 
-Message From(const Voter& voter, Message::Kind kind, uint64_t term) {
+Message MessageFrom(const Voter& voter, Message::Kind kind, uint64_t term) {
   Message message;
   message.kind = kind;
   message.from = voter.id;
@@ -42,40 +42,40 @@
   return message;
 }
 
-// `a` as the leader of term 2 among three, with its own writes done.
-struct Led {
-  Led() : core({kA.id, {}, 1, 0}) {
-    core.Begin(0, Three(), true);
+// Voter `a` as the leader of term 2 among three voters, with its own writes flushed.
+struct LeaderOfThree {
+  LeaderOfThree() : core({kA.id, {}, 1, 0}) {
+    core.Begin(0, ThreeVoters(), true);
     now = core.next_at();
     core.Tick(now);
-    Message yes = From(kB, Message::Kind::kPreVoteResponse, 2);
-    yes.accepted = true;
-    core.OnMessage(now, yes);
-    Flush(core, now);
-    yes.kind = Message::Kind::kVoteResponse;
-    core.OnMessage(now, yes);
-    Flush(core, now);
+    Message response = MessageFrom(kB, Message::Kind::kPreVoteResponse, 2);
+    response.accepted = true;
+    core.OnMessage(now, response);
+    FlushWrites(core, now);
+    response.kind = Message::Kind::kVoteResponse;
+    core.OnMessage(now, response);
+    FlushWrites(core, now);
   }
-  void Answer(const Voter& from, uint64_t index, uint64_t round) {
-    Message yes = From(from, Message::Kind::kAppendResponse, core.term());
-    yes.accepted = true;
-    yes.index = index;
-    yes.round = round;
-    core.OnMessage(now, yes);
+  void Acknowledge(const Voter& from, uint64_t index, uint64_t round) {
+    Message response = MessageFrom(from, Message::Kind::kAppendResponse, core.term());
+    response.accepted = true;
+    response.index = index;
+    response.round = round;
+    core.OnMessage(now, response);
   }
   uint64_t LastRound() {
     uint64_t round = 0;
-    for (const Outgoing& one : core.TakeMessages()) round = std::max(round, one.message.round);
+    for (const Outgoing& outgoing : core.TakeMessages()) round = std::max(round, outgoing.message.round);
     return round;
   }
   Core core;
   Micros now = 0;
 };
 
-TEST(Core, AVoteLeavesAfterItsFlush) {
+TEST(Core, VoteIsSentOnlyAfterItsFlush) {
   Core core({kA.id, {}, 1, 0});
-  core.Begin(0, Three(), true);
-  core.OnMessage(1, From(kB, Message::Kind::kVoteRequest, 5));
+  core.Begin(0, ThreeVoters(), true);
+  core.OnMessage(1, MessageFrom(kB, Message::Kind::kVoteRequest, 5));
   EXPECT_TRUE(core.TakeMessages().empty());
   const auto writes = core.TakeWrites();
   ASSERT_FALSE(writes.empty());
@@ -84,185 +84,189 @@
   const auto messages = core.TakeMessages();
   ASSERT_EQ(messages.size(), 1u);
   EXPECT_TRUE(messages[0].message.accepted);
-  // Nobody else gets one in this term.
-  core.OnMessage(3, From(kC, Message::Kind::kVoteRequest, 5));
-  Flush(core, 3);
+  // No other candidate gets a vote in this term.
+  core.OnMessage(3, MessageFrom(kC, Message::Kind::kVoteRequest, 5));
+  FlushWrites(core, 3);
   EXPECT_FALSE(core.TakeMessages().at(0).message.accepted);
 }
 
-TEST(Core, AFailedWriteEndsItsVoice) {
-  Led led;
-  ASSERT_EQ(led.core.role(), Role::kLeader);
-  led.core.TakeNotices();
-  led.core.Propose(led.now, "x");
-  led.core.OnWritten(led.now, led.core.TakeWrites().back().number, false);
-  EXPECT_EQ(led.core.role(), Role::kFollower);
-  EXPECT_FALSE(led.core.may_vote());
-  EXPECT_EQ(led.core.TakeNotices().back().kind, Notice::Kind::kDiskLost);
-  EXPECT_EQ(led.core.Propose(led.now, "y").refusal, Refusal::kDiskLost);
-  led.core.TakeMessages();
-  led.core.OnMessage(led.now, From(kB, Message::Kind::kVoteRequest, 9));
-  led.core.Tick(led.now + 10 * kSecond);
-  EXPECT_TRUE(led.core.TakeMessages().empty());
-  EXPECT_TRUE(led.core.TakeWrites().empty());
-  EXPECT_EQ(led.core.next_at(), kNever);
+TEST(Core, FailedWriteStopsVotingAndLeading) {
+  LeaderOfThree leader;
+  ASSERT_EQ(leader.core.role(), Role::kLeader);
+  leader.core.TakeNotices();
+  leader.core.Propose(leader.now, "x");
+  leader.core.OnWritten(leader.now, leader.core.TakeWrites().back().number, false);
+  EXPECT_EQ(leader.core.role(), Role::kFollower);
+  EXPECT_FALSE(leader.core.may_vote());
+  EXPECT_EQ(leader.core.TakeNotices().back().kind, Notice::Kind::kDiskLost);
+  EXPECT_EQ(leader.core.Propose(leader.now, "y").refusal, Refusal::kDiskLost);
+  leader.core.TakeMessages();
+  leader.core.OnMessage(leader.now, MessageFrom(kB, Message::Kind::kVoteRequest, 9));
+  leader.core.Tick(leader.now + 10 * kSecond);
+  EXPECT_TRUE(leader.core.TakeMessages().empty());
+  EXPECT_TRUE(leader.core.TakeWrites().empty());
+  EXPECT_EQ(leader.core.next_at(), kNever);
 }
 
-TEST(Core, AnotherDiskIsAnotherVoter) {
-  Led led;
-  const uint64_t index = led.core.Propose(led.now, "x").index;
-  Flush(led.core, led.now);
-  const Voter wiped = Named("b", 77);
-  led.Answer(wiped, index, 1);
-  EXPECT_EQ(led.core.commit(), 0u);
-  EXPECT_EQ(led.core.dropped().at("not a voter"), 1u);
-  Message other = From(kB, Message::Kind::kVoteRequest, 9);
-  other.to.disk = 99;
-  led.core.OnMessage(led.now, other);
-  EXPECT_EQ(led.core.term(), 2u);
-  EXPECT_EQ(led.core.dropped().at("for another disk"), 1u);
-  led.Answer(kB, index, 1);
-  EXPECT_EQ(led.core.commit(), index);
+TEST(Core, MemberWithAnotherDiskIsAnotherVoter) {
+  LeaderOfThree leader;
+  const uint64_t index = leader.core.Propose(leader.now, "x").index;
+  FlushWrites(leader.core, leader.now);
+  const Voter wiped = MakeVoter("b", 77);
+  leader.Acknowledge(wiped, index, 1);
+  EXPECT_EQ(leader.core.commit(), 0u);
+  EXPECT_EQ(leader.core.dropped().at("not a voter"), 1u);
+  Message misdirected = MessageFrom(kB, Message::Kind::kVoteRequest, 9);
+  misdirected.to.disk = 99;
+  leader.core.OnMessage(leader.now, misdirected);
+  EXPECT_EQ(leader.core.term(), 2u);
+  EXPECT_EQ(leader.core.dropped().at("for another disk"), 1u);
+  leader.Acknowledge(kB, index, 1);
+  EXPECT_EQ(leader.core.commit(), index);
 }
 
-TEST(Core, AnOlderDiskIsTold) {
-  Led led;
-  const uint64_t index = led.core.Propose(led.now, "x").index;
-  Flush(led.core, led.now);
-  led.Answer(kC, index, led.LastRound());
-  led.core.Tick(led.core.next_at());
-  Message no = From(kC, Message::Kind::kAppendResponse, 2);
-  no.round = led.LastRound();
-  no.commit = index - 1;  // its log ends before what it had
-  led.core.OnMessage(led.now, no);
-  EXPECT_EQ(led.core.TakeNotices().back().kind, Notice::Kind::kOlderDisk);
-  const auto messages = led.core.TakeMessages();
+TEST(Core, VoterWithAnOlderDiskIsStopped) {
+  LeaderOfThree leader;
+  const uint64_t index = leader.core.Propose(leader.now, "x").index;
+  FlushWrites(leader.core, leader.now);
+  leader.Acknowledge(kC, index, leader.LastRound());
+  leader.core.Tick(leader.core.next_at());
+  Message rejection = MessageFrom(kC, Message::Kind::kAppendResponse, 2);
+  rejection.round = leader.LastRound();
+  rejection.commit = index - 1;  // its log ends before the entry that it acknowledged
+  leader.core.OnMessage(leader.now, rejection);
+  EXPECT_EQ(leader.core.TakeNotices().back().kind, Notice::Kind::kOlderDisk);
+  const auto messages = leader.core.TakeMessages();
   ASSERT_EQ(messages.size(), 1u);
   ASSERT_EQ(messages[0].message.kind, Message::Kind::kStopVoting);
-  // What it says from now on counts for nothing.
-  const uint64_t next = led.core.Propose(led.now, "y").index;
-  Flush(led.core, led.now);
-  led.Answer(kC, next, led.LastRound());
-  EXPECT_LT(led.core.commit(), next);
+  // Its later acknowledgements are not counted.
+  const uint64_t next = leader.core.Propose(leader.now, "y").index;
+  FlushWrites(leader.core, leader.now);
+  leader.Acknowledge(kC, next, leader.LastRound());
+  EXPECT_LT(leader.core.commit(), next);
   Core older({kC.id, {}, 1, 0});
-  older.Begin(0, Three(), true);
+  older.Begin(0, ThreeVoters(), true);
   older.OnMessage(1, messages[0].message);
   EXPECT_FALSE(older.may_vote());
 }
 
 TEST(Core, AReadWaitsForARoundThatBeganAfterIt) {
-  Led led;
-  led.Answer(kB, 1, led.LastRound());
-  ASSERT_EQ(led.core.commit(), 1u);
-  const uint64_t before = led.LastRound();
-  led.core.Read(led.now, 7);
-  led.Answer(kB, 1, before);
-  EXPECT_TRUE(led.core.TakeReads().empty());
-  led.Answer(kB, 1, led.LastRound());
-  const auto reads = led.core.TakeReads();
+  LeaderOfThree leader;
+  leader.Acknowledge(kB, 1, leader.LastRound());
+  ASSERT_EQ(leader.core.commit(), 1u);
+  const uint64_t before = leader.LastRound();
+  leader.core.Read(leader.now, 7);
+  leader.Acknowledge(kB, 1, before);
+  EXPECT_TRUE(leader.core.TakeReads().empty());
+  leader.Acknowledge(kB, 1, leader.LastRound());
+  const auto reads = leader.core.TakeReads();
   ASSERT_EQ(reads.size(), 1u);
   EXPECT_EQ(reads[0].token, 7u);
   EXPECT_EQ(reads[0].index, 1u);
 }
 
 TEST(Core, ProposalsAndMessagesAreBounded) {
-  Led led;
-  EXPECT_EQ(led.core.Propose(led.now, std::string(Rules{}.max_entry_bytes + 1, 'x')).refusal,
+  LeaderOfThree leader;
+  EXPECT_EQ(leader.core.Propose(leader.now, std::string(Rules{}.max_entry_bytes + 1, 'x')).refusal,
             Refusal::kTooLarge);
   size_t taken = 0;
-  while (led.core.Propose(led.now, std::string(1000, 'x')).refusal == Refusal::kNone) ++taken;
+  while (leader.core.Propose(leader.now, std::string(1000, 'x')).refusal == Refusal::kNone) ++taken;
   EXPECT_LE(taken, Rules{}.max_uncommitted);
-  EXPECT_EQ(led.core.Propose(led.now, "x").refusal, Refusal::kBusy);
-  led.core.TakeMessages();
-  led.Answer(kB, 1, 1);
-  for (const Outgoing& one : led.core.TakeMessages()) {
-    EXPECT_LE(one.message.entries.size(), Rules{}.batch_entries);
-    EXPECT_LE(Encode(one.message, "s").size(), kMaxFrameBytes);
+  EXPECT_EQ(leader.core.Propose(leader.now, "x").refusal, Refusal::kBusy);
+  leader.core.TakeMessages();
+  leader.Acknowledge(kB, 1, 1);
+  for (const Outgoing& outgoing : leader.core.TakeMessages()) {
+    EXPECT_LE(outgoing.message.entries.size(), Rules{}.batch_entries);
+    EXPECT_LE(Encode(outgoing.message, "s").size(), kMaxFrameBytes);
   }
-  led.Answer(kB, 100'000, 1);
-  EXPECT_EQ(led.core.dropped().at("beyond the log"), 1u);
+  leader.Acknowledge(kB, 100'000, 1);
+  EXPECT_EQ(leader.core.dropped().at("beyond the log"), 1u);
 }
 
-TEST(Core, ChangesAreRefusedByName) {
-  Led led;
-  EXPECT_EQ(led.core.ChangeVoter(led.now, Core::Change::kRemove, kB).refusal, Refusal::kTermTooYoung);
-  led.Answer(kB, 1, 1);
-  const Voter unknown = Named("d", 4), again = Named("b", 9);
-  EXPECT_EQ(led.core.ChangeVoter(led.now, Core::Change::kRemove, unknown).refusal, Refusal::kUnknownVoter);
-  EXPECT_EQ(led.core.ChangeVoter(led.now, Core::Change::kAdd, again).refusal, Refusal::kAlreadyVoter);
-  EXPECT_EQ(led.core.ChangeVoter(led.now, Core::Change::kRemove, kC).refusal, Refusal::kNone);
-  EXPECT_EQ(led.core.ChangeVoter(led.now, Core::Change::kAdd, unknown).refusal, Refusal::kChangeUnderWay);
-  EXPECT_EQ(led.core.Transfer(led.now, kC.id), Refusal::kUnknownVoter);
+TEST(Core, InvalidVoterChangesAreRefusedWithAReason) {
+  LeaderOfThree leader;
+  EXPECT_EQ(leader.core.ChangeVoter(leader.now, Core::Change::kRemove, kB).refusal, Refusal::kTermTooYoung);
+  leader.Acknowledge(kB, 1, 1);
+  const Voter unknown = MakeVoter("d", 4), same_name = MakeVoter("b", 9);
+  EXPECT_EQ(leader.core.ChangeVoter(leader.now, Core::Change::kRemove, unknown).refusal,
+            Refusal::kUnknownVoter);
+  EXPECT_EQ(leader.core.ChangeVoter(leader.now, Core::Change::kAdd, same_name).refusal,
+            Refusal::kAlreadyVoter);
+  EXPECT_EQ(leader.core.ChangeVoter(leader.now, Core::Change::kRemove, kC).refusal, Refusal::kNone);
+  EXPECT_EQ(leader.core.ChangeVoter(leader.now, Core::Change::kAdd, unknown).refusal,
+            Refusal::kChangeUnderWay);
+  EXPECT_EQ(leader.core.Transfer(leader.now, kC.id), Refusal::kUnknownVoter);
   Core other({kB.id, {}, 1, 0});
-  other.Begin(0, Three(), true);
+  other.Begin(0, ThreeVoters(), true);
   EXPECT_EQ(other.Propose(0, "x").refusal, Refusal::kNotLeader);
 }
 
-TEST(Core, WhatADiskHoldsIsNotGuessed) {
-  PersistentState gap = Three();
+TEST(Core, LogWithAGapOrBeforeTheSnapshotIsNotUsed) {
+  PersistentState gap = ThreeVoters();
   gap.log = {{1, 1, Entry::Kind::kNoOp, 0, ""}, {3, 1, Entry::Kind::kNoOp, 0, ""}};
   Core core({kA.id, {}, 1, 0});
   core.Begin(0, gap, true);
   EXPECT_FALSE(core.may_vote());
-  // The snapshot stands, and the log was not cut by it yet.
-  PersistentState cut = Three();
-  cut.snapshot = {9, 1, 5, {kA, kB, kC}, "state"};
-  cut.log = {{1, 1, Entry::Kind::kNoOp, 0, ""}};
+  // The snapshot was written, but the log was not yet truncated.
+  PersistentState before_snapshot = ThreeVoters();
+  before_snapshot.snapshot = {9, 1, 5, {kA, kB, kC}, "state"};
+  before_snapshot.log = {{1, 1, Entry::Kind::kNoOp, 0, ""}};
   Core other({kA.id, {}, 1, 0});
-  other.Begin(0, cut, true);
+  other.Begin(0, before_snapshot, true);
   EXPECT_TRUE(other.may_vote());
   EXPECT_EQ(other.last_index(), 9u);
   EXPECT_EQ(other.TakeApplied().at(0).snapshot->data, "state");
 }
 
-TEST(Core, AFloorIsAboveAllEarlierEntries) {
+TEST(Core, BootstrappedLogBeginsAboveTheIndexFloor) {
   Core core({kA.id, {}, 1, 0});
   core.Begin(0, BootstrapState(kA, 5000), true);
   core.Tick(0);
-  Flush(core, 0);
-  Flush(core, 0);
+  FlushWrites(core, 0);
+  FlushWrites(core, 0);
   ASSERT_EQ(core.role(), Role::kLeader);
   EXPECT_EQ(core.Propose(0, "x").index, 5002u);
 }
 
-TEST(Core, FollowersAreAnsweredWithinABound) {
-  Led led;
-  led.Answer(kB, 1, 1);
-  size_t later = 0;
+TEST(Core, FollowResponsesAreRateLimited) {
+  LeaderOfThree leader;
+  leader.Acknowledge(kB, 1, 1);
+  size_t refused = 0;
   for (size_t i = 0; i < Rules{}.max_follow_responses + 10; ++i) {
-    later += led.core.HandleFollowRequest(led.now, {"f", i + 1, 0, 0, 0, 0}).kind ==
-                     FollowResponse::Kind::kRetryLater
-                 ? 1
-                 : 0;
+    refused += leader.core.HandleFollowRequest(leader.now, {"f", i + 1, 0, 0, 0, 0}).kind ==
+                       FollowResponse::Kind::kRetryLater
+                   ? 1
+                   : 0;
   }
-  EXPECT_EQ(later, 10u);
-  EXPECT_EQ(led.core.HandleFollowRequest(led.now + kSecond, {"f", 9999, 1, 7, 0, 0}).kind,
+  EXPECT_EQ(refused, 10u);
+  EXPECT_EQ(leader.core.HandleFollowRequest(leader.now + kSecond, {"f", 9999, 1, 7, 0, 0}).kind,
             FollowResponse::Kind::kEntries);
-  EXPECT_EQ(led.core.HandleFollowRequest(led.now + kSecond, {"f", 9999, 0, 0, 0, 0}).entries.size(), 1u);
+  EXPECT_EQ(leader.core.HandleFollowRequest(leader.now + kSecond, {"f", 9999, 0, 0, 0, 0}).entries.size(),
+            1u);
 }
 
-TEST(Follower, TakesNothingThatDoesNotFit) {
+TEST(Follower, RejectsEntriesThatDoNotContinueItsLog) {
   Follower follower({}, "f", {"a:1"}, 1);
   follower.Begin(0);
   follower.Tick(0);
-  FollowResponse answer;
-  answer.number = follower.TakeRequests().at(0).request.number;
-  answer.commit = 2;
-  answer.entries = {{2, 1, Entry::Kind::kNoOp, 0, ""}};
-  follower.OnResponse(1, answer);
+  FollowResponse response;
+  response.number = follower.TakeRequests().at(0).request.number;
+  response.commit = 2;
+  response.entries = {{2, 1, Entry::Kind::kNoOp, 0, ""}};
+  follower.OnResponse(1, response);
   EXPECT_EQ(follower.applied(), 0u);
   EXPECT_EQ(follower.rejected(), 1u);
   follower.Tick(2 * kSecond);
-  answer.number = follower.TakeRequests().at(0).request.number;
-  answer.entries = {{1, 1, Entry::Kind::kNoOp, 0, ""}, {2, 1, Entry::Kind::kNoOp, 0, ""}};
-  follower.OnResponse(2 * kSecond, answer);
+  response.number = follower.TakeRequests().at(0).request.number;
+  response.entries = {{1, 1, Entry::Kind::kNoOp, 0, ""}, {2, 1, Entry::Kind::kNoOp, 0, ""}};
+  follower.OnResponse(2 * kSecond, response);
   EXPECT_EQ(follower.applied(), 2u);
   EXPECT_EQ(follower.TakeApplied().size(), 2u);
 }
 
-// A council that has begun, in quiet.
-struct Quiet {
-  explicit Quiet(size_t voters, Rules rules = {})
+// A simulated cluster that has elected a leader and runs without faults.
+struct RunningCluster {
+  explicit RunningCluster(size_t voters, Rules rules = {})
       : world(
             [&] {
               CouncilSettings settings;
@@ -280,60 +284,65 @@
   size_t leader = 0;
 };
 
-TEST(Council, AVoterThatHearsNobodyRaisesNobodysTerm) {
+TEST(Council, PreVoteKeepsADeafVoterFromRaisingTheTerm) {
   for (const bool pre_vote : {true, false}) {
     Rules rules;
     rules.pre_vote = pre_vote;
-    Quiet quiet(5, rules);
-    ASSERT_TRUE(quiet.began);
-    const uint64_t term = quiet.world.core(quiet.leader)->term();
-    quiet.world.CutAll((quiet.leader + 1) % 5, true, false, true);
-    quiet.world.RunFor(10 * kSecond);
-    const int leader = quiet.world.Leader();
-    EXPECT_EQ(leader >= 0 && quiet.world.core(static_cast<size_t>(leader))->term() == term, pre_vote);
+    RunningCluster cluster(5, rules);
+    ASSERT_TRUE(cluster.began);
+    const uint64_t term = cluster.world.core(cluster.leader)->term();
+    cluster.world.CutAll((cluster.leader + 1) % 5, true, false, true);
+    cluster.world.RunFor(10 * kSecond);
+    const int leader = cluster.world.Leader();
+    EXPECT_EQ(leader >= 0 && cluster.world.core(static_cast<size_t>(leader))->term() == term, pre_vote);
   }
 }
 
-TEST(Council, ALeaderThatIsHeardAndHearsNobodyStepsDown) {
+TEST(Council, CheckQuorumMakesADeafLeaderStepDown) {
   for (const bool check_quorum : {true, false}) {
     Rules rules;
     rules.check_quorum = check_quorum;
-    Quiet quiet(5, rules);
-    ASSERT_TRUE(quiet.began);
-    quiet.world.CutAll(quiet.leader, true, false, true);
-    const bool another = quiet.world.RunUntil(
-        [&] { return quiet.world.Leader() >= 0 && quiet.world.Leader() != static_cast<int>(quiet.leader); },
+    RunningCluster cluster(5, rules);
+    ASSERT_TRUE(cluster.began);
+    cluster.world.CutAll(cluster.leader, true, false, true);
+    const bool another = cluster.world.RunUntil(
+        [&] {
+          return cluster.world.Leader() >= 0 && cluster.world.Leader() != static_cast<int>(cluster.leader);
+        },
         5 * kSecond);
     EXPECT_EQ(another, check_quorum);
   }
 }
 
-TEST(Council, LeadsOnInOrderWhenHandedOverOrRemoved) {
-  Quiet quiet(3);
-  ASSERT_TRUE(quiet.began);
-  const size_t to = (quiet.leader + 1) % 3;
-  quiet.world.Transfer(quiet.leader, to);
-  EXPECT_TRUE(quiet.world.RunUntil([&] { return quiet.world.Leader() == static_cast<int>(to); }, 200 * kMs));
-  quiet.world.RunFor(kSecond);
-  quiet.world.Operate(false);
-  quiet.world.Change(to, Core::Change::kRemove, quiet.world.VoterOf(to));
-  EXPECT_TRUE(quiet.world.RunUntil(
-      [&] { return quiet.world.Leader() >= 0 && quiet.world.Leader() != static_cast<int>(to); }, 300 * kMs));
-  EXPECT_TRUE(quiet.world.judge().broken().empty());
+TEST(Council, NewLeaderSoonAfterTransferOrRemoval) {
+  RunningCluster cluster(3);
+  ASSERT_TRUE(cluster.began);
+  const size_t to = (cluster.leader + 1) % 3;
+  cluster.world.Transfer(cluster.leader, to);
+  EXPECT_TRUE(
+      cluster.world.RunUntil([&] { return cluster.world.Leader() == static_cast<int>(to); }, 200 * kMs));
+  cluster.world.RunFor(kSecond);
+  cluster.world.Operate(false);
+  cluster.world.Change(to, Core::Change::kRemove, cluster.world.VoterOf(to));
+  EXPECT_TRUE(cluster.world.RunUntil(
+      [&] { return cluster.world.Leader() >= 0 && cluster.world.Leader() != static_cast<int>(to); },
+      300 * kMs));
+  EXPECT_TRUE(cluster.world.judge().broken().empty());
 }
 
-// A majority has an entry of an earlier term, and a voter that has another of a later one is elected.
+// A majority has an entry of an earlier term, but a voter with a different entry of a later term at that
+// index is elected (figure 8 of the Raft paper). Counting copies of the earlier entry must not commit it.
 TEST(Council, AnEntryOfAnEarlierTermIsNotCommittedByCounting) {
   for (const bool own_term_only : {true, false}) {
     Rules rules;
     rules.commits_own_term_only = own_term_only;
     rules.batch_entries = 1;
-    Quiet quiet(5, rules);
-    ASSERT_TRUE(quiet.began);
-    CouncilWorld& world = quiet.world;
-    const size_t first = quiet.leader, beside = (first + 1) % 5;
+    RunningCluster cluster(5, rules);
+    ASSERT_TRUE(cluster.began);
+    CouncilWorld& world = cluster.world;
+    const size_t first = cluster.leader, neighbour = (first + 1) % 5;
     for (size_t i = 0; i < 5; ++i) {
-      if (i == beside) continue;
+      if (i == neighbour) continue;
       world.Cut(first, i, true);
       world.Cut(i, first, true);
     }
@@ -341,7 +350,7 @@
     world.RunFor(20 * kMs);
     const uint64_t old = world.core(first)->last_index();
     world.Kill(first, Crash::kPower);
-    world.Kill(beside, Crash::kPower);
+    world.Kill(neighbour, Crash::kPower);
     world.HealNetwork();
     ASSERT_TRUE(world.RunUntil([&] { return world.Leader() >= 0; }, 10 * kSecond));
     const auto second = static_cast<size_t>(world.Leader());
@@ -350,13 +359,13 @@
     world.Kill(second, Crash::kPower);
     world.HealNetwork();
     world.Start(first);
-    world.Start(beside);
-    // The third leader's log reaches one more with the old entry, and not its own.
+    world.Start(neighbour);
+    // The third leader replicates the old entry to one more voter, but not an entry of its own term.
     ASSERT_TRUE(world.RunUntil([&] { return world.Leader() >= 0; }, 10 * kSecond));
     const auto third = static_cast<size_t>(world.Leader());
-    const size_t other = third == first ? beside : first;
+    const size_t other = third == first ? neighbour : first;
     for (size_t i = 0, spare = 0; i < 5; ++i) {
-      if (i != first && i != beside && i != second && ++spare == 1) world.Cut(third, i, true);
+      if (i != first && i != neighbour && i != second && ++spare == 1) world.Cut(third, i, true);
     }
     world.RunUntil([&] { return world.core(third)->commit() >= old; }, 50 * kMs);
     for (const size_t one : {third, other}) {
@@ -369,8 +378,8 @@
   }
 }
 
-TEST(Council, NewLeaderWithinASecondAndThree) {
-  // On the virtual clock: a count of times, and the same each run.
+TEST(Council, NewLeaderWithinOneSecondAtTheMedianAndThreeAtMost) {
+  // Simulated time: the result is the same in each run.
   for (const uint64_t loss : {0u, 20u}) {
     const std::vector<Micros> spans = lab::MeasureNewLeader(7, 5, loss, 60);
     ASSERT_GE(spans.size(), 50u);
--- a/tests/consensus/every_state_test.cpp
+++ b/tests/consensus/every_state_test.cpp
@@ -1,4 +1,5 @@
-// Small councils gone through whole. BURLFALL_ELECTIONS=2 takes the larger one (half a million states).
+// Exhaustive exploration of the states of small clusters. BURLFALL_ELECTIONS=2 explores the larger one (half
+// a million states).
 #include "lab/council_world/every_state.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +10,7 @@
 namespace burlfall::lab {
 namespace {
 
-TEST(EveryState, OfASmallCouncilHolds) {
+TEST(EveryState, SmallClusterKeepsAllInvariants) {
   EveryStateBounds bounds;
   bounds.elections = 1;
   bounds.proposals = 0;
@@ -26,7 +27,7 @@
   std::printf("%zu states, %zu steps\n", result.states, result.steps);
 }
 
-TEST(EveryState, ShowsWhatACautionIsFor) {
+TEST(EveryState, FindsAViolationWhenVotesIgnoreTheLog) {
   EveryStateBounds bounds;
   bounds.proposals = 0;
   bounds.crashes = 1;
--- a/tests/consensus/judge_test.cpp
+++ b/tests/consensus/judge_test.cpp
@@ -1,4 +1,4 @@
-// The judge refuses a planted history for each of its rules.
+// Tests of the checker of cluster histories: it rejects an invalid history for each of its rules.
 #include <gtest/gtest.h>
 
 #include "consensus/wire.h"
@@ -23,7 +23,7 @@
   return {index, 1, Entry::Kind::kVoters, 0, consensus::EncodeVoters(voters)};
 }
 
-TEST(CouncilJudge, TakesAGoodHistory) {
+TEST(CouncilJudge, AcceptsAValidHistory) {
   CouncilJudge judge;
   judge.TookOffice("a", 1, {});
   judge.TookOffice("a", 1, {});
@@ -35,18 +35,18 @@
   judge.Applied("b", Command(1, 1, "x"));
   judge.ReadAnswered(1, 1);
   judge.TookOffice("b", 2, {Command(1, 1, "x")});
-  // Of an earlier term than that of the one that acknowledged it, though it comes later.
+  // Acknowledged by a leader of term 4, so a leader of the earlier term 3 need not have the entry.
   judge.Acknowledged(2, 1, 4);
   judge.TookOffice("c", 3, {Command(1, 1, "x")});
   judge.AppliedSnapshot("c", 1, NextState(0, Command(1, 1, "x")));
   judge.Applied("c", Command(2, 2, "y", 5));
   judge.Applied("c", Voters(3, {"a", "b"}));
   judge.ChangeBegan("b", 3, 3);
-  EXPECT_EQ(judge.broken_count(), 1u);  // time went back, from 5 to 0
+  EXPECT_EQ(judge.broken_count(), 1u);  // log time went back, from 5 to 0
 }
 
-TEST(CouncilJudge, RefusesPlantedHistories) {
-  const std::vector<std::function<void(CouncilJudge&)>> planted = {
+TEST(CouncilJudge, RejectsEachInvalidHistory) {
+  const std::vector<std::function<void(CouncilJudge&)>> invalid_histories = {
       [](CouncilJudge& judge) {
         judge.TookOffice("a", 1, {});
         judge.TookOffice("b", 1, {});
@@ -90,7 +90,7 @@
         judge.ReadBegan(1);
         judge.ReadAnswered(1, 4);
       },
-      [](CouncilJudge& judge) {  // what one reader was shown, the next sees
+      [](CouncilJudge& judge) {  // a later read must not return an older state
         judge.ReadBegan(1);
         judge.ReadAnswered(1, 4);
         judge.ReadBegan(2);
@@ -106,21 +106,22 @@
       },
       [](CouncilJudge& judge) { judge.ChangeBegan("a", 9, 8); },
   };
-  for (size_t i = 0; i < planted.size(); ++i) {
+  for (size_t i = 0; i < invalid_histories.size(); ++i) {
     CouncilJudge judge;
-    planted[i](judge);
+    invalid_histories[i](judge);
     EXPECT_EQ(judge.broken_count(), 1u) << i;
   }
 }
 
-// What each of the core's cautions is for: without it, the courses of the first seeds break a rule.
-TEST(Planted, EachIsFoundWithinItsSeeds) {
-  struct Planted {
+// Shows what each safety rule of the core prevents: with the rule switched off, one of the first seeds leads
+// to a violation.
+TEST(Planted, EachDisabledSafetyRuleIsFoundWithinItsSeeds) {
+  struct DisabledRule {
     const char* name;
-    bool consensus::Rules::*caution;
-    uint64_t within;
+    bool consensus::Rules::*safety_rule;
+    uint64_t max_seed;
   };
-  const std::vector<Planted> all = {
+  const std::vector<DisabledRule> all = {
       {"vote before flush", &consensus::Rules::votes_wait_for_flush, 100},
       {"append yes before flush", &consensus::Rules::appends_wait_for_flush, 100},
       {"leader counts itself before its flush", &consensus::Rules::counts_itself_after_flush, 100},
@@ -129,14 +130,14 @@
       {"two changes of voters at once", &consensus::Rules::one_change_at_a_time, 20},
       {"vote for an older log", &consensus::Rules::votes_for_newer_log_only, 10},
       {"two votes in a term", &consensus::Rules::votes_once, 20},
-      {"append without a look at the entry before", &consensus::Rules::checks_previous_entry, 20},
-      {"on after a failed flush", &consensus::Rules::stops_on_failed_write, 10},
+      {"append without a check of the previous entry", &consensus::Rules::checks_previous_entry, 20},
+      {"goes on after a failed flush", &consensus::Rules::stops_on_failed_write, 10},
   };
-  for (const Planted& one : all) {
+  for (const DisabledRule& one : all) {
     consensus::Rules rules;
-    rules.*one.caution = false;
+    rules.*one.safety_rule = false;
     bool found = false;
-    for (uint64_t seed = 1; seed <= one.within && !found; ++seed)
+    for (uint64_t seed = 1; seed <= one.max_seed && !found; ++seed)
       found = PlayDrawn(seed, rules).broken_count > 0;
     EXPECT_TRUE(found) << one.name;
   }
@@ -145,7 +146,7 @@
   EXPECT_TRUE(found) << "a voter with an emptied disk keeps its name";
 }
 
-TEST(World, TheSameSeedPlaysTheSameCourse) {
+TEST(World, SameSeedGivesTheSameRun) {
   const CouncilVerdict one = PlayDrawn(16), other = PlayDrawn(16);
   EXPECT_EQ(one.acknowledged, other.acknowledged);
   EXPECT_EQ(one.applied, other.applied);
--- a/tests/consensus/seeds_test.cpp
+++ b/tests/consensus/seeds_test.cpp
@@ -1,4 +1,5 @@
-// Councils on a virtual clock with faults drawn from seeds. BURLFALL_SEEDS=1..10000 plays others than these.
+// Simulated clusters with faults generated from seeds. BURLFALL_SEEDS=1..10000 selects other seeds
+// than the default.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -10,7 +11,7 @@
 namespace burlfall::lab {
 namespace {
 
-TEST(Seeds, HoldUnderDrawnFaults) {
+TEST(Seeds, InvariantsHoldUnderRandomFaults) {
   uint64_t first = 1, last = 200;
   if (const char* seeds = std::getenv("BURLFALL_SEEDS")) {
     const std::string text(seeds);
--- a/tests/consensus/wire_test.cpp
+++ b/tests/consensus/wire_test.cpp
@@ -1,3 +1,4 @@
+// Tests of encoding, and of the rejection of invalid frames.
 #include "consensus/wire.h"
 
 #include <gtest/gtest.h>
@@ -5,7 +6,7 @@
 namespace burlfall::consensus {
 namespace {
 
-Message Full() {
+Message FullMessage() {
   Message message;
   message.kind = Message::Kind::kSnapshotChunk;
   message.from = {"a", UINT64_MAX};
@@ -25,45 +26,45 @@
   return message;
 }
 
-TEST(ConsensusWire, WhatIsWrittenIsRead) {
-  const FollowRequest ask{"f", 1, 2, 3, 4, 5};
-  FollowResponse answer;
-  answer.number = 8;
-  answer.kind = FollowResponse::Kind::kSnapshotChunk;
-  answer.from = {"a", 1};
-  answer.entries = Full().entries;
-  answer.voters = Full().voters;
-  answer.data = Full().data;
-  for (const AnyMessage& one : {AnyMessage(Full()), AnyMessage(ask), AnyMessage(answer)}) {
-    const DecodeResult read = Decode(Encode(one, "site"), "site");
-    ASSERT_TRUE(read.message) << read.error;
-    EXPECT_EQ(*read.message, one);
+TEST(ConsensusWire, EncodedMessagesDecodeToTheSame) {
+  const FollowRequest request{"f", 1, 2, 3, 4, 5};
+  FollowResponse response;
+  response.number = 8;
+  response.kind = FollowResponse::Kind::kSnapshotChunk;
+  response.from = {"a", 1};
+  response.entries = FullMessage().entries;
+  response.voters = FullMessage().voters;
+  response.data = FullMessage().data;
+  for (const AnyMessage& message : {AnyMessage(FullMessage()), AnyMessage(request), AnyMessage(response)}) {
+    const DecodeResult result = Decode(Encode(message, "site"), "site");
+    ASSERT_TRUE(result.message) << result.error;
+    EXPECT_EQ(*result.message, message);
   }
-  const Entry entry = Full().entries[0];
+  const Entry entry = FullMessage().entries[0];
   EXPECT_EQ(DecodeEntry(EncodeEntry(entry)), entry);
-  EXPECT_EQ(DecodeVoters(EncodeVoters(Full().voters)), Full().voters);
+  EXPECT_EQ(DecodeVoters(EncodeVoters(FullMessage().voters)), FullMessage().voters);
 }
 
-TEST(ConsensusWire, WhatIsNotOursIsNamed) {
-  const std::string frame = Encode(Full(), "site");
+TEST(ConsensusWire, InvalidFramesAreRejectedWithAReason) {
+  const std::string frame = Encode(FullMessage(), "site");
   EXPECT_STREQ(Decode("GET / HTTP/1.1", "site").error, "not ours");
   EXPECT_STREQ(Decode(frame, "other").error, "another site");
-  std::string other = frame;
-  other.resize(kMaxFrameBytes + 1);
-  EXPECT_STREQ(Decode(other, "site").error, "too large");
-  other = frame;
-  ++other[3];
-  EXPECT_STREQ(Decode(other, "site").error, "another version");
+  std::string frame_copy = frame;
+  frame_copy.resize(kMaxFrameBytes + 1);
+  EXPECT_STREQ(Decode(frame_copy, "site").error, "too large");
+  frame_copy = frame;
+  ++frame_copy[3];
+  EXPECT_STREQ(Decode(frame_copy, "site").error, "another version");
   for (size_t i = 4; i < frame.size(); ++i) {
-    other = frame;
-    other[i] = static_cast<char>(other[i] ^ 0x10);
-    EXPECT_STREQ(Decode(other, "site").error, "damaged") << i;
+    frame_copy = frame;
+    frame_copy[i] = static_cast<char>(frame_copy[i] ^ 0x10);
+    EXPECT_STREQ(Decode(frame_copy, "site").error, "damaged") << i;
   }
   for (size_t i = 0; i < frame.size(); ++i) EXPECT_FALSE(Decode(frame.substr(0, i), "site").message) << i;
-  Message message = Full();
-  message.term = UINT64_MAX;  // nobody could count on from it
+  Message message = FullMessage();
+  message.term = UINT64_MAX;  // incrementing it would overflow
   EXPECT_STREQ(Decode(Encode(message, "site"), "site").error, "malformed");
-  message = Full();
+  message = FullMessage();
   message.voters.resize(kMaxVotersDecoded + 1);
   EXPECT_STREQ(Decode(Encode(message, "site"), "site").error, "malformed");
   EXPECT_FALSE(DecodeEntry("\xc1"));
