--- a/src/consensus/core.cpp
+++ b/src/consensus/core.cpp
@@ -237,7 +237,7 @@
     applied_index_ = snapshot_->index;
   }
   voters_ = configurations_.back().voters;
-  const Micros last_log_time = log_.empty() ? snapshot_->at : log_.back().at;
+  const Micros last_log_time = log_.empty() ? snapshot_->log_time : log_.back().log_time;
   log_time_ = last_log_time > 0 ? last_log_time : setup_.initial_log_time;
   log_time_set_at_ = now_;
   if (may_vote_ && replaced) {
@@ -573,7 +573,7 @@
   BecomeFollower(message.term, message.from, "newer term");
   leader_contacted_ = true;
   leader_contact_at_ = now_;
-  log_time_ = std::max(log_time(now_), message.at);
+  log_time_ = std::max(log_time(now_), message.log_time);
   log_time_set_at_ = now_;
   return true;
 }
@@ -643,7 +643,7 @@
   }
   if (message.total > rules_.max_snapshot_bytes) return DropMessage("snapshot too large", message.from);
   if (incoming_snapshot_.index != message.index || incoming_snapshot_.term != message.log_term) {
-    incoming_snapshot_ = {message.index, message.log_term, message.at, message.voters, ""};
+    incoming_snapshot_ = {message.index, message.log_term, message.log_time, message.voters, ""};
   }
   if (message.offset == incoming_snapshot_.data.size() &&
       message.offset + message.data.size() <= message.total) {
@@ -696,7 +696,7 @@
 // ----------------------------------------------------------------------------------------------- leading
 
 Micros Core::log_time(Micros now) const {
-  const Micros last_log_time = log_.empty() ? snapshot_->at : log_.back().at;
+  const Micros last_log_time = log_.empty() ? snapshot_->log_time : log_.back().log_time;
   return std::max(last_log_time, log_time_ + std::max<Micros>(0, std::max(now, now_) - log_time_set_at_));
 }
 
@@ -744,7 +744,7 @@
   }
   message.commit = commit_;
   message.round = ++round_;
-  message.at = log_time(now_);
+  message.log_time = log_time(now_);
   Send(peer.address, std::move(message));
 }
 
@@ -754,7 +754,7 @@
   message.log_term = *TermAt(message.index);
   message.commit = commit_;
   message.round = ++round_;
-  message.at = log_time(now_);
+  message.log_time = log_time(now_);
   size_t bytes = 0;
   for (uint64_t index = peer.next; index <= last_index(); ++index) {
     const Entry& entry = At(index);
@@ -780,7 +780,7 @@
   Message message = MakeMessage(Message::Kind::kSnapshotChunk, id);
   message.index = snapshot.index;
   message.log_term = snapshot.term;
-  message.at = snapshot.at;
+  message.log_time = snapshot.log_time;
   message.voters = snapshot.voters;
   message.total = snapshot.data.size();
   message.offset = std::min<uint64_t>(peer.snapshot_offset, snapshot.data.size());
@@ -1060,7 +1060,7 @@
   Snapshot snapshot;
   snapshot.index = index;
   snapshot.term = *TermAt(index);
-  snapshot.at = At(index).at;
+  snapshot.log_time = At(index).log_time;
   while (configurations_.size() > 1 && configurations_[1].index <= index) configurations_.pop_front();
   configurations_.front().index = index;
   snapshot.voters = configurations_.front().voters;
@@ -1110,7 +1110,7 @@
     response.kind = FollowResponse::Kind::kSnapshotChunk;
     response.index = snapshot.index;
     response.term = snapshot.term;
-    response.at = snapshot.at;
+    response.log_time = snapshot.log_time;
     response.voters = snapshot.voters;
     response.total = snapshot.data.size();
     response.offset = request.snapshot_index == snapshot.index
--- a/src/consensus/follower.cpp
+++ b/src/consensus/follower.cpp
@@ -85,7 +85,8 @@
   if (snapshot_data_.size() < response.total) return true;
   index_ = response.index;
   term_ = response.term;
-  applied_.push_back({Snapshot{index_, term_, response.at, response.voters, std::move(snapshot_data_)}, {}});
+  applied_.push_back(
+      {Snapshot{index_, term_, response.log_time, response.voters, std::move(snapshot_data_)}, {}});
   snapshot_data_.clear();
   snapshot_index_ = 0;
   return true;
--- a/src/consensus/message.h
+++ b/src/consensus/message.h
@@ -29,6 +29,9 @@
   bool operator==(const Voter&) const = default;
 };
 
+// Log time is a clock of the replicated log in microseconds, for instance Unix time: the leader stamps each
+// entry with it, and it never goes backwards along the log. State machines that go by it decide the same on
+// every member.
 struct Entry {
   enum class Kind : uint8_t {
     kNoOp,     // a leader's first entry; committing it commits all entries before it
@@ -38,7 +41,7 @@
   uint64_t index = 0;  // starts at 1, without gaps
   uint64_t term = 0;
   Kind kind = Kind::kNoOp;
-  Micros at = 0;  // log time: assigned by the leader, never less than that of the entry before
+  Micros log_time = 0;  // assigned by the leader; never less than that of the entry before
   std::string data;
   bool operator==(const Entry&) const = default;
 };
@@ -46,7 +49,7 @@
 struct Snapshot {
   uint64_t index = 0;  // of the last entry that it includes
   uint64_t term = 0;
-  Micros at = 0;              // that entry's log time
+  Micros log_time = 0;        // of that entry
   std::vector<Voter> voters;  // the configuration as of that entry
   std::string data;           // the state machine's state
   bool operator==(const Snapshot&) const = default;
@@ -63,13 +66,13 @@
     // a voter grants its vote although it still hears that leader.
     kVoteRequest,
     kVoteResponse,  // accepted
-    // index, log_term: of the entry before the first of `entries`; commit, round, at. Without
+    // index, log_term: of the entry before the first of `entries`; commit, round, log_time. Without
     // entries it is a heartbeat.
     kAppend,
     // accepted: the logs match through `index`. Not accepted: try again after `index`; commit: the
     // responder's last index. Both: round.
     kAppendResponse,
-    kSnapshotChunk,  // index, log_term, at, voters: of the snapshot; total, offset, data, round
+    kSnapshotChunk,  // index, log_term, log_time, voters: of the snapshot; total, offset, data, round
     // index: of the snapshot; offset: bytes received so far; accepted: all received and durable; round
     kSnapshotChunkResponse,
     kTimeoutNow,  // the leader hands over: the receiver starts an election at once
@@ -86,7 +89,7 @@
   bool handed_over = false;
   uint64_t commit = 0;
   uint64_t round = 0;  // the leader's counter of sent messages; a response repeats it, which confirms reads
-  Micros at = 0;       // log time
+  Micros log_time = 0;
   std::vector<Entry> entries;
   std::vector<Voter> voters;
   uint64_t total = 0;   // bytes of the whole snapshot
@@ -123,7 +126,7 @@
   uint64_t term = 0;
   std::vector<Entry> entries;  // committed, without gaps
   std::vector<Voter> voters;   // the latest committed configuration
-  Micros at = 0;               // of a snapshot: its log time
+  Micros log_time = 0;         // of the snapshot
   uint64_t total = 0;          // bytes of the whole snapshot
   uint64_t offset = 0;         // bytes
   std::string data;
--- a/src/consensus/wire.cpp
+++ b/src/consensus/wire.cpp
@@ -74,7 +74,7 @@
 }
 
 // Log time is Unix time or counted from 0, and therefore never negative.
-void PackTime(Packer& to, Micros at) { to.pack(static_cast<uint64_t>(at < 0 ? 0 : at)); }
+void PackTime(Packer& to, Micros time) { to.pack(static_cast<uint64_t>(time < 0 ? 0 : time)); }
 
 void Pack(Packer& to, const VoterId& id) {
   to.pack_array(2);
@@ -116,7 +116,7 @@
   to.pack(entry.index);
   to.pack(entry.term);
   to.pack(static_cast<uint8_t>(entry.kind));
-  PackTime(to, entry.at);
+  PackTime(to, entry.log_time);
   PackBytes(to, entry.data);
 }
 
@@ -125,7 +125,7 @@
   entry.index = from.Number();
   entry.term = from.Number();
   entry.kind = static_cast<Entry::Kind>(from.Number(static_cast<uint64_t>(Entry::Kind::kVoters)));
-  entry.at = static_cast<Micros>(from.Number());
+  entry.log_time = static_cast<Micros>(from.Number());
   entry.data = from.Bytes();
   return entry;
 }
@@ -155,7 +155,7 @@
                                (message.handed_over ? kHandedOverFlag : 0)));
   to.pack(message.commit);
   to.pack(message.round);
-  PackTime(to, message.at);
+  PackTime(to, message.log_time);
   Pack(to, message.entries);
   Pack(to, message.voters);
   to.pack(message.total);
@@ -176,7 +176,7 @@
   message.handed_over = (flags & kHandedOverFlag) != 0;
   message.commit = from.Number();
   message.round = from.Number();
-  message.at = static_cast<Micros>(from.Number());
+  message.log_time = static_cast<Micros>(from.Number());
   message.entries = UnpackEntries(from.Array());
   message.voters = UnpackVoters(from.Array());
   message.total = from.Number();
@@ -219,7 +219,7 @@
   to.pack(response.term);
   Pack(to, response.entries);
   Pack(to, response.voters);
-  PackTime(to, response.at);
+  PackTime(to, response.log_time);
   to.pack(response.total);
   to.pack(response.offset);
   PackBytes(to, response.data);
@@ -237,7 +237,7 @@
   response.term = from.Number();
   response.entries = UnpackEntries(from.Array());
   response.voters = UnpackVoters(from.Array());
-  response.at = static_cast<Micros>(from.Number());
+  response.log_time = static_cast<Micros>(from.Number());
   response.total = from.Number();
   response.offset = from.Number();
   response.data = from.Bytes();
--- a/src/council/council.cpp
+++ b/src/council/council.cpp
@@ -490,7 +490,7 @@
   if (entry.index <= applied_) return;
   applied_ = entry.index;
   if (entry.kind == consensus::Entry::Kind::kCommand) {
-    const council::Came came = state_.Apply(entry.index, entry.at, entry.data);
+    const council::Came came = state_.Apply(entry.index, entry.log_time, entry.data);
     if (!came.known) Dropped("an entry of another build", "the log");
     Carry(came.owner);
     CarryFreeze(came.freeze);
--- a/src/council/store.cpp
+++ b/src/council/store.cpp
@@ -138,7 +138,7 @@
         consensus::Snapshot& held = opened.held.snapshot;
         held.index = from.Number();
         held.term = from.Number();
-        held.at = static_cast<Micros>(from.Number());
+        held.log_time = static_cast<Micros>(from.Number());
         const auto voters = consensus::DecodeVoters(from.Bytes(kLargestEntry));
         if (!voters) throw Slip{};
         held.voters = *voters;
@@ -213,7 +213,7 @@
   const std::string body = Packed(5)
                                .Add(snapshot.index)
                                .Add(snapshot.term)
-                               .Add(static_cast<uint64_t>(snapshot.at))
+                               .Add(static_cast<uint64_t>(snapshot.log_time))
                                .Add(consensus::EncodeVoters(snapshot.voters))
                                .Add(snapshot.data)
                                .Take();
--- a/src/lab/council_world/council_judge.cpp
+++ b/src/lab/council_world/council_judge.cpp
@@ -75,10 +75,10 @@
   }
   if (entry.index != agreed_.size() + 1) return;  // told already
   const uint64_t before = agreed_.empty() ? 0 : agreed_.back().state;
-  if (!agreed_.empty() && agreed_.back().at > entry.at) {
+  if (!agreed_.empty() && agreed_.back().at > entry.log_time) {
     Broken("council time goes back at entry " + Number(entry.index));
   }
-  agreed_.push_back({entry.term, NextState(before, entry), entry.at});
+  agreed_.push_back({entry.term, NextState(before, entry), entry.log_time});
   if (entry.kind != consensus::Entry::Kind::kVoters) return;
   const auto voters = consensus::DecodeVoters(entry.data);
   if (!voters) return Broken("voters that can't be read at entry " + Number(entry.index));
--- a/tests/consensus/wire_test.cpp
+++ b/tests/consensus/wire_test.cpp
@@ -17,7 +17,7 @@
   message.accepted = message.handed_over = true;
   message.commit = 5;
   message.round = 6;
-  message.at = 7;
+  message.log_time = 7;
   message.entries = {{5, 3, Entry::Kind::kCommand, 9, "x\ny"}};
   message.voters = {{{"a", 1}, "a:1"}};
   message.total = 10;
--- a/tests/council/store_test.cpp
+++ b/tests/council/store_test.cpp
@@ -67,7 +67,7 @@
   consensus::Snapshot snapshot;
   snapshot.index = 3;
   snapshot.term = 2;
-  snapshot.at = 5;
+  snapshot.log_time = 5;
   snapshot.voters.emplace_back();
   snapshot.voters[0].address = "127.0.0.1:1";
   snapshot.data = "state";
