--- a/tests/consensus/wire_test.cpp
+++ b/tests/consensus/wire_test.cpp
@@ -1,3 +1,4 @@
+// Tests of encoding, and of the rejection of invalid frames.
 #include "consensus/wire.h"
 
 #include <gtest/gtest.h>
@@ -5,18 +6,18 @@
 namespace burlfall::consensus {
 namespace {
 
-Message Full() {
+Message FullMessage() {
   Message message;
-  message.kind = Message::Kind::kPiece;
+  message.kind = Message::Kind::kSnapshotChunk;
   message.from = {"a", UINT64_MAX};
   message.to = {"b", 2};
   message.term = 3;
   message.index = 4;
   message.log_term = 2;
-  message.yes = message.handed_over = true;
+  message.accepted = message.handed_over = true;
   message.commit = 5;
   message.round = 6;
-  message.at = 7;
+  message.log_time = 7;
   message.entries = {{5, 3, Entry::Kind::kCommand, 9, "x\ny"}};
   message.voters = {{{"a", 1}, "a:1"}};
   message.total = 10;
@@ -25,49 +26,49 @@
   return message;
 }
 
-TEST(ConsensusWire, WhatIsWrittenIsRead) {
-  const FollowAsk ask{"f", 1, 2, 3, 4, 5};
-  FollowAnswer answer;
-  answer.number = 8;
-  answer.kind = FollowAnswer::Kind::kPiece;
-  answer.from = {"a", 1};
-  answer.entries = Full().entries;
-  answer.voters = Full().voters;
-  answer.data = Full().data;
-  for (const AnyMessage& one : {AnyMessage(Full()), AnyMessage(ask), AnyMessage(answer)}) {
-    const ReadMessage read = Read(Write(one, "site"), "site");
-    ASSERT_TRUE(read.message) << read.why;
-    EXPECT_EQ(*read.message, one);
+TEST(ConsensusWire, EncodedMessagesDecodeToTheSame) {
+  const FollowRequest request{"f", 1, 2, 3, 4, 5};
+  FollowResponse response;
+  response.number = 8;
+  response.kind = FollowResponse::Kind::kSnapshotChunk;
+  response.from = {"a", 1};
+  response.entries = FullMessage().entries;
+  response.voters = FullMessage().voters;
+  response.data = FullMessage().data;
+  for (const AnyMessage& message : {AnyMessage(FullMessage()), AnyMessage(request), AnyMessage(response)}) {
+    const DecodeResult result = Decode(Encode(message, "site"), "site");
+    ASSERT_TRUE(result.message) << result.error;
+    EXPECT_EQ(*result.message, message);
   }
-  const Entry entry = Full().entries[0];
-  EXPECT_EQ(ReadEntry(WriteEntry(entry)), entry);
-  EXPECT_EQ(ReadVoters(WriteVoters(Full().voters)), Full().voters);
+  const Entry entry = FullMessage().entries[0];
+  EXPECT_EQ(DecodeEntry(EncodeEntry(entry)), entry);
+  EXPECT_EQ(DecodeVoters(EncodeVoters(FullMessage().voters)), FullMessage().voters);
 }
 
-TEST(ConsensusWire, WhatIsNotOursIsNamed) {
-  const std::string frame = Write(Full(), "site");
-  EXPECT_STREQ(Read("GET / HTTP/1.1", "site").why, "not ours");
-  EXPECT_STREQ(Read(frame, "other").why, "another site");
-  std::string other = frame;
-  other.resize(kLargestFrame + 1);
-  EXPECT_STREQ(Read(other, "site").why, "too large");
-  other = frame;
-  ++other[3];
-  EXPECT_STREQ(Read(other, "site").why, "another version");
+TEST(ConsensusWire, InvalidFramesAreRejectedWithAReason) {
+  const std::string frame = Encode(FullMessage(), "site");
+  EXPECT_STREQ(Decode("GET / HTTP/1.1", "site").error, "not ours");
+  EXPECT_STREQ(Decode(frame, "other").error, "another site");
+  std::string frame_copy = frame;
+  frame_copy.resize(kMaxFrameBytes + 1);
+  EXPECT_STREQ(Decode(frame_copy, "site").error, "too large");
+  frame_copy = frame;
+  ++frame_copy[3];
+  EXPECT_STREQ(Decode(frame_copy, "site").error, "another version");
   for (size_t i = 4; i < frame.size(); ++i) {
-    other = frame;
-    other[i] = static_cast<char>(other[i] ^ 0x10);
-    EXPECT_STREQ(Read(other, "site").why, "damaged") << i;
+    frame_copy = frame;
+    frame_copy[i] = static_cast<char>(frame_copy[i] ^ 0x10);
+    EXPECT_STREQ(Decode(frame_copy, "site").error, "damaged") << i;
   }
-  for (size_t i = 0; i < frame.size(); ++i) EXPECT_FALSE(Read(frame.substr(0, i), "site").message) << i;
-  Message message = Full();
-  message.term = UINT64_MAX;  // nobody could count on from it
-  EXPECT_STREQ(Read(Write(message, "site"), "site").why, "malformed");
-  message = Full();
-  message.voters.resize(kMostVotersRead + 1);
-  EXPECT_STREQ(Read(Write(message, "site"), "site").why, "malformed");
-  EXPECT_FALSE(ReadEntry("\xc1"));
-  EXPECT_FALSE(ReadVoters(""));
+  for (size_t i = 0; i < frame.size(); ++i) EXPECT_FALSE(Decode(frame.substr(0, i), "site").message) << i;
+  Message message = FullMessage();
+  message.term = UINT64_MAX;  // incrementing it would overflow
+  EXPECT_STREQ(Decode(Encode(message, "site"), "site").error, "malformed");
+  message = FullMessage();
+  message.voters.resize(kMaxVotersDecoded + 1);
+  EXPECT_STREQ(Decode(Encode(message, "site"), "site").error, "malformed");
+  EXPECT_FALSE(DecodeEntry("\xc1"));
+  EXPECT_FALSE(DecodeVoters(""));
 }
 
 }  // namespace
