--- a/include/meadowslip/balancer.h
+++ b/include/meadowslip/balancer.h
@@ -1,5 +1,7 @@
-// The interface of meadowslip: the settings a node starts with, the events it is told and the actions it
-// takes. The decisions themselves are in src/policy/.
+// Public interface of the meadowslip decision module: its settings, the events that it receives and the
+// actions that it takes. The decisions are in src/policy/.
+//
+// A node is one balancer process of the fleet. A backend is a server that it sends requests to.
 #ifndef MEADOWSLIP_BALANCER_H_
 #define MEADOWSLIP_BALANCER_H_
 
@@ -12,21 +14,23 @@
 
 namespace meadowslip {
 
-using Micros = int64_t;  // a time on the caller's clock, or a span, in microseconds
+using Micros = int64_t;  // a time on the caller's clock, or a duration, in microseconds
 using RequestId = uint64_t;
 using BackendId = uint32_t;
 
+// Whether a request may run more than once: always; if the backends drop repeats of its key; never.
 enum class Idempotency { kSafe, kKeyed, kUnsafe };
-enum class DedupGroup { kAll, kZone, kCell };  // backends that drop repeats of a keyed request
+enum class DedupGroup { kAll, kZone, kCell };  // scope within which backends drop repeats of a keyed request
 
+// Requests of the same kind: their deadlines, worth and rules for repeated attempts.
 struct RequestClass {
   Idempotency idempotency = Idempotency::kUnsafe;
   DedupGroup group = DedupGroup::kAll;
-  Micros dedup_window = 0;
-  Micros aim = 0;       // an answer within this earns the full worth
-  Micros deadline = 0;  // the client's whole patience
+  Micros dedup_window = 0;  // kKeyed: repeats are dropped for this long after the first attempt
+  Micros aim = 0;           // an answer within this time earns the full worth
+  Micros deadline = 0;      // after this time the client gives up
   double worth = 1;
-  double late_share = 0;  // part of the worth that a late answer still earns
+  double late_share = 0;  // share of the worth that a late answer still earns
   bool stream = false;
   std::string name = {};
 
@@ -34,7 +38,7 @@
 };
 
 struct Tenant {
-  double quota_per_s = 0;  // over all nodes; 0: unlimited
+  double quota_per_s = 0;  // over all nodes together; 0: unlimited
   double share = 0;
   std::string name = {};
 
@@ -50,53 +54,55 @@
   int own_zone = 0;
   std::vector<RequestClass> classes;
   std::vector<Tenant> tenants;
-  double over_share_worth = 1;
-  // What the deployment allows.
+  double over_share_worth = 1;  // factor on the worth of requests beyond their tenant's quota
+  // What the deployment permits.
   bool may_cancel = false;
   bool may_probe = false;
-  bool second_copies = false;
-  bool retry_after = false;
+  bool second_copies = false;  // a request may have two attempts in flight
+  bool retry_after = false;    // Refuse() may name a time
   Micros max_retry_after = 0;
   int max_attempts = 1;
-  // The operating rules.
-  Micros answer_slack = 0;
-  Micros drain_grace = 0;
-  bool gone_binds = true;  // false: only a listed drain ends sends to a backend
-  Micros must_ask_within = 0;
-  double overload_factor = 2;
+  // Operating rules.
+  Micros answer_slack = 0;     // after the deadline, for the final answer to arrive
+  Micros drain_grace = 0;      // after news of a drain, until sends must have stopped
+  bool gone_binds = true;      // false: only a listed drain forbids sends to a backend; kGone does not
+  Micros must_ask_within = 0;  // for a subscription that has ended to be renewed
+  double overload_factor = 2;  // a cold backend tolerates this times its capacity within the window
   Micros overload_window = 1000000;
-  double start_capacity = 0.3;
+  double start_capacity = 0.3;  // share of a backend's capacity at its start; full after warm_after
   Micros warm_after = 10000000;
-  // Discovery, reports, prices.
+  // Discovery, load reports, prices.
   bool must_subscribe = false;
-  bool advertised_sizes = false;  // BackendEntry::size may be compared between backends
+  bool advertised_sizes = false;  // BackendEntry::size can be compared between backends
   ReportMode report_mode = ReportMode::kNone;
   std::vector<LoadField> report_fields;
   double cross_zone_price = 0;
   double probe_price = 0;
-  Micros resolution = 1000;  // events come at most this often
-  // For the network alone.
-  std::vector<std::string> zones;  // names; classes and tenants have theirs
+  Micros resolution = 1000;  // minimum interval between events
+  // Used by the network code only.
+  std::vector<std::string> zones;  // names of the zones; classes and tenants carry their own
   std::vector<std::string> kinds;
-  Micros keepalive = 10000000;      // a backend closes a connection that was idle this long
-  Micros connect_timeout = 150000;  // a connection that does not come up in this time never will
-  int open_cap = 20000;             // requests held open
+  Micros keepalive = 10000000;      // a backend closes a connection after this idle time
+  Micros connect_timeout = 150000;  // a connection not established in this time is treated as failed
+  int open_cap = 20000;             // maximum number of requests held open
 
   bool operator==(const Settings&) const = default;
 };
 
 enum class BackendState { kGone, kReady, kDraining };
 
+// One backend in a list from discovery.
 struct BackendEntry {
   BackendId id = 0;
   BackendState state = BackendState::kReady;
   int zone = 0;
   int cell = 0;
   int kind = 0;
-  Micros started_at = 0;  // 0: long ago
+  Micros started_at = 0;  // 0: started long ago
   double size = 1;
 };
 
+// The changed entries only; the complete list; a complete list without subscription; the subscription failed.
 enum class ListKind { kChanges, kFull, kCached, kFailed };
 
 struct BackendList {
@@ -104,25 +110,28 @@
   std::vector<BackendEntry> entries;
 };
 
+// A client's request, held by the node until its final answer.
 struct Request {
   RequestId id = 0;
   int request_class = 0;
   int tenant = 0;
   Micros give_up_at = 0;
   bool client_retry = false;
-  Micros estimate = 0;  // of its work, by the client; 0: none
+  Micros estimate = 0;  // of the request's work, given by the client; 0: none
 };
 
+// kFull, kConnectFailed and kMoot: the attempt has not run. kMoot says nothing about the backend.
 enum class Outcome { kOk, kError, kFull, kTimeout, kConnectFailed, kReset, kCancelled, kMoot };
 
+// The end of one attempt.
 struct AttemptResult {
   RequestId id = 0;
   int attempt = 0;
-  bool closed = false;  // nothing more is owed for the request
+  bool closed = false;  // the request needs no further answer
   BackendId backend = 0;
   Micros elapsed = 0;
   Outcome outcome = Outcome::kOk;
-  std::span<const float> load;  // values as in Settings::report_fields, or empty
+  std::span<const float> load;  // values in the order of Settings::report_fields, or empty
 };
 
 struct ProbeResult {
@@ -132,24 +141,25 @@
   std::span<const float> load;
 };
 
-// Takes the actions of a node. The attempts of a request are numbered 0, 1, 2 ... as they are sent.
+// Receives the actions of a node. The attempts of a request are numbered 0, 1, 2 ... in the order of Send().
 class ActionSink {
  public:
   virtual ~ActionSink() = default;
-  virtual void Send(RequestId id, BackendId backend, Micros timeout) = 0;  // 0: until the client gives up
-  virtual void Refuse(RequestId id, Micros retry_after) = 0;               // final; a retry does no harm
-  virtual void Fail(RequestId id) = 0;                                     // final; promises nothing
+  // Timeout 0: until the client gives up.
+  virtual void Send(RequestId id, BackendId backend, Micros timeout) = 0;
+  virtual void Refuse(RequestId id, Micros retry_after) = 0;  // final answer; a client retry is safe
+  virtual void Fail(RequestId id) = 0;                        // final answer; the request may have run
   virtual void Cancel(RequestId id, int attempt) = 0;
-  virtual void Schedule(Micros delay, uint64_t timer) = 0;
+  virtual void Schedule(Micros delay, uint64_t timer) = 0;  // call OnTimer(timer) after the delay
   virtual void Probe(BackendId backend) = 0;
-  virtual void Subscribe() = 0;  // ask discovery for its list and its later changes
+  virtual void Subscribe() = 0;  // request the list from discovery, and its later changes
 };
 
-// Of what Save() gives. It changes with the decisions too: a state, and a capture that begins with one, can
-// be taken over and replayed only by a module of the same format.
+// Version of the format that Save() writes. It also changes when the decisions change: only a module of the
+// same format can load a saved state, or replay a capture that begins with one.
 constexpr int kStateFormat = 5;
 
-// One node. Nothing is shared between nodes; the same events give the same actions.
+// One node. Nodes share no state, and equal sequences of events give equal actions.
 class Balancer {
  public:
   Balancer(const Settings& settings, uint64_t seed);
@@ -158,18 +168,21 @@
   Balancer& operator=(Balancer&&) noexcept;
 
   void OnList(Micros now, const BackendList& list, ActionSink& actions);
-  // A class that the settings do not name: failed at once. An id that is in use: ignored, the first stands.
+  // A request whose class the settings do not define fails at once. A request whose id is in use is ignored;
+  // the earlier request continues.
   void OnRequest(Micros now, const Request& request, ActionSink& actions);
-  // The first bytes of a streamed answer. In a class that has none: bytes of the request itself go through
-  // this attempt and can't be sent again; and once more with the last of them, from which its time counts.
+  // Called at the first bytes of a streamed answer. For a class without streaming it reports that bytes of
+  // the request body were forwarded through this attempt, so that the request cannot be sent again; it is
+  // called once more with the last of them, and the attempt's duration counts from there.
   void OnStreamStarted(Micros now, RequestId id, int attempt, ActionSink& actions);
   void OnResult(Micros now, const AttemptResult& result, ActionSink& actions);
   void OnClientLeft(Micros now, RequestId id, ActionSink& actions);
   void OnTimer(Micros now, uint64_t timer, ActionSink& actions);
   void OnProbe(Micros now, const ProbeResult& result, ActionSink& actions);
 
-  // All that the node has learned and holds, between two events; and a node of the same settings that takes
-  // it over and acts alike from there on. False where it is no such state: the node is of no use then.
+  // Save() serializes the complete state between two events. Load() restores it into a node with the same
+  // settings, which then acts identically. Load() returns false on an invalid state; the node must not be
+  // used after that.
   std::string Save() const;
   bool Load(std::string_view saved);
 
