--- a/src/handover/estate.h
+++ b/src/handover/estate.h
@@ -82,14 +82,14 @@
 std::string Pack(char letter, T what) {
   meadowslip::state::Writer out;
   what.Fields(out);
-  return std::string(1, letter).append(out.Take());
+  return std::string(1, letter).append(out.Finish());
 }
 template <typename T>
 std::optional<T> Unpack(std::string_view bytes) {
   T what;
   meadowslip::state::Reader in(bytes);
   what.Fields(in);
-  if (!in.Whole()) return {};
+  if (!in.Complete()) return {};
   return what;
 }
 
--- a/src/kit/indexed_heap.h
+++ b/src/kit/indexed_heap.h
@@ -1,5 +1,5 @@
-// A heap whose elements know their place in it, so that one whose key has changed is put right, or taken out,
-// in O(log n). It decides nothing: what comes first is said by Order.
+// A heap whose elements store their own position, so that an element whose key has changed is moved, or an
+// element is removed, in O(log n). The ordering is defined by Order.
 #ifndef BURLFALL_KIT_INDEXED_HEAP_H_
 #define BURLFALL_KIT_INDEXED_HEAP_H_
 
@@ -12,12 +12,12 @@
 
 namespace burlfall::kit {
 
-constexpr uint32_t kNoPlace = std::numeric_limits<uint32_t>::max();
+constexpr uint32_t kNotInHeap = std::numeric_limits<uint32_t>::max();
 
-// Order has Key(h), the least first: where no two keys are alike, what comes out does not depend on the order
-// in which elements went in. And Place(h), the element's own uint32_t, kNoPlace at first. Keys lie in the
-// heap itself and four children side by side: an element far down costs a line of the cache a level, not one
-// an element.
+// Order provides Key(h); the smallest key is on top. If all keys differ, the output does not depend on the
+// order of insertion. Order also provides Position(h), a reference to the uint32_t that the element stores,
+// initially kNotInHeap. Keys are stored in the heap and four children lie side by side, so that sifting down
+// costs one cache line a level instead of one an element.
 template <typename Handle, typename Order>
 class IndexedHeap {
  public:
@@ -29,25 +29,25 @@
   size_t size() const { return heap_.size(); }
   Handle Top() const { return heap_.front().handle; }
   const Key& TopKey() const { return heap_.front().key; }
-  bool Has(Handle h) { return order_.Place(h) != kNoPlace; }
+  bool Contains(Handle h) { return order_.Position(h) != kNotInHeap; }
 
-  // Puts it in, or where it belongs after its key has changed.
-  void Set(Handle h) {
+  // Inserts the element, or moves it after its key has changed.
+  void InsertOrUpdate(Handle h) {
     const Entry entry = {order_.Key(h), h};
-    if (!Has(h)) {
+    if (!Contains(h)) {
       heap_.push_back(entry);
-      order_.Place(h) = static_cast<uint32_t>(heap_.size() - 1);
+      order_.Position(h) = static_cast<uint32_t>(heap_.size() - 1);
     }
-    Sink(Rise(order_.Place(h), entry), entry);
+    SiftDown(SiftUp(order_.Position(h), entry), entry);
   }
 
   void Erase(Handle h) {
-    if (!Has(h)) return;
-    const size_t at = order_.Place(h);
-    order_.Place(h) = kNoPlace;
+    if (!Contains(h)) return;
+    const size_t at = order_.Position(h);
+    order_.Position(h) = kNotInHeap;
     const Entry last = heap_.back();
     heap_.pop_back();
-    if (at < heap_.size()) Sink(Rise(at, last), last);
+    if (at < heap_.size()) SiftDown(SiftUp(at, last), last);
   }
 
  private:
@@ -57,30 +57,30 @@
     Handle handle;
   };
 
-  void Put(size_t at, const Entry& e) {
+  void Store(size_t at, const Entry& e) {
     heap_[at] = e;
-    order_.Place(e.handle) = static_cast<uint32_t>(at);
+    order_.Position(e.handle) = static_cast<uint32_t>(at);
   }
-  // Where it belongs going up from there; those that it passes are moved down.
-  size_t Rise(size_t at, const Entry& e) {
+  // Returns the position of the entry when it is sifted up from `at`; entries that it passes are moved down.
+  size_t SiftUp(size_t at, const Entry& e) {
     while (at > 0 && e.key < heap_[(at - 1) / kChildren].key) {
-      Put(at, heap_[(at - 1) / kChildren]);
+      Store(at, heap_[(at - 1) / kChildren]);
       at = (at - 1) / kChildren;
     }
     return at;
   }
-  void Sink(size_t at, const Entry& e) {
+  void SiftDown(size_t at, const Entry& e) {
     for (size_t child; (child = kChildren * at + 1) < heap_.size();) {
-      size_t least = child;
+      size_t smallest = child;
       const size_t end = std::min(child + kChildren, heap_.size());
       while (++child < end) {
-        if (heap_[child].key < heap_[least].key) least = child;
+        if (heap_[child].key < heap_[smallest].key) smallest = child;
       }
-      if (!(heap_[least].key < e.key)) break;
-      Put(at, heap_[least]);
-      at = least;
+      if (!(heap_[smallest].key < e.key)) break;
+      Store(at, heap_[smallest]);
+      at = smallest;
     }
-    Put(at, e);
+    Store(at, e);
   }
 
   std::vector<Entry> heap_;
--- a/src/kit/indexed_set.h
+++ b/src/kit/indexed_set.h
@@ -1,5 +1,5 @@
-// A set of numbers with a random draw and removal in constant time. Each number's place in it is kept
-// outside, by `place(n)`, so that a number may stand in many bags at the cost of a word each.
+// A set of numbers with constant-time insertion, removal and random draw. The caller stores each number's
+// index in the set and gives access to it by `position(n)`; each set that a number belongs to costs one word.
 #ifndef BURLFALL_KIT_INDEXED_SET_H_
 #define BURLFALL_KIT_INDEXED_SET_H_
 
@@ -11,50 +11,51 @@
 
 namespace burlfall::kit {
 
-class Bag {
+class IndexedSet {
  public:
   bool empty() const { return items_.empty(); }
   size_t size() const { return items_.size(); }
   uint32_t operator[](size_t at) const { return items_[at]; }
 
-  void Put(uint32_t n, const auto& place) {
-    place(n) = static_cast<uint32_t>(items_.size());
+  void Insert(uint32_t n, const auto& position) {
+    position(n) = static_cast<uint32_t>(items_.size());
     items_.push_back(n);
   }
-  void Drop(uint32_t n, const auto& place) {
-    const uint32_t at = place(n), last = items_.back();
+  void Remove(uint32_t n, const auto& position) {
+    const uint32_t at = position(n), last = items_.back();
     items_[at] = last;
-    place(last) = at;
+    position(last) = at;
     items_.pop_back();
   }
 
-  // The first that fits, in random order, each looked at once, `most` of them at the most; `none` if none
-  // did. Every one that fits is as likely as any other. `below(n)` draws. A number that fits stays where it
-  // is: the usual case writes nothing.
-  uint32_t Draw(size_t most, uint32_t none, const auto& below, const auto& fits, const auto& place) {
-    for (size_t from = 0; from < std::min(most, items_.size()); ++from) {
-      const size_t at = from + below(items_.size() - from);
+  // Draws in random order until a number is accepted, at most `max_tries` of them, each at most once; returns
+  // `not_found` if none was accepted. Every acceptable number is equally likely. `random_below(n)` returns a
+  // random index below n. An accepted number is not moved, so the common case writes nothing.
+  uint32_t Draw(size_t max_tries, uint32_t not_found, const auto& random_below, const auto& accepts,
+                const auto& position) {
+    for (size_t from = 0; from < std::min(max_tries, items_.size()); ++from) {
+      const size_t at = from + random_below(items_.size() - from);
       const uint32_t n = items_[at];
-      if (fits(n)) return n;
+      if (accepts(n)) return n;
       std::swap(items_[at], items_[from]);
-      place(items_[at]) = static_cast<uint32_t>(at);
-      place(items_[from]) = static_cast<uint32_t>(from);
+      position(items_[at]) = static_cast<uint32_t>(at);
+      position(items_[from]) = static_cast<uint32_t>(from);
     }
-    return none;
+    return not_found;
   }
 
-  // From places that were saved, one number after the other; at the end it has to be whole. False where it is
-  // not the place of one of `most` numbers, or is taken.
-  bool Restore(uint32_t n, size_t most, const auto& place) {
-    const size_t at = place(n);
-    if (at >= most) return false;
-    if (items_.size() <= at) items_.resize(at + 1, kHole);
-    return std::exchange(items_[at], n) == kHole;
+  // Rebuilds the set from saved positions, one call for each number; Complete() must hold afterwards. Returns
+  // false if the position is not below `count`, or is taken.
+  bool Restore(uint32_t n, size_t count, const auto& position) {
+    const size_t at = position(n);
+    if (at >= count) return false;
+    if (items_.size() <= at) items_.resize(at + 1, kEmptySlot);
+    return std::exchange(items_[at], n) == kEmptySlot;
   }
-  bool Whole() const { return std::find(items_.begin(), items_.end(), kHole) == items_.end(); }
+  bool Complete() const { return std::find(items_.begin(), items_.end(), kEmptySlot) == items_.end(); }
 
  private:
-  static constexpr uint32_t kHole = ~uint32_t{0};
+  static constexpr uint32_t kEmptySlot = ~uint32_t{0};
   std::vector<uint32_t> items_;
 };
 
--- a/src/kit/mix.h
+++ b/src/kit/mix.h
@@ -1,4 +1,4 @@
-// splitmix64: a number spread over all bits, the same everywhere.
+// splitmix64: a hash of a 64-bit number, identical on every platform.
 #ifndef BURLFALL_KIT_MIX_H_
 #define BURLFALL_KIT_MIX_H_
 
--- a/src/policy/fleet.h
+++ b/src/policy/fleet.h
@@ -1,4 +1,4 @@
-// Membership: what the list names, what of it this node keeps to, and what it may send to one just started.
+// The backend list, the subset of it that this node uses, and the work allowed at backends that just started.
 #ifndef MEADOWSLIP_SRC_POLICY_FLEET_H_
 #define MEADOWSLIP_SRC_POLICY_FLEET_H_
 
@@ -10,139 +10,138 @@
 
 using state::Backend, state::Group, state::kNever;
 
-constexpr double kFirstLimit = 3;  // of all nodes together, a backend
-constexpr double kMembers = 3;     // backends that a sparse node keeps to, and where their load is asked for
-constexpr double kProbedMembers = 5;
-constexpr double kSmooth = 0.1;
-constexpr double kColdSafety = 0.7;    // of the cold budget; the rest is for chance
-constexpr double kMostRetriesTo = 20;  // further tries to one backend beyond one for each first try there
+constexpr double kInitialLimit = 3;  // of a backend, for all nodes together
+constexpr double kSubset = 3;        // backends that a sparse node uses without probes, and with probes
+constexpr double kProbedSubset = 5;
+constexpr double kSmoothing = 0.1;
+constexpr double kColdSafety = 0.7;     // of the cold budget; the rest covers random variation
+constexpr double kMaxRetryBudget = 20;  // retries to a backend beyond one for each first attempt there
 
-struct Fleet : state::Roster {
-  Fleet(Turn& t, const Classes& c) : Roster(t.set), turn(t), classes(c) {}
+struct Fleet : state::BackendTable {
+  Fleet(Context& t, const Classes& c) : BackendTable(t.cfg), ctx(t), classes(c) {}
 
-  Turn& turn;
+  Context& ctx;
   const Classes& classes;
-  std::vector<double> kinds = {};      // smoothed payoff by kind of machine
-  std::vector<uint32_t> members = {};  // those that a sparse node keeps to
-  bool chosen = false;                 // the members with the list and the sleeps
-  bool sparse = false;                 // more nodes than backends
-  double sharers = 1;                  // nodes that keep to the same backend
+  std::vector<double> kind_payoff = {};  // moving average by kind of machine
+  std::vector<uint32_t> subset = {};     // backends that a sparse node uses
+  bool subset_current = false;           // false after a change of the list or of sleeps
+  bool sparse = false;                   // the fleet has more nodes than backends
+  double sharers = 1;                    // nodes that share each backend
   int zones = 1;
   bool subscribed = false;
-  Micros ask_at = 0, ask_wait = 0;
-  uint64_t lists = 0;
+  Micros retry_at = 0, retry_in = 0;  // for the subscription
+  uint64_t list_count = 0;
 
   void OnList(const BackendList& list) {
     if (list.kind != ListKind::kCached) subscribed = list.kind != ListKind::kFailed;
     if (list.kind == ListKind::kFailed) return;
-    ++lists;
-    for (const BackendEntry& e : list.entries) TakeEntry(e);
+    ++list_count;
+    for (const BackendEntry& e : list.entries) ApplyEntry(e);
     if (list.kind == ListKind::kChanges) return;
     for (uint32_t i = 0; i < backends.size(); ++i) {
-      if (backends[i].used && backends[i].listed != lists) Withdraw(i);
+      if (backends[i].used && backends[i].last_list != list_count) Delist(i);
     }
   }
 
-  // Where there are more nodes than backends, each keeps to a few: backends take fewer connections than there
-  // are nodes, and a node learns of few what it can't of many. Rank by node and backend (rendezvous hashing)
-  // spreads the nodes and moves little as the list changes; the next stands in for one out of service.
-  void ChooseMembers() {
-    if (std::exchange(chosen, true)) return;
+  // With more nodes than backends, each node uses a subset: backends accept fewer connections than there are
+  // nodes, and a node learns more about few backends. Rendezvous hashing by node and backend spreads the
+  // nodes and limits changes when the list changes; the next in rank replaces a backend out of service.
+  void ChooseSubset() {
+    if (std::exchange(subset_current, true)) return;
     double count = static_cast<double>(ready());
-    sparse = turn.set.nodes > count;
-    members.clear();
-    double want = !sparse ? 0 : turn.probes_each > 0 ? kProbedMembers : kMembers, in_service = 0;
+    sparse = ctx.cfg.nodes > count;
+    subset.clear();
+    double want = !sparse ? 0 : ctx.probes_per_request > 0 ? kProbedSubset : kSubset, in_service = 0;
     for (auto it = by_rank().begin(); it != by_rank().end() && in_service < want; ++it) {
       const Backend& b = backends[it->second];
-      members.push_back(it->second);
-      in_service += !b.asleep ? 1 : b.only < 0 ? 0 : 0.5;
+      subset.push_back(it->second);
+      in_service += !b.asleep ? 1 : b.asleep_class < 0 ? 0 : 0.5;
     }
-    double kept = sparse ? static_cast<double>(members.size()) : count;
-    sharers = std::max(1.0, turn.set.nodes * kept / std::max(1.0, count));
+    double in_use = sparse ? static_cast<double>(subset.size()) : count;
+    sharers = std::max(1.0, ctx.cfg.nodes * in_use / std::max(1.0, count));
   }
 
-  // A backend the list no longer names. Where gone alone does not bind, it stays usable as it was.
-  void Withdraw(uint32_t i) {
-    if (backends[i].withdrawn) return;
-    Backend& b = Change(i);
-    b.withdrawn = true;
-    if (b.state == BackendState::kReady && turn.set.gone_binds) b.state = BackendState::kGone;
+  // Handles a backend that the list no longer names. Without gone_binds it stays usable.
+  void Delist(uint32_t i) {
+    if (backends[i].delisted) return;
+    Backend& b = Modify(i);
+    b.delisted = true;
+    if (b.state == BackendState::kReady && ctx.cfg.gone_binds) b.state = BackendState::kGone;
   }
 
-  void TakeEntry(const BackendEntry& e) {
+  void ApplyEntry(const BackendEntry& e) {
     const uint32_t* known = Find(e.id);
-    const bool fresh = known == nullptr;
-    if (e.state == BackendState::kGone) return fresh ? void() : Withdraw(*known);
-    const uint32_t i = fresh ? Add(e.id) : *known;
-    Backend& b = Change(i);
-    b.listed = lists;
-    b.withdrawn = false;
-    b.zone = std::clamp(e.zone, 0, state::kMostPlaces - 1);
-    b.cell = std::clamp(e.cell, 0, state::kMostPlaces - 1);
-    b.kind = std::clamp(e.kind, 0, state::kMostPlaces - 1);
-    if (kinds.size() <= static_cast<size_t>(b.kind)) kinds.resize(b.kind + 1, 0.5);
-    if (fresh) {
-      b.rank = kit::Mix(kit::Mix(e.id) + static_cast<uint64_t>(turn.set.node_index));
-      b.limit = kFirstLimit;
-      b.payoff = kinds[b.kind];  // new servers start at the mean, of their kind
-      b.up_since = turn.now;
-      b.retries = kMostRetriesTo;
+    const bool is_new = known == nullptr;
+    if (e.state == BackendState::kGone) return is_new ? void() : Delist(*known);
+    const uint32_t i = is_new ? Add(e.id) : *known;
+    Backend& b = Modify(i);
+    b.last_list = list_count;
+    b.delisted = false;
+    b.zone = std::clamp(e.zone, 0, state::kMaxPlaces - 1);
+    b.cell = std::clamp(e.cell, 0, state::kMaxPlaces - 1);
+    b.kind = std::clamp(e.kind, 0, state::kMaxPlaces - 1);
+    if (kind_payoff.size() <= static_cast<size_t>(b.kind)) kind_payoff.resize(b.kind + 1, 0.5);
+    if (is_new) {
+      b.rank = kit::Mix(kit::Mix(e.id) + static_cast<uint64_t>(ctx.cfg.node_index));
+      b.limit = kInitialLimit;
+      b.payoff = kind_payoff[b.kind];  // new backends start at the mean of their kind
+      b.up_since = ctx.now;
+      b.retry_budget = kMaxRetryBudget;
     }
     zones = std::max(zones, b.zone + 1);
-    if (turn.set.advertised_sizes) b.size = e.size;
+    if (ctx.cfg.advertised_sizes) b.size = e.size;
     const bool was_ready = std::exchange(b.state, e.state) == BackendState::kReady;
     if (e.state != BackendState::kReady) return;
-    if (e.started_at > b.cold_from && e.started_at + turn.set.warm_after > turn.now)
-      MarkCold(b, e.started_at);
-    if (!fresh && !was_ready) b.up_since = turn.now;
+    if (e.started_at > b.cold_from && e.started_at + ctx.cfg.warm_after > ctx.now) MarkCold(b, e.started_at);
+    if (!is_new && !was_ready) b.up_since = ctx.now;
   }
 
-  // Each node begins at a random point of its first request's wait, all together at the allowed rate.
+  // Starting credit is random, so that all nodes together send their first requests at the allowed rate.
   void MarkCold(Backend& b, Micros from) {
     b.cold_from = from;
-    b.cold_until = from + turn.set.warm_after;
-    b.first_work = classes.least;
-    b.credit = turn.Uniform() * b.first_work;
-    b.credited_at = b.up_since = turn.now;
-    b.limit = std::min(b.limit, kFirstLimit);
-    b.failures = 0, b.wake_at = std::min(b.wake_at, turn.now);  // what slept was its earlier life
+    b.cold_until = from + ctx.cfg.warm_after;
+    b.min_cold_work = classes.min_work;
+    b.cold_credit = ctx.Uniform() * b.min_cold_work;
+    b.credit_updated_at = b.up_since = ctx.now;
+    b.limit = std::min(b.limit, kInitialLimit);
+    b.failures = 0, b.wake_at = std::min(b.wake_at, ctx.now);  // its sleep belonged to the previous process
   }
-  // A cold backend's budget is earned evenly, each node's part by itself, and kept for half a window: where a
-  // request takes longer to earn, it is earned anew then. Work is the class's usual latency against one core.
-  double ColdRate(const Backend& b, double parts) const {
-    return kColdSafety * turn.set.overload_factor * Capacity(b, turn.now) / parts;
+  // Credit for a cold backend grows at a constant rate at each node and is capped at half a window; credit
+  // for a request above the cap wraps around instead. Work is the class's usual latency on one core.
+  double ColdCreditRate(const Backend& b, double sharing) const {
+    return kColdSafety * ctx.cfg.overload_factor * Capacity(b, ctx.now) / sharing;
   }
-  double Credit(const Backend& b, double parts) const {
-    return b.credit + ColdRate(b, parts) * static_cast<double>(turn.now - b.credited_at);
+  double ColdCredit(const Backend& b, double sharing) const {
+    return b.cold_credit + ColdCreditRate(b, sharing) * static_cast<double>(ctx.now - b.credit_updated_at);
   }
-  bool ColdAllows(Backend& b, double work) const {
-    const double least = std::max(work, b.first_work), earned = Credit(b, sharers);
-    const double most = ColdRate(b, sharers) * static_cast<double>(turn.set.overload_window) / 2;
-    b.credit = most < least ? std::fmod(earned, least + most) : std::min(most, earned);
-    return b.credited_at = turn.now, b.credit >= least;
+  bool ColdCreditAllows(Backend& b, double work) const {
+    const double need = std::max(work, b.min_cold_work), earned = ColdCredit(b, sharers);
+    const double cap = ColdCreditRate(b, sharers) * static_cast<double>(ctx.cfg.overload_window) / 2;
+    b.cold_credit = cap < need ? std::fmod(earned, need + cap) : std::min(cap, earned);
+    return b.credit_updated_at = ctx.now, b.cold_credit >= need;
   }
-  // When it can take the least of requests again, at the latest: the rate only grows.
-  Micros EarnedAt(const Backend& b, double parts) const {
-    double missing = b.first_work - Credit(b, parts);
-    if (turn.now >= b.cold_until || missing <= 0) return turn.now;
-    double wait = std::min(missing / ColdRate(b, parts), static_cast<double>(turn.set.warm_after));
-    return std::min(b.cold_until, turn.now + 1 + static_cast<Micros>(wait));
+  // Upper bound of the time at which credit suffices for the smallest request: the rate only grows.
+  Micros ColdCreditAt(const Backend& b, double sharing) const {
+    double missing = b.min_cold_work - ColdCredit(b, sharing);
+    if (ctx.now >= b.cold_until || missing <= 0) return ctx.now;
+    double wait = std::min(missing / ColdCreditRate(b, sharing), static_cast<double>(ctx.cfg.warm_after));
+    return std::min(b.cold_until, ctx.now + 1 + static_cast<Micros>(wait));
   }
 
-  // A sparse node visits one backend seldom: what it sees of a kind of machine counts as much.
-  double Payoff(const Backend& b) const { return b.payoff + (sparse ? kinds[b.kind] : 0); }
-  void Reward(Backend& b, double payoff) {
-    b.payoff += kSmooth * (payoff - b.payoff);
-    kinds[b.kind] += kSmooth * (payoff - kinds[b.kind]);
+  // A sparse node sees each backend seldom, so the payoff of its kind of machine counts as much.
+  double Payoff(const Backend& b) const { return b.payoff + (sparse ? kind_payoff[b.kind] : 0); }
+  void UpdatePayoff(Backend& b, double payoff) {
+    b.payoff += kSmoothing * (payoff - b.payoff);
+    kind_payoff[b.kind] += kSmoothing * (payoff - kind_payoff[b.kind]);
   }
 
-  // A subscription is asked for again with a jittered back-off that stays well within the must-ask time.
-  bool WantsList() const { return turn.set.must_subscribe && !subscribed; }
-  void KeepSubscribed() {
-    if (!WantsList() || turn.now < ask_at) return;
-    turn.act->Subscribe();
-    ask_wait = std::clamp<Micros>(ask_wait * 2, turn.set.must_ask_within / 10, turn.set.must_ask_within / 3);
-    ask_at = turn.now + static_cast<Micros>(static_cast<double>(ask_wait) * (0.75 + 0.5 * turn.Uniform()));
+  // Subscribes again with jittered back-off, well within must_ask_within.
+  bool NeedsSubscription() const { return ctx.cfg.must_subscribe && !subscribed; }
+  void RenewSubscription() {
+    if (!NeedsSubscription() || ctx.now < retry_at) return;
+    ctx.sink->Subscribe();
+    retry_in = std::clamp<Micros>(retry_in * 2, ctx.cfg.must_ask_within / 10, ctx.cfg.must_ask_within / 3);
+    retry_at = ctx.now + static_cast<Micros>(static_cast<double>(retry_in) * (0.75 + 0.5 * ctx.Uniform()));
   }
 };
 
--- a/src/policy/health.h
+++ b/src/policy/health.h
@@ -1,4 +1,4 @@
-// Health: a sleep that doubles, ended by one trial.
+// Passive health checks: failures put a backend to sleep for a time that doubles; one trial ends the sleep.
 #ifndef MEADOWSLIP_SRC_POLICY_HEALTH_H_
 #define MEADOWSLIP_SRC_POLICY_HEALTH_H_
 
@@ -6,62 +6,62 @@
 
 namespace meadowslip::policy {
 
-constexpr int kFailuresInARow = 5;        // fewer, and chance resets or silences put sound servers to sleep
-constexpr int kSparseFailuresInARow = 2;  // a node that visits a backend once in seconds can't wait for more
+constexpr int kFailureThreshold = 5;        // lower values put healthy backends to sleep on random resets
+constexpr int kSparseFailureThreshold = 2;  // a sparse node sees a backend too seldom for more
 constexpr Micros kFirstSleep = 1 * kSecond;
-constexpr Micros kLongestSleep = 30 * kSecond;
+constexpr Micros kMaxSleep = 30 * kSecond;
 constexpr Micros kHoldDown = 5 * kSecond;
 constexpr Micros kStartGrace = 3 * kSecond;
-constexpr double kMostAsleep = 0.5;  // of the ready backends; beyond it the fault is not a server's
+constexpr double kMaxAsleepShare = 0.5;  // of the ready backends; beyond it the cause is elsewhere
 
 struct Health {
-  const Turn& turn;
+  const Context& ctx;
   Fleet& fleet;
 
-  // A backend may fail one class and serve the others: a success clears the row only if its own class failed
-  // in it, and a row of one class that others came through puts the backend to sleep for that class alone.
-  // Harm: a class of few requests that fails now and then by chance sleeps too.
+  // A backend may fail one class and serve others: a success clears the row only if its own class failed in
+  // it, and a row of one class in which others succeeded puts the backend to sleep for that class alone.
+  // Drawback: a class of few requests that fails now and then at random also sleeps.
   void OnFailure(Backend& b, int cls, bool trial) {
-    if (turn.now - b.up_since < kStartGrace && !trial) return;  // grace after start
-    if (b.Asleep(cls)) {
-      if (trial) FailureEvent(b);
+    if (ctx.now - b.up_since < kStartGrace && !trial) return;  // grace after a start
+    if (b.AsleepFor(cls)) {
+      if (trial) PutToSleep(b);
       return;
     }
-    b.failing |= Bit(cls);
-    if (++b.failures >= EnoughFailures() && RoomToSleep()) {
-      b.only = b.others_served && b.failing == Bit(cls) ? cls : -1;
-      FailureEvent(b);
+    b.failed_classes |= ClassBit(cls);
+    if (++b.failures >= FailureThreshold() && MaySleepMore()) {
+      b.asleep_class = b.others_succeeded && b.failed_classes == ClassBit(cls) ? cls : -1;
+      PutToSleep(b);
     }
   }
-  int EnoughFailures() const { return fleet.sparse ? kSparseFailuresInARow : kFailuresInARow; }
-  static uint64_t Bit(int cls) { return uint64_t{1} << std::min(cls, 63); }
+  int FailureThreshold() const { return fleet.sparse ? kSparseFailureThreshold : kFailureThreshold; }
+  static uint64_t ClassBit(int cls) { return uint64_t{1} << std::min(cls, 63); }
 
-  // Many failing at once are not each at fault (the network, or a bad kind of request): cap the sleepers.
-  bool RoomToSleep() const {
-    return 1 + fleet.all().asleep <= kMostAsleep * static_cast<double>(fleet.ready());
+  // Many simultaneous failures have a common cause (network, bad kind of request): limits the sleepers.
+  bool MaySleepMore() const {
+    return 1 + fleet.totals().asleep <= kMaxAsleepShare * static_cast<double>(fleet.ready());
   }
 
-  void FailureEvent(Backend& b) {
-    b.sleep = std::clamp(b.sleep * 2, kFirstSleep, kLongestSleep);
+  void PutToSleep(Backend& b) {
+    b.sleep = std::clamp(b.sleep * 2, kFirstSleep, kMaxSleep);
     b.asleep = true;
-    fleet.chosen = false;
-    b.wake_at = turn.now + b.sleep;
-    b.lost_at = turn.now;
-    b.failures = static_cast<int>(b.failing = 0);
+    fleet.subset_current = false;
+    b.wake_at = ctx.now + b.sleep;
+    b.failed_at = ctx.now;
+    b.failures = static_cast<int>(b.failed_classes = 0);
   }
 
   void OnSuccess(Backend& b, int cls, bool trial) {
-    b.others_served = fleet.sparse && b.failures > 0 && (b.failing & Bit(cls)) == 0;
-    if (!b.others_served) b.failures = static_cast<int>(b.failing = 0);
+    b.others_succeeded = fleet.sparse && b.failures > 0 && (b.failed_classes & ClassBit(cls)) == 0;
+    if (!b.others_succeeded) b.failures = static_cast<int>(b.failed_classes = 0);
     b.served = true;
-    b.turned_away = 0;
-    // Back after nothing but refused connections: most likely a new process, which no list has announced yet.
-    // One alone is chance; taking it for a restart cost a warm backend most of its limit.
-    if (std::exchange(b.refused_connections, 0) >= EnoughFailures()) fleet.MarkCold(b, turn.now);
-    if (!trial || !b.Asleep(cls)) return;
-    b.asleep = fleet.chosen = false;  // instant return
-    b.limit = std::min(b.limit, kFirstLimit);
-    if (turn.now - b.lost_at >= kHoldDown) b.sleep /= 2;  // only shrinks; and not at all in the hold-down
+    b.rejections = 0;
+    // After refused connections only, a success most likely means a restart that no list has announced yet. A
+    // single refusal is no evidence: taking it for a restart cost a warm backend most of its limit.
+    if (std::exchange(b.refused_connections, 0) >= FailureThreshold()) fleet.MarkCold(b, ctx.now);
+    if (!trial || !b.AsleepFor(cls)) return;
+    b.asleep = fleet.subset_current = false;  // back in service at once
+    b.limit = std::min(b.limit, kInitialLimit);
+    if (ctx.now - b.failed_at >= kHoldDown) b.sleep /= 2;  // kept within the hold-down
   }
 };
 
--- a/src/policy/load.h
+++ b/src/policy/load.h
@@ -1,4 +1,4 @@
-// Load: the limit on requests in flight, what backends report, and which could take a request now.
+// Load: the limit on requests in flight, load reports, and which backends can take a request now.
 #ifndef MEADOWSLIP_SRC_POLICY_LOAD_H_
 #define MEADOWSLIP_SRC_POLICY_LOAD_H_
 
@@ -6,153 +6,154 @@
 
 namespace meadowslip::policy {
 
-using state::Door;
+using state::Usable;
 
 constexpr double kLimitGain = 0.1;  // added to the fleet's limit for each prompt answer
-constexpr double kInUse = 0.5;      // of the node's limit: below it prompt answers say nothing of more
-constexpr double kLimitCut = 0.1;   // share taken off for each slow one
-constexpr double kLeastLimit = 1;   // twice that for sparse nodes
-constexpr double kMostLimit = 256;
-constexpr Micros kReportAge = 8;  // parts of the aim for which a report counts
-constexpr double kBurst = 6;      // usual latencies for which a sparse node may have one request too many
-constexpr double kReserve = 0.6;  // of that burst, left by the class of least value
+constexpr double kInUse = 0.5;      // of the node's limit; below it, prompt answers do not raise limits
+constexpr double kLimitCut = 0.1;   // share subtracted for each slow answer
+constexpr double kMinLimit = 1;     // doubled for sparse nodes
+constexpr double kMaxLimit = 256;
+constexpr Micros kReportAgeDivisor = 8;  // a report is fresh for the shortest aim divided by this
+constexpr double kBurst = 6;             // usual latencies of one request above a sparse node's share
+constexpr double kReserve = 0.6;         // share of that burst which the class of least value leaves
 
 struct Load {
-  const Turn& turn;
+  const Context& ctx;
   Fleet& fleet;
   Classes& classes;
-  std::vector<uint32_t> reviewed = {};  // in this event, while
-  bool waited_for = false;              // requests wait for groups
-  bool room = false;                    // of a sparse node's members
+  std::vector<uint32_t> reviewed = {};  // during this event, if track_reviewed
+  bool track_reviewed = false;          // set while requests wait for groups
+  bool room = false;                    // in a sparse node's subset
   bool none_in_service = false;
-  double spare = 0;  // time of requests in flight under this node's part
-  Micros surveyed_at = 0;
-  int out = 0;  // attempts
+  double spare = 0;  // unused share of this node: requests in flight times time
+  Micros refreshed_at = 0;
+  int pending = 0;  // attempts in flight, without overdue ones
   double node_limit = 1;
 
-  // The limit on requests in flight: up a little with each prompt answer while it is in use, down with each
-  // slow one, as in TCP. It is kept for all nodes together, each taking its part, so that many nodes crowd a
-  // backend no more than few do. A backend's pace is its latency against its classes' where it is calm.
-  void NotePace(Backend& b, Learned& c, double took, bool queue) {
-    b.pace += kSmooth * (c.Pace(took, queue || out >= node_limit / 2) - b.pace);
+  // Limit on requests in flight, adjusted as in TCP: a prompt answer raises it while it is in use, a slow one
+  // lowers it. It holds for all nodes together, each using its share, so that many nodes load a backend like
+  // few. Slowdown: latency relative to the uncrowded latency of the class.
+  void UpdateSlowdown(Backend& b, ClassStats& c, double duration, bool queue) {
+    b.slowdown += kSmoothing * (c.Slowdown(duration, queue || pending >= node_limit / 2) - b.slowdown);
   }
 
-  void Adapt(Backend& b, bool slow) {
-    if (fleet.sparse) {  // it hears of one backend too seldom: what it hears of one goes for all it keeps to
-      for (uint32_t i : fleet.members) Move(fleet.Change(i), slow, spare < kInUse * kBurst * classes.usual);
+  void Adjust(Backend& b, bool slow) {
+    if (fleet.sparse) {  // one answer adjusts the whole subset: a sparse node sees each too seldom
+      for (uint32_t i : fleet.subset) Move(fleet.Modify(i), slow, spare < kInUse * kBurst * classes.slowest);
     } else {
-      Move(b, slow, Part(b) >= 1 ? b.in_flight + 1 >= Part(b) : out + 1 >= node_limit * kInUse);
+      Move(b, slow, NodeShare(b) >= 1 ? b.in_flight + 1 >= NodeShare(b) : pending + 1 >= node_limit * kInUse);
     }
   }
   void Move(Backend& b, bool slow, bool in_use) {
     if (slow) {
-      b.limit = std::max(fleet.sparse ? 2 * kLeastLimit : kLeastLimit, b.limit * (1 - kLimitCut));
+      b.limit = std::max(fleet.sparse ? 2 * kMinLimit : kMinLimit, b.limit * (1 - kLimitCut));
     } else if (in_use) {
-      b.limit = std::min(kMostLimit, b.limit + kLimitGain);
+      b.limit = std::min(kMaxLimit, b.limit + kLimitGain);
     }
   }
 
-  double Limit(const Backend& b) const { return b.limit * fleet.Capacity(b, turn.now); }
-  double Part(const Backend& b) const { return Limit(b) / fleet.sharers; }
+  double Limit(const Backend& b) const { return b.limit * fleet.Capacity(b, ctx.now); }
+  double NodeShare(const Backend& b) const { return Limit(b) / fleet.sharers; }
 
-  // What a round of sends starts from.
-  void Survey() {
-    classes.Survey();
-    fleet.ChooseMembers();
-    double sum = fleet.Limits(fleet.all(), turn.now) / fleet.sharers;
-    none_in_service = fleet.all().in_service == 0;
+  // Computes the node's limits before a round of sends.
+  void Refresh() {
+    classes.Refresh();
+    fleet.ChooseSubset();
+    double sum = fleet.TotalLimit(fleet.totals(), ctx.now) / fleet.sharers;
+    none_in_service = fleet.totals().in_service == 0;
     if (fleet.sparse) {
       sum = room = !(none_in_service = true);
-      for (uint32_t i : fleet.members) {
+      for (uint32_t i : fleet.subset) {
         const Backend& b = fleet.backends[i];
         room |= HasRoom(b, true, [](Micros) {});
         none_in_service &= b.OutOfService();
-        if (!b.OutOfService()) sum += Part(b);
+        if (!b.OutOfService()) sum += NodeShare(b);
       }
     }
     node_limit = std::max(1.0, sum);
-    spare += (sum - out) * static_cast<double>(turn.now - std::exchange(surveyed_at, turn.now));
-    spare = std::min(kBurst * classes.usual, spare);
+    spare += (sum - pending) * static_cast<double>(ctx.now - std::exchange(refreshed_at, ctx.now));
+    spare = std::min(kBurst * classes.slowest, spare);
   }
 
-  // A sparse node keeps to its part over time, not at each moment, or bursts would wait while backends idle.
-  // Requests of less value leave some of it to better ones.
-  bool NodeHasRoom() const { return fleet.sparse ? spare > 0 : out < node_limit; }
+  // A sparse node keeps to its share on average over time, so that bursts need not wait while backends idle.
+  // Requests of low value leave part of the burst to those of higher value.
+  bool NodeHasRoom() const { return fleet.sparse ? spare > 0 : pending < node_limit; }
   bool NodeHasRoom(double value) const {
     if (!fleet.sparse) return NodeHasRoom();
-    const std::vector<RequestClass>& all = turn.set.classes;
+    const std::vector<RequestClass>& defined = ctx.cfg.classes;
     double better = 0;
-    for (int k = 0; k < std::ssize(all); ++k) better += classes.Value(k, all[k].worth) > value * 1.01;
-    return spare > kReserve * kBurst * classes.usual * better / static_cast<double>(all.size());
+    for (int k = 0; k < std::ssize(defined); ++k) better += classes.Value(k, defined[k].worth) > value * 1.01;
+    return spare > kReserve * kBurst * classes.slowest * better / static_cast<double>(defined.size());
   }
-  // Nodes elsewhere prefer their own zones too.
+  // The own zone's share counts times the zones, since other nodes prefer their own zones too.
   bool OwnZoneHasRoom() const {
-    return fleet.own().in_flight < fleet.Limits(fleet.own(), turn.now) / fleet.sharers * fleet.zones;
+    return fleet.zone_totals().in_flight <
+           fleet.TotalLimit(fleet.zone_totals(), ctx.now) / fleet.sharers * fleet.zones;
   }
-  bool AnyRoom() { return fleet.sparse ? room : !fleet.Open(state::kAnywhere, none_in_service).empty(); }
-  bool TrialDue() const { return !fleet.sleepers().empty() && fleet.sleepers().begin()->first <= turn.now; }
-
-  // Where time alone may end what closes it, `look` hears when.
-  bool HasRoom(const Backend& b, bool sparse, const auto& look) const {
-    if (turn.now < b.full_until) return look(b.full_until), false;
-    if (FreshReport(b) && b.reported >= std::max(1.0, Limit(b)))
-      return look(b.reported_at + ReportAge()), false;
-    // An overdue attempt may be lost: it must not keep a place until its client gives up.
-    const double held = (b.in_flight - (sparse ? 0 : b.overdue)) * (sparse ? fleet.sharers : turn.set.nodes);
+  bool AnyRoom() { return fleet.sparse ? room : !fleet.Available(state::kAnywhere, none_in_service).empty(); }
+  bool TrialDue() const { return !fleet.sleepers().empty() && fleet.sleepers().begin()->first <= ctx.now; }
+
+  // Where the passage of time alone can free capacity, `due` receives that time.
+  bool HasRoom(const Backend& b, bool sparse, const auto& due) const {
+    if (ctx.now < b.full_until) return due(b.full_until), false;
+    if (HasFreshReport(b) && b.reported >= std::max(1.0, Limit(b)))
+      return due(b.reported_at + MaxReportAge()), false;
+    // An overdue attempt may be lost, so it does not occupy capacity until its client gives up.
+    const double held = (b.in_flight - (sparse ? 0 : b.overdue)) * (sparse ? fleet.sharers : ctx.cfg.nodes);
     if (held < Limit(b)) return true;
-    if (held < b.limit) look(fleet.CapacityAt(b, held / b.limit));
+    if (held < b.limit) due(fleet.CapacityReachedAt(b, held / b.limit));
     return false;
   }
 
-  // How a backend stands now, after an event on it or at its moment, for a node that keeps to all.
+  // Computes and stores a backend's status after an event on it or at its review time, if not sparse.
   void Review(uint32_t i) {
     Backend& b = fleet.backends[i];
-    if (waited_for) reviewed.push_back(i);
+    if (track_reviewed) reviewed.push_back(i);
     if (!b.used) return;
-    state::Standing now;
-    const auto look = [&](Micros at) { now.next = std::min(now.next, std::max(at, turn.now + 1)); };
-    bool gone = Outlived(b) && b.held_by == 0;  // but a relapse within its sleep is remembered
-    if (gone && turn.now < b.SleptOutAt()) look(b.SleptOutAt()), gone = false;
-    now.ready = b.state == BackendState::kReady && !gone;
+    state::BackendStatus now;
+    const auto due = [&](Micros at) { now.review_at = std::min(now.review_at, std::max(at, ctx.now + 1)); };
+    bool obsolete = Obsolete(b) && b.references == 0;  // failure history is kept for one sleep
+    if (obsolete && ctx.now < b.SleepEndsAt()) due(b.SleepEndsAt()), obsolete = false;
+    now.ready = b.state == BackendState::kReady && !obsolete;
     if (now.ready) {
-      now.adds = fleet.Adds(b, turn.now);
-      if (turn.now < b.cold_until) look(turn.now < b.cold_from ? b.cold_from : b.cold_until);
-      const Micros earned = fleet.EarnedAt(b, turn.set.nodes);
-      if (earned > turn.now) look(earned);
-      if (HasRoom(b, false, look) && earned <= turn.now)
-        now.door = b.OutOfService() ? Door::kOpenAsleep : Door::kOpen;
-      if (now.door == Door::kOpen && FreshReport(b)) {
-        now.reports = b.reported / b.size;
-        look(b.reported_at + ReportAge());
+      now.contribution = fleet.TotalsOf(b, ctx.now);
+      if (ctx.now < b.cold_until) due(ctx.now < b.cold_from ? b.cold_from : b.cold_until);
+      const Micros earned = fleet.ColdCreditAt(b, ctx.cfg.nodes);
+      if (earned > ctx.now) due(earned);
+      if (HasRoom(b, false, due) && earned <= ctx.now)
+        now.usable = b.OutOfService() ? Usable::kYesAsleep : Usable::kYes;
+      if (now.usable == Usable::kYes && HasFreshReport(b)) {
+        now.reported_load = b.reported / b.size;
+        due(b.reported_at + MaxReportAge());
       }
-      if (b.asleep && !b.trial_out) now.wakes = b.wake_at;
-      if (b.asleep && b.wake_at > turn.now) look(b.wake_at);
+      if (b.asleep && !b.trial_pending) now.wakes_at = b.wake_at;
+      if (b.asleep && b.wake_at > ctx.now) due(b.wake_at);
     }
-    fleet.chosen &= !fleet.File(i, now);
-    if (gone) fleet.Forget(i);
+    fleet.subset_current &= !fleet.SetStatus(i, now);
+    if (obsolete) fleet.FreeSlot(i);
   }
-  // Not listed, and not to be sent to. Where gone alone does not bind, the longest sleep ends it.
-  static bool Outlived(const Backend& b) {
-    return b.withdrawn && (b.state != BackendState::kReady || (b.OutOfService() && b.sleep >= kLongestSleep));
+  // Delisted and not usable. Without gone_binds, usable until it has slept for the maximum time.
+  static bool Obsolete(const Backend& b) {
+    return b.delisted && (b.state != BackendState::kReady || (b.OutOfService() && b.sleep >= kMaxSleep));
   }
 
   void Advance(bool group_waits) {
-    waited_for = group_waits;
+    track_reviewed = group_waits;
     reviewed.clear();
-    while (fleet.Due(turn.now)) Review(fleet.NextDue());
+    while (fleet.ReviewDue(ctx.now)) Review(fleet.NextReview());
     ReviewChanged();
   }
   void ReviewChanged() {
-    for (uint32_t i = 0; fleet.TakeChanged(i);) Review(i);
+    for (uint32_t i = 0; fleet.NextChanged(i);) Review(i);
   }
 
-  void TakeReport(Backend& b, std::span<const float> load) {
-    if (turn.load_column >= load.size() || !std::isfinite(load[turn.load_column])) return;
-    b.reported = std::max(0.0f, load[turn.load_column]);
-    b.reported_at = turn.now;
+  void ApplyReport(Backend& b, std::span<const float> load) {
+    if (ctx.load_field >= load.size() || !std::isfinite(load[ctx.load_field])) return;
+    b.reported = std::max(0.0f, load[ctx.load_field]);
+    b.reported_at = ctx.now;
   }
-  Micros ReportAge() const { return turn.tightest_aim / kReportAge; }
-  bool FreshReport(const Backend& b) const { return turn.now - b.reported_at < ReportAge(); }
+  Micros MaxReportAge() const { return ctx.min_aim / kReportAgeDivisor; }
+  bool HasFreshReport(const Backend& b) const { return ctx.now - b.reported_at < MaxReportAge(); }
 };
 
 }  // namespace meadowslip::policy
--- a/src/policy/pick.h
+++ b/src/policy/pick.h
@@ -1,4 +1,4 @@
-// Pick: which backend a request goes to, and which are asked for their load before.
+// Backend choice for a request, and load probes before it.
 #ifndef MEADOWSLIP_SRC_POLICY_PICK_H_
 #define MEADOWSLIP_SRC_POLICY_PICK_H_
 
@@ -7,135 +7,135 @@
 namespace meadowslip::policy {
 
 constexpr uint32_t kNone = std::numeric_limits<uint32_t>::max();
-constexpr Micros kProbeWait = 40;  // parts of the aim that a request waits for its probes
-constexpr double kUnheard = std::numeric_limits<double>::infinity();  // without a fresh report
-constexpr double kAsGood = 0.5;                                       // of a request more than the least
-constexpr double kZonePriceThatCounts = 0.01;
-constexpr size_t kMostLooks = 32;  // at backends for one draw: where so many in a row may not, it waits
+constexpr Micros kProbeWaitDivisor = 40;  // a request waits for its probes the shortest aim divided by this
+constexpr double kUnreported = std::numeric_limits<double>::infinity();  // load without a fresh report
+constexpr double kTolerance = 0.5;                                       // of a request above the lowest load
+constexpr double kMinZonePrice = 0.01;
+constexpr size_t kMaxChecks = 32;  // backends checked in one draw; if all are rejected, the request waits
 
 struct Picker {
-  Turn& turn;
+  Context& ctx;
   const Classes& classes;
   Fleet& fleet;
   Load& load;
   const Rules& rules;
-  std::vector<std::pair<double, uint32_t>> candidates = {};  // with the load that they report
-  int probes_out = 0;
+  std::vector<std::pair<double, uint32_t>> candidates = {};  // with their reported load
+  int probes_pending = 0;
 
-  // Where own requests are too few to show a backend's load and probes cost next to nothing, a few backends
-  // drawn at random are asked before a request is sent, which waits for them for a small part of its aim.
-  bool ProbeFor(Held& r) {
-    if (turn.probes_each == 0) return false;
-    const auto most = static_cast<size_t>(turn.probes_each);
-    fleet.ChooseMembers();
-    std::vector<uint32_t> asked;
+  // Where a node sees too few requests to know a backend's load, and probes cost next to nothing, a few
+  // random backends are probed before a request is sent. It waits for them for a small part of its aim.
+  bool SendProbes(HeldRequest& r) {
+    if (ctx.probes_per_request == 0) return false;
+    const auto most = static_cast<size_t>(ctx.probes_per_request);
+    fleet.ChooseSubset();
+    std::vector<uint32_t> to_probe;
     if (fleet.sparse) {
-      std::ranges::copy_if(fleet.members, std::back_inserter(asked),
+      std::ranges::copy_if(fleet.subset, std::back_inserter(to_probe),
                            [&](uint32_t i) { return !fleet.backends[i].asleep && rules.Allowed(r, i); });
-      std::ranges::shuffle(asked, turn.random);
-      asked.resize(std::min(asked.size(), most));
+      std::ranges::shuffle(to_probe, ctx.random);
+      to_probe.resize(std::min(to_probe.size(), most));
     } else {
       Draw(kAnywhere, [&](uint32_t i) {
-        if (rules.Allowed(r, i)) asked.push_back(i);
-        return asked.size() >= most;
+        if (rules.Allowed(r, i)) to_probe.push_back(i);
+        return to_probe.size() >= most;
       });
     }
-    for (uint32_t i : asked) {
+    for (uint32_t i : to_probe) {
       Backend& b = fleet.backends[i];
-      if (turn.now - std::max(b.probed_at, b.reported_at) < turn.tightest_aim / kProbeWait) continue;
-      b.probed_at = turn.now;
-      ++probes_out;
-      turn.act->Probe(b.id);
+      if (ctx.now - std::max(b.probed_at, b.reported_at) < ctx.min_aim / kProbeWaitDivisor) continue;
+      b.probed_at = ctx.now;
+      ++probes_pending;
+      ctx.sink->Probe(b.id);
     }
-    r.hold_until = turn.now + turn.tightest_aim / kProbeWait;
+    r.probe_wait_until = ctx.now + ctx.min_aim / kProbeWaitDivisor;
     return true;
   }
 
   void OnProbe(const ProbeResult& result) {
     const uint32_t* i = fleet.Find(result.backend);
-    probes_out = std::max(0, probes_out - 1);
-    if (i != nullptr && result.ok) load.TakeReport(fleet.Change(*i), result.load);  // else no failure event
+    probes_pending = std::max(0, probes_pending - 1);
+    if (i != nullptr && result.ok) load.ApplyReport(fleet.Modify(*i), result.load);  // else no failure
   }
 
-  // A sleeper that is due for its trial. Unsafe requests are spared unless no safe one came for as long
-  // again.
-  uint32_t DueTrial(const Held& r) {
-    bool safe = turn.set.classes[r.cls].idempotency == Idempotency::kSafe;
-    size_t looks = 0;
+  // Returns a backend whose trial is due. Prefers safe requests: an unsafe one is taken only if no safe one
+  // came for as long again as the sleep.
+  uint32_t FindDueTrial(const HeldRequest& r) {
+    bool safe = ctx.cfg.classes[r.cls].idempotency == Idempotency::kSafe;
+    size_t checked = 0;
     for (auto [wake_at, i] : fleet.sleepers()) {
-      if (wake_at > turn.now || ++looks > kMostLooks) break;
+      if (wake_at > ctx.now || ++checked > kMaxChecks) break;
       const Backend& b = fleet.backends[i];
-      if (!b.Asleep(r.cls) || turn.now < wake_at + (safe ? 0 : b.sleep)) continue;
-      if (fleet.sparse && std::ranges::find(fleet.members, i) == fleet.members.end()) continue;
-      if (rules.Allowed(r, i) && Affords(r, i)) return i;
+      if (!b.AsleepFor(r.cls) || ctx.now < wake_at + (safe ? 0 : b.sleep)) continue;
+      if (fleet.sparse && std::ranges::find(fleet.subset, i) == fleet.subset.end()) continue;
+      if (rules.Allowed(r, i) && WithinBudget(r, i)) return i;
     }
     return kNone;
   }
 
-  uint32_t Pick(const Held& r) {
+  uint32_t Pick(const HeldRequest& r) {
     if (!load.NodeHasRoom(Value(r))) return kNone;
     if (fleet.sparse) {
       candidates.clear();
-      for (uint32_t i : fleet.members) {
+      for (uint32_t i : fleet.subset) {
         const Backend& b = fleet.backends[i];
-        if (!load.HasRoom(b, true, [](Micros) {}) || !MayTake(r, i)) continue;
-        candidates.emplace_back(load.FreshReport(b) ? b.reported / b.size : kUnheard, i);
+        if (!load.HasRoom(b, true, [](Micros) {}) || !Eligible(r, i)) continue;
+        candidates.emplace_back(load.HasFreshReport(b) ? b.reported / b.size : kUnreported, i);
       }
-      return OneOf();
+      return PickCandidate();
     }
-    // Crossing is priced: the own zone first, while this node has less out there than its part of that zone,
-    // or one zone would be crowded while the other idles.
+    // If crossing zones has a price, the own zone comes first while this node is below its share of that
+    // zone; otherwise one zone could be crowded while another idles.
     const std::optional<Group> bounds = rules.Bounds(r);
     uint32_t i = kNone;
-    if (bounds == kAnywhere && turn.set.cross_zone_price >= kZonePriceThatCounts && load.OwnZoneHasRoom())
-      i = PickIn(r, {DedupGroup::kZone, turn.set.own_zone});
-    return i != kNone || !bounds ? i : PickIn(r, *bounds);
+    if (bounds == kAnywhere && ctx.cfg.cross_zone_price >= kMinZonePrice && load.OwnZoneHasRoom())
+      i = PickInGroup(r, {DedupGroup::kZone, ctx.cfg.own_zone});
+    return i != kNone || !bounds ? i : PickInGroup(r, *bounds);
   }
-  double Value(const Held& r) const { return classes.Value(r.cls, r.worth); }
+  double Value(const HeldRequest& r) const { return classes.Value(r.cls, r.worth); }
 
-  // Two draws from those that have room; first from the few that say that they hold least, if any do.
-  uint32_t PickIn(const Held& r, const Group& group) {
+  // Two-draw pick: the better of two random draws; among those of lowest reported load if there are any.
+  uint32_t PickInGroup(const HeldRequest& r, const Group& group) {
     candidates.clear();
-    size_t looks = 0;
-    for (auto [held, i] : fleet.by_report()) {
-      if (++looks > kMostLooks || (!candidates.empty() && held > candidates[0].first + kAsGood)) break;
-      if (Fleet::In(group, fleet.backends[i]) && MayTake(r, i)) candidates.emplace_back(held, i);
+    size_t checked = 0;
+    for (auto [held, i] : fleet.by_reported_load()) {
+      if (++checked > kMaxChecks || (!candidates.empty() && held > candidates[0].first + kTolerance)) break;
+      if (Fleet::InGroup(group, fleet.backends[i]) && Eligible(r, i)) candidates.emplace_back(held, i);
     }
-    if (!candidates.empty()) return OneOf();
-    const auto fits = [&](uint32_t i) { return MayTake(r, i); };
-    const uint32_t x = Draw(group, fits), y = Draw(group, fits);
+    if (!candidates.empty()) return PickCandidate();
+    const auto accepts = [&](uint32_t i) { return Eligible(r, i); };
+    const uint32_t x = Draw(group, accepts), y = Draw(group, accepts);
     return x == kNone || y == kNone ? std::min(x, y) : Better(x, y);
   }
-  uint32_t Draw(const Group& group, const auto& fits) {
-    return fleet.Draw(group, load.none_in_service, kMostLooks, kNone, turn, fits);
+  uint32_t Draw(const Group& group, const auto& accepts) {
+    return fleet.Draw(group, load.none_in_service, kMaxChecks, kNone, ctx, accepts);
   }
 
-  bool MayTake(const Held& r, uint32_t i) {
+  bool Eligible(const HeldRequest& r, uint32_t i) {
     const Backend& b = fleet.backends[i];
-    return b.state == BackendState::kReady && (load.none_in_service || !b.Asleep(r.cls)) &&
-           rules.Allowed(r, i) && Affords(r, i);
+    return b.state == BackendState::kReady && (load.none_in_service || !b.AsleepFor(r.cls)) &&
+           rules.Allowed(r, i) && WithinBudget(r, i);
   }
-  // Each backend has a budget of further tries, and a cold one of work.
-  bool Affords(const Held& r, uint32_t i) {
+  // Each backend has a budget of retries, and a cold one a budget of work.
+  bool WithinBudget(const HeldRequest& r, uint32_t i) {
     Backend& b = fleet.backends[i];
-    if (r.sent > 0 && r.MayHaveRun() && b.retries < 1) return false;
-    const Learned& c = classes.learned[r.cls];
-    if (turn.now >= b.cold_until) return true;
-    return state::MayTryCold(classes.learned, r.cls) && fleet.ColdAllows(b, c.ColdWork(r.size));
+    if (r.sent > 0 && r.MayHaveRun() && b.retry_budget < 1) return false;
+    const ClassStats& c = classes.stats[r.cls];
+    if (ctx.now >= b.cold_until) return true;
+    return state::MaySendToCold(classes.stats, r.cls) && fleet.ColdCreditAllows(b, c.ColdWork(r.size));
   }
 
-  // Of the candidates with fresh reports, those that hold least stand for the draws: a backend's own word on
-  // its load goes before this node's small part of it. Without fresh reports all stand.
-  uint32_t OneOf() {
-    double least = kUnheard;
+  // Two-draw pick among the candidates of lowest fresh report, since a backend's own report is better than
+  // this node's view of its load. Without fresh reports, among all.
+  uint32_t PickCandidate() {
+    double least = kUnreported;
     for (auto& c : candidates) least = std::min(least, c.first);
-    std::erase_if(candidates, [&](auto& c) { return c.first > least + kAsGood; });
-    // Among equals those with a connection: a new one costs the backend work.
+    std::erase_if(candidates, [&](auto& c) { return c.first > least + kTolerance; });
+    // Among equals, backends with a connection: a new one costs the backend work.
     auto unused = [this](auto& c) { return !fleet.backends[c.second].served; };
-    if (least < kUnheard && !std::ranges::all_of(candidates, unused)) std::erase_if(candidates, unused);
+    if (least < kUnreported && !std::ranges::all_of(candidates, unused)) std::erase_if(candidates, unused);
     if (candidates.empty()) return kNone;
-    const uint32_t x = candidates[turn.Below(candidates.size())].second;
-    return Better(x, candidates[turn.Below(candidates.size())].second);
+    const uint32_t x = candidates[ctx.RandomBelow(candidates.size())].second;
+    return Better(x, candidates[ctx.RandomBelow(candidates.size())].second);
   }
 
   uint32_t Better(uint32_t x, uint32_t y) const {
--- a/src/policy/queue.h
+++ b/src/policy/queue.h
@@ -1,4 +1,4 @@
-// Admission and queue: what a request is worth, and which goes out next.
+// Admission and queueing: the worth of a request, and which request is sent next.
 #ifndef MEADOWSLIP_SRC_POLICY_QUEUE_H_
 #define MEADOWSLIP_SRC_POLICY_QUEUE_H_
 
@@ -6,17 +6,17 @@
 
 namespace meadowslip::policy {
 
-constexpr double kRepeatWorth = 0.1;  // of a client's repeat against a first try
-constexpr double kRetryShare = 0.2;   // further attempts earned by each request, of what may have run
-constexpr double kFreeShare = 1;      // and of what has not; all sends stay under 2.2 times the requests
-constexpr double kMostRetries = 20;
-constexpr double kLeastQueue = 100;  // requests that may wait at any rate of service
-constexpr double kEaseOfMind = 2;    // times its usual latency: a request with more time left is safe
-constexpr double kLeastTime = 0.75;  // and with less it is lost
-constexpr uint64_t kTick = 1;        // timers: this, and one for each attempt
+constexpr double kClientRetryWorth = 0.1;  // of a client's retry, relative to a first try
+constexpr double kRetryShare = 0.2;        // retries earned by each request, for attempts that may have run
+constexpr double kFreeRetryShare = 1;      // for the others; total sends stay under 2.2 times the requests
+constexpr double kMaxRetryTokens = 20;
+constexpr double kMinQueueLimit = 100;  // requests that may wait at any rate of service
+constexpr double kOnTimeLatencies = 2;  // usual latencies: with more time left, a request is on time
+constexpr double kMinLatencies = 0.75;  // and with less it can't be answered in time
+constexpr uint64_t kTickTimer = 1;      // timer ids: this, then one for each attempt
 
 struct Queue {
-  const Turn& turn;
+  const Context& ctx;
   Classes& classes;
   Fleet& fleet;
   Load& load;
@@ -24,123 +24,123 @@
   const Rules& rules;
   Picker& picker;
   Sending& sending;
-  std::vector<kit::TokenBucket> shares = std::vector<kit::TokenBucket>(turn.set.tenants.size());
-  kit::TokenBucket retries{kMostRetries};       // of what may have run
-  kit::TokenBucket free_retries{kMostRetries};  // of what has not
-  bool tick_set = false;
+  std::vector<kit::TokenBucket> tenant_tokens = std::vector<kit::TokenBucket>(ctx.cfg.tenants.size());
+  kit::TokenBucket retries{kMaxRetryTokens};       // for attempts that may have run
+  kit::TokenBucket free_retries{kMaxRetryTokens};  // for attempts that have not
+  bool tick_scheduled = false;
 
   void OnRequest(const Request& request) {
-    if (request.request_class < 0 || request.request_class >= std::ssize(turn.set.classes)) {
-      return turn.act->Fail(request.id);
+    if (request.request_class < 0 || request.request_class >= std::ssize(ctx.cfg.classes)) {
+      return ctx.sink->Fail(request.id);
     }
-    auto [it, fresh] = requests.held.try_emplace(request.id);
-    if (!fresh) return;  // taken already: that one is answered
-    Held& r = it->second;
-    Take(r, request);
-    retries.Earn(kRetryShare, kMostRetries);
-    free_retries.Earn(kFreeShare, kMostRetries);
-    const state::Times times = TimesOf(r);
-    // At its last moment it is ended at once: the timer's next round would be too late.
-    turn.now < times.useful_until ? Hold(r, times) : sending.Settle(r);
+    auto [it, is_new] = requests.held.try_emplace(request.id);
+    if (!is_new) return;  // duplicate id: the earlier request is answered
+    HeldRequest& r = it->second;
+    Fill(r, request);
+    retries.Deposit(kRetryShare, kMaxRetryTokens);
+    free_retries.Deposit(kFreeRetryShare, kMaxRetryTokens);
+    const state::Deadlines deadlines = DeadlinesOf(r);
+    // Ended at once if its time is over, since the timer's next round would be too late.
+    ctx.now < deadlines.useful_until ? StartWaiting(r, deadlines) : sending.GiveUp(r);
   }
 
-  void Take(Held& r, const Request& request) {
+  void Fill(HeldRequest& r, const Request& request) {
     r.id = request.id;
     r.cls = request.request_class;
-    r.arrived = turn.now;
+    r.arrived = ctx.now;
     r.give_up_at = request.give_up_at;
     const bool within = WithinShare(request.tenant);
-    r.level = 2 * !within + request.client_retry;
-    r.worth = turn.set.classes[r.cls].worth * (within ? 1 : turn.set.over_share_worth);
-    // A client's repeat comes when most of the aim is spent: it takes the room that first tries leave. Guards
-    // against storms of repeats that are late even if they are served.
-    if (request.client_retry) r.worth *= kRepeatWorth;
-    r.size = classes.learned[r.cls].SizeOf(request.estimate);
+    r.worth_level = 2 * !within + request.client_retry;
+    r.worth = ctx.cfg.classes[r.cls].worth * (within ? 1 : ctx.cfg.over_share_worth);
+    // A client's retry comes when most of the aim is spent, so it yields to first tries. This prevents retry
+    // storms whose requests are late even when they are served.
+    if (request.client_retry) r.worth *= kClientRetryWorth;
+    r.size = classes.stats[r.cls].RelativeSize(request.estimate);
   }
 
-  // A node grants its part of a tenant's share, with room for a whole request at any rate.
+  // A node grants its share of a tenant's quota; the burst fits a whole request at any rate.
   bool WithinShare(int tenant) {
-    if (tenant < 0 || static_cast<size_t>(tenant) >= shares.size()) return true;
-    const double rate = turn.set.tenants[tenant].quota_per_s / turn.set.nodes;
-    return rate <= 0 || shares[tenant].Take(rate, std::max(2.0, 2 * rate), turn.now);
+    if (tenant < 0 || static_cast<size_t>(tenant) >= tenant_tokens.size()) return true;
+    const double rate = ctx.cfg.tenants[tenant].quota_per_s / ctx.cfg.nodes;
+    return rate <= 0 || tenant_tokens[tenant].Take(rate, std::max(2.0, 2 * rate), ctx.now);
   }
 
-  // Its value, less where the time left makes a late answer likely: while there is time the
-  // oldest of a class goes first, and once the queue has outgrown the aim the newest, which can make it.
-  double Priority(const Held& r) const {
-    const RequestClass& c = turn.set.classes[r.cls];
-    const Learned& learned = classes.learned[r.cls];
-    double left = static_cast<double>(r.arrived + c.aim - turn.now);
-    double chance = std::clamp(left / (kEaseOfMind * learned.Expected(r.size)), 0.0, 1.0);
-    return classes.Value(r.cls, r.worth) * (chance + (1 - chance) * c.late_share);
+  // Its value, reduced as its remaining time makes a late answer likely: with enough time the oldest of a
+  // class goes first; once the queue outgrows the aim, the newest, which can still be answered in time.
+  double Priority(const HeldRequest& r) const {
+    const RequestClass& c = ctx.cfg.classes[r.cls];
+    const ClassStats& stats = classes.stats[r.cls];
+    double left = static_cast<double>(r.arrived + c.aim - ctx.now);
+    double likelihood = std::clamp(left / (kOnTimeLatencies * stats.ExpectedLatency(r.size)), 0.0, 1.0);
+    return classes.Value(r.cls, r.worth) * (likelihood + (1 - likelihood) * c.late_share);
   }
 
-  // Until when there is time enough that the answer most likely comes within the aim; and any at all: never
-  // later than the timer's next round, so that the answer is not late either.
-  state::Times TimesOf(const Held& r) const {
-    const RequestClass& c = turn.set.classes[r.cls];
-    const double expected = classes.learned[r.cls].Expected(r.size);
+  // Until when the answer most likely comes within the aim, and until when an answer is possible at all: the
+  // latter leaves one tick, so that the final answer is not late either.
+  state::Deadlines DeadlinesOf(const HeldRequest& r) const {
+    const RequestClass& c = ctx.cfg.classes[r.cls];
+    const double expected = classes.stats[r.cls].ExpectedLatency(r.size);
     const Micros aim = r.arrived + c.aim,
                  latest = c.late_share > 0 ? r.give_up_at : std::min(r.give_up_at, aim);
-    return {aim - static_cast<Micros>(kEaseOfMind * expected),
-            latest - std::max(static_cast<Micros>(expected * kLeastTime), turn.tick)};
+    return {aim - static_cast<Micros>(kOnTimeLatencies * expected),
+            latest - std::max(static_cast<Micros>(expected * kMinLatencies), ctx.tick_interval)};
   }
 
-  void Hold(Held& r, const state::Times& times) {
-    requests.Line(r, picker.ProbeFor(r) ? Wait::kForProbes : Wait::kCalm, turn.now, times);
+  void StartWaiting(HeldRequest& r, const state::Deadlines& deadlines) {
+    requests.Enqueue(r, picker.SendProbes(r) ? Wait::kForProbes : Wait::kOnTime, ctx.now, deadlines);
   }
 
-  // Sends what there is room for, the best first. Under overload most events find no room: they end at once.
+  // Sends the best requests while there is capacity; under overload most calls find none and end at once.
   void Dispatch() {
-    const auto times = [this](const Held& r) { return TimesOf(r); };
-    requests.Advance(turn.now, times, [this](Held& r) { sending.Settle(r); });
+    const auto deadlines = [this](const HeldRequest& r) { return DeadlinesOf(r); };
+    requests.Advance(ctx.now, deadlines, [this](HeldRequest& r) { sending.GiveUp(r); });
     Shed();
-    if (requests.Waiting() == 0) return;
-    load.Survey();
-    requests.Release(turn.now, picker.probes_out == 0, times);
-    // Where a backend may have room again, the first of those that wait for its group is tried again, and the
-    // next once that was sent. So is one of the others in each of the timer's rounds.
+    if (requests.QueuedCount() == 0) return;
+    load.Refresh();
+    requests.Release(ctx.now, picker.probes_pending == 0, deadlines);
+    // Where a backend may have capacity again, the first request waiting for its group is tried again, and
+    // the next once that was sent. Each timer round also tries one of the others.
     for (size_t k = 0; k < load.reviewed.size() && requests.AnyForGroup(); ++k) {
       const Backend& b = fleet.backends[load.reviewed[k]];
-      if (b.stands.door != Door::kClosed || b.asleep || fleet.sparse) requests.Stir(b, turn.now, times);
+      if (b.status.usable != Usable::kNo || b.asleep || fleet.sparse) requests.Requeue(b, ctx.now, deadlines);
     }
-    while (requests.Waiting() > 0 && (load.TrialDue() || (load.AnyRoom() && load.NodeHasRoom()))) {
-      Held* best = requests.Best([this](const Held& r) { return Priority(r); });
+    while (requests.QueuedCount() > 0 && (load.TrialDue() || (load.AnyRoom() && load.NodeHasRoom()))) {
+      HeldRequest* best = requests.Best([this](const HeldRequest& r) { return Priority(r); });
       if (best == nullptr) return;
       const Group group = rules.Bounds(*best).value_or(kAnywhere);
-      uint32_t due = load.TrialDue() ? picker.DueTrial(*best) : kNone;
-      uint32_t i = due != kNone ? due : picker.Pick(*best);
+      uint32_t trial = load.TrialDue() ? picker.FindDueTrial(*best) : kNone;
+      uint32_t i = trial != kNone ? trial : picker.Pick(*best);
       if (i != kNone) {
-        if (!sending.Send(*best, i, due != kNone)) return;
-        requests.Stir(group, turn.now, times);
+        if (!sending.Send(*best, i, trial != kNone)) return;
+        requests.Requeue(group, ctx.now, deadlines);
       } else if (best->sent == 0 || !load.NodeHasRoom(picker.Value(*best))) {
         return;
-      } else {  // it may not go where there is room
-        requests.Line(*best, Wait::kForGroup, turn.now, TimesOf(*best), group);
+      } else {  // not allowed at the backends with capacity
+        requests.Enqueue(*best, Wait::kForGroup, ctx.now, DeadlinesOf(*best), group);
       }
     }
   }
 
-  // What can't all be served in time at the rate of late: the worst of those pressed are refused at once.
+  // Refuses the worst requests if more wait than can be served in time at the recent rate.
   void Shed() {
-    if (requests.Waiting() <= static_cast<size_t>(kLeastQueue)) return;
-    const double per_s = sending.served.Now(turn.now, kRateSpan);
-    const double in_time = per_s * static_cast<double>(turn.longest_aim) / kSecond;
-    while (static_cast<double>(requests.Waiting()) > kLeastQueue + in_time) {
-      Held* worst = requests.Worst([this](const Held& r) { return Priority(r); });
+    if (requests.QueuedCount() <= static_cast<size_t>(kMinQueueLimit)) return;
+    const double per_s = sending.served.At(ctx.now, kRateSpan);
+    const double in_time = per_s * static_cast<double>(ctx.max_aim) / kSecond;
+    while (static_cast<double>(requests.QueuedCount()) > kMinQueueLimit + in_time) {
+      HeldRequest* worst = requests.Worst([this](const HeldRequest& r) { return Priority(r); });
       if (worst == nullptr) return;
-      sending.Settle(*worst);
+      sending.GiveUp(*worst);
     }
   }
 
-  // Housekeeping, on a timer that runs while there is something to watch.
-  void Tick(bool fired) {
-    tick_set &= !fired;
-    if (fired) requests.StirNext(turn.now, [this](const Held& r) { return TimesOf(r); });
-    fleet.KeepSubscribed();
-    if (tick_set || (requests.Waiting() == 0 && !fleet.WantsList())) return;
-    tick_set = true;
-    turn.act->Schedule(turn.tick, kTick);
+  // Periodic work; the timer runs only while requests wait or a subscription is needed.
+  void OnTick(bool fired) {
+    tick_scheduled &= !fired;
+    if (fired) requests.RequeueNextGroup(ctx.now, [this](const HeldRequest& r) { return DeadlinesOf(r); });
+    fleet.RenewSubscription();
+    if (tick_scheduled || (requests.QueuedCount() == 0 && !fleet.NeedsSubscription())) return;
+    tick_scheduled = true;
+    ctx.sink->Schedule(ctx.tick_interval, kTickTimer);
   }
 };
 
--- a/src/policy/sending.h
+++ b/src/policy/sending.h
@@ -1,4 +1,4 @@
-// Sending and settling: the only place that sends, cancels or ends a request, so every rule is guarded here.
+// Sending and completion: the only code that sends, cancels or ends requests, so it enforces all rules.
 #ifndef MEADOWSLIP_SRC_POLICY_SENDING_H_
 #define MEADOWSLIP_SRC_POLICY_SENDING_H_
 
@@ -10,53 +10,53 @@
 
 namespace meadowslip::policy {
 
-using Requests = state::Lines;
-using state::Attempt, state::Held, state::kAnywhere, state::Wait;
+using Requests = state::RequestQueues;
+using state::Attempt, state::HeldRequest, state::kAnywhere, state::Wait;
 
-constexpr double kPatience = 4;     // mean deviations over the usual latency: then an attempt is overdue
-constexpr double kTryPatience = 8;  // usual latencies before an attempt, or a trial, is overdue at few nodes
-constexpr double kTrialPatience = 3;
-constexpr double kRateSpan = 2 * kSecond, kExcess = 20;  // one refused in so many: nothing is to spare
-constexpr uint64_t kOverdue = 2;  // timers: one for each attempt, from here on by its request's id
+constexpr double kOverdueDeviations = 4;  // mean deviations above the usual latency
+constexpr double kOverdueLatencies = 8;   // and at least this many usual latencies, unless sparse
+constexpr double kTrialLatencies = 3;     // the same for a trial
+constexpr double kRateSpan = 2 * kSecond, kRefusedWeight = 20;  // served requests that one refusal outweighs
+constexpr uint64_t kOverdueTimers = 2;                          // timer ids: this plus the request's id
 
-// What the operating rules still allow for each request that is held.
+// What the operating rules still allow for a request.
 struct Rules {
-  const Turn& turn;
+  const Context& ctx;
   const Fleet& fleet;
 
-  // Where it may go after what was sent before: never where its effect could be repeated.
-  std::optional<Group> Bounds(const Held& r) const {
+  // The group that it may be sent to after its earlier attempts, so that no effect is repeated.
+  std::optional<Group> Bounds(const HeldRequest& r) const {
     if (r.sent == 0) return kAnywhere;
     const Attempt* first = std::find_if(r.begin(), r.end(), [](auto& a) { return a.may_have_run; });
-    const RequestClass& c = turn.set.classes[r.cls];
+    const RequestClass& c = ctx.cfg.classes[r.cls];
     if (first == r.end() || c.idempotency == Idempotency::kSafe) return kAnywhere;
-    if (c.idempotency == Idempotency::kUnsafe || turn.now >= first->sent_at + c.dedup_window) return {};
+    if (c.idempotency == Idempotency::kUnsafe || ctx.now >= first->sent_at + c.dedup_window) return {};
     return Fleet::GroupOf(c.group, fleet.backends[first->backend]);
   }
-  bool Allowed(const Held& r, uint32_t i) const {
+  bool Allowed(const HeldRequest& r, uint32_t i) const {
     if (r.sent == 0) return true;
     const std::optional<Group> bounds = Bounds(r);
-    return bounds && Fleet::In(*bounds, fleet.backends[i]) && !r.WentTo(i);
+    return bounds && Fleet::InGroup(*bounds, fleet.backends[i]) && !r.WasSentTo(i);
   }
-  bool AnyLeft(const Held& r) const {
+  bool AnyAllowed(const HeldRequest& r) const {
     const std::optional<Group> bounds = Bounds(r);
-    if (!fleet.sparse) return bounds && fleet.Left(*bounds, r) > 0;
-    return std::ranges::any_of(fleet.members, [&](uint32_t i) { return Allowed(r, i); });
+    if (!fleet.sparse) return bounds && fleet.ReadyUntried(*bounds, r) > 0;
+    return std::ranges::any_of(fleet.subset, [&](uint32_t i) { return Allowed(r, i); });
   }
-  bool MaySend(const Held& r, uint32_t i) const {
-    return !r.closed && !r.streaming && r.sent < turn.set.max_attempts && turn.now < r.give_up_at &&
-           fleet.backends[i].state == BackendState::kReady && (r.out == 0 || turn.set.second_copies) &&
+  bool MaySend(const HeldRequest& r, uint32_t i) const {
+    return !r.closed && !r.streaming && r.sent < ctx.cfg.max_attempts && ctx.now < r.give_up_at &&
+           fleet.backends[i].state == BackendState::kReady && (r.pending == 0 || ctx.cfg.second_copies) &&
            Allowed(r, i);
   }
-  bool CanRefuse(const Held& r) const {
-    const RequestClass& c = turn.set.classes[r.cls];
+  bool CanRefuse(const HeldRequest& r) const {
+    const RequestClass& c = ctx.cfg.classes[r.cls];
     return c.idempotency == Idempotency::kSafe || !r.MayHaveRun() ||
            (c.idempotency == Idempotency::kKeyed && c.group == DedupGroup::kAll);
   }
 };
 
 struct Sending {
-  const Turn& turn;
+  const Context& ctx;
   Classes& classes;
   Fleet& fleet;
   Load& load;
@@ -64,68 +64,68 @@
   const Rules& rules;
   kit::Rate served = {}, refused = {};
 
-  bool Send(Held& r, uint32_t i, bool trial) {
+  bool Send(HeldRequest& r, uint32_t i, bool trial) {
     if (!rules.MaySend(r, i)) return false;
-    Backend& b = fleet.Change(i);
-    requests.Unqueue(r);
-    b.retries = std::min(kMostRetriesTo, b.retries + (r.sent == 0 ? 1 : r.MayHaveRun() ? -1 : 0));
-    Learned& c = classes.learned[r.cls];
-    double expected = c.Expected(r.size);
-    double far = expected + kPatience * c.spread;
-    if (!fleet.sparse) far = std::max(far, (trial ? kTrialPatience : kTryPatience) * expected);
-    Micros patience = static_cast<Micros>(far) + turn.set.resolution;
-    r.attempts[r.sent] = {i, turn.now, true, true, trial, false, turn.now + patience};
-    ++r.sent, ++r.out, ++load.out;
-    ++b.in_flight, ++b.held_by;
+    Backend& b = fleet.Modify(i);
+    requests.Dequeue(r);
+    b.retry_budget = std::min(kMaxRetryBudget, b.retry_budget + (r.sent == 0 ? 1 : r.MayHaveRun() ? -1 : 0));
+    ClassStats& c = classes.stats[r.cls];
+    double expected = c.ExpectedLatency(r.size);
+    double limit = expected + kOverdueDeviations * c.deviation;
+    if (!fleet.sparse) limit = std::max(limit, (trial ? kTrialLatencies : kOverdueLatencies) * expected);
+    Micros overdue_after = static_cast<Micros>(limit) + ctx.cfg.resolution;
+    r.attempts[r.sent] = {i, ctx.now, true, true, trial, false, ctx.now + overdue_after};
+    ++r.sent, ++r.pending, ++load.pending;
+    ++b.in_flight, ++b.references;
     b.reported += 1;
-    b.trial_out |= trial;
-    if (turn.now < b.cold_until) b.credit -= c.ColdWork(r.size), c.trying = c.samples == 0;
-    // A sparse node does not wait for an answer that is worth nothing once late, nor does its backend's
-    // queue.
-    const RequestClass& rc = turn.set.classes[r.cls];
-    Micros left = r.arrived + rc.aim - turn.now;
-    bool wait = !fleet.sparse || rc.late_share > 0 || left <= 0 || turn.now + left >= r.give_up_at;
-    turn.act->Send(r.id, b.id, wait ? 0 : left);
-    if (turn.now + patience < r.give_up_at) turn.act->Schedule(patience, r.id + kOverdue);
+    b.trial_pending |= trial;
+    if (ctx.now < b.cold_until) b.cold_credit -= c.ColdWork(r.size), c.cold_pending = c.samples == 0;
+    // A sparse node stops waiting at the aim if a late answer is worth nothing; the backend can then drop the
+    // request from its queue.
+    const RequestClass& request_class = ctx.cfg.classes[r.cls];
+    Micros left = r.arrived + request_class.aim - ctx.now;
+    bool wait = !fleet.sparse || request_class.late_share > 0 || left <= 0 || ctx.now + left >= r.give_up_at;
+    ctx.sink->Send(r.id, b.id, wait ? 0 : left);
+    if (ctx.now + overdue_after < r.give_up_at) ctx.sink->Schedule(overdue_after, r.id + kOverdueTimers);
     load.ReviewChanged();
     return true;
   }
 
-  // Ends a request that is given up, at once.
-  void Settle(Held& r) {
-    if (r.closed || r.out > 0) return requests.Unqueue(r);  // what is out may still answer
-    if (rules.CanRefuse(r)) refused.Add(turn.now, kRateSpan);
-    rules.CanRefuse(r) ? turn.act->Refuse(r.id, ComeBack()) : turn.act->Fail(r.id);
-    classes.Ended(r.cls, r.level, 0);
+  // Ends a request that can't be served.
+  void GiveUp(HeldRequest& r) {
+    if (r.closed || r.pending > 0) return requests.Dequeue(r);  // a pending attempt may still answer
+    if (rules.CanRefuse(r)) refused.Add(ctx.now, kRateSpan);
+    rules.CanRefuse(r) ? ctx.sink->Refuse(r.id, RetryAfter()) : ctx.sink->Fail(r.id);
+    classes.OnEnded(r.cls, r.worth_level, 0);
     Close(r);
   }
-  // When there is room for repeats, at the rates of late: sooner they find the same, in first tries' way.
-  Micros ComeBack() const {
-    if (!turn.set.retry_after) return 0;
-    const double spare = served.Now(turn.now, kRateSpan) - kExcess * refused.Now(turn.now, kRateSpan);
-    const double wait = static_cast<double>(requests.Waiting() + 1) * kSecond / std::max(spare, 1e-3);
-    return std::min(turn.set.max_retry_after, std::max(turn.longest_aim, static_cast<Micros>(wait)));
+  // Until there is capacity for retries at the recent rates; earlier retries would displace first tries.
+  Micros RetryAfter() const {
+    if (!ctx.cfg.retry_after) return 0;
+    const double spare = served.At(ctx.now, kRateSpan) - kRefusedWeight * refused.At(ctx.now, kRateSpan);
+    const double wait = static_cast<double>(requests.QueuedCount() + 1) * kSecond / std::max(spare, 1e-3);
+    return std::min(ctx.cfg.max_retry_after, std::max(ctx.max_aim, static_cast<Micros>(wait)));
   }
 
   void OnStreamStarted(RequestId id, int attempt) {
-    Held* r = requests.Find(id);
+    HeldRequest* r = requests.Find(id);
     if (r == nullptr || attempt < 0 || attempt >= r->sent) return;
-    if (!turn.set.classes[r->cls].stream) r->attempts[attempt].sent_at = turn.now;  // a query's own bytes
+    if (!ctx.cfg.classes[r->cls].stream) r->attempts[attempt].sent_at = ctx.now;  // bytes of the request body
     r->streaming = true;
-    requests.Unqueue(*r);
-    CancelOut(*r, attempt);
+    requests.Dequeue(*r);
+    CancelPending(*r, attempt);
   }
 
-  void Close(Held& r) {
+  void Close(HeldRequest& r) {
     r.closed = true;
-    requests.Unqueue(r);
-    CancelOut(r, -1);
-    if (r.out == 0) requests.Erase(r);
+    requests.Dequeue(r);
+    CancelPending(r, -1);
+    if (r.pending == 0) requests.Erase(r);
   }
 
-  void CancelOut(const Held& r, int but) {
-    for (int k = 0; turn.set.may_cancel && k < r.sent; ++k) {
-      if (k != but && r.attempts[k].out) turn.act->Cancel(r.id, k);
+  void CancelPending(const HeldRequest& r, int except) {
+    for (int k = 0; ctx.cfg.may_cancel && k < r.sent; ++k) {
+      if (k != except && r.attempts[k].pending) ctx.sink->Cancel(r.id, k);
     }
   }
 };
--- a/src/state/class_stats.h
+++ b/src/state/class_stats.h
@@ -1,4 +1,4 @@
-// What a node has learned of a class by its own requests. No decisions are made here.
+// Statistics that a node learns for one request class from its own requests. They make no decisions.
 #ifndef MEADOWSLIP_SRC_STATE_CLASS_STATS_H_
 #define MEADOWSLIP_SRC_STATE_CLASS_STATS_H_
 
@@ -11,91 +11,101 @@
 
 namespace meadowslip::state {
 
-constexpr int kFirstSamples = 20;
-constexpr double kWorkShare = 0.7;  // of the calm latency of a request of the mean size
-constexpr double kMostSize = 10;
-// Weights of the newest in what is smoothed.
+constexpr int kFirstSamples = 20;   // answers before uncrowded_latency is used
+constexpr double kWorkShare = 0.7;  // of the uncrowded latency of a request of mean size
+constexpr double kMaxSize = 10;     // relative to the mean of the class
+// Weights of the newest value in the exponential moving averages.
 constexpr double kLatencyWeight = 0.05;
-constexpr double kCalmWeight = 0.02;
+constexpr double kUncrowdedWeight = 0.02;
 constexpr double kEstimateWeight = 0.02;
 constexpr double kServedWeight = 0.02;
 constexpr double kFasterWeight =
-    0.2;  // of an answer that is faster than the fastest, so that one is soon found
-constexpr double kSlowerWeight = 0.002;  // of any other, so that it holds for hundreds of answers
+    0.2;  // of an answer that is faster than `fastest`, so that a fast answer is adopted soon
+constexpr double kSlowerWeight =
+    0.002;  // of any other answer, so that the value holds for hundreds of answers
 
-constexpr double kUnansweredFactor = 4;  // times the work that an unknown request was taken for
+constexpr double kUnansweredFactor = 4;  // times the work that a class without answers was assumed to need
 
 // Times are in microseconds.
-struct Learned {
-  double latency = 0;  // of good answers, smoothed
-  double spread = 0;   // its mean deviation
-  double calm = 0;     // the same as latency, of answers while the node was not crowded
+struct ClassStats {
+  double latency = 0;            // moving average over successful answers
+  double deviation = 0;          // mean deviation of the latency
+  double uncrowded_latency = 0;  // like `latency`, over answers received while the node was not crowded
   int samples = 0;
-  double work = 0;     // mean of the estimates
-  double fastest = 0;  // latency of the fastest answers
-  double served = 1;   // share of the requests that were answered in time, smoothed
-  // Until the first good answer: what attempts that had none are taken to say of its work, and whether one is
-  // at a cold backend.
-  double unanswered = 0;
-  bool trying = false;
-
-  Learned() = default;
-  explicit Learned(double first_guess)
-      : latency(first_guess), spread(first_guess / 2), fastest(first_guess) {}
-
-  void Fields(auto& a) { a(latency, spread, calm, samples, work, fastest, served, unanswered, trying); }
-  bool Sound() const {
-    return std::isfinite(latency) && std::isfinite(spread) && std::isfinite(calm) && std::isfinite(work) &&
-           std::isfinite(fastest) && std::isfinite(unanswered) && served >= 0 && served <= 1;
+  double mean_estimate = 0;  // mean of the clients' estimates
+  double fastest = 0;        // latency of the fastest answers
+  double served_share = 1;   // moving average of the share of requests that were answered in time
+  // Until the first successful answer: the work assumed from attempts that had none, and whether an attempt
+  // at a cold backend is in flight.
+  double unanswered_work = 0;
+  bool cold_pending = false;
+
+  ClassStats() = default;
+  explicit ClassStats(double first_guess)
+      : latency(first_guess), deviation(first_guess / 2), fastest(first_guess) {}
+
+  void Fields(auto& a) {
+    a(latency, deviation, uncrowded_latency, samples, mean_estimate, fastest, served_share, unanswered_work,
+      cold_pending);
+  }
+  bool Valid() const {
+    return std::isfinite(latency) && std::isfinite(deviation) && std::isfinite(uncrowded_latency) &&
+           std::isfinite(mean_estimate) && std::isfinite(fastest) && std::isfinite(unanswered_work) &&
+           served_share >= 0 && served_share <= 1;
   }
 
-  // What a request takes more or less than the mean of its class, by its estimate. Guards against taking dear
-  // requests for crowded or silent backends, and small ones for answered in time.
-  double OwnWork(double size) const { return samples < kFirstSamples ? 0 : (size - 1) * kWorkShare * calm; }
-  double Expected(double size) const { return std::max(latency + OwnWork(size), latency / 4); }
+  // Deviation of a request's duration from the mean of its class, by the client's estimate. Without it a
+  // high-cost request would make a backend look crowded or silent, and a low-cost request would look answered
+  // in time when it is not.
+  double ExtraWork(double size) const {
+    return samples < kFirstSamples ? 0 : (size - 1) * kWorkShare * uncrowded_latency;
+  }
+  double ExpectedLatency(double size) const { return std::max(latency + ExtraWork(size), latency / 4); }
 
-  // The work that a request counts for at a cold backend: never less than the mean of what was seen. The
-  // smoothed latency alone leaves its first guess too slowly for that.
+  // The work charged for a request at a cold backend: never less than the mean seen so far. The moving
+  // average `latency` alone moves too slowly away from its initial guess.
   double ColdWork(double size) const {
-    if (samples == 0) return std::max(latency, unanswered);
-    return std::max(Expected(size), calm + OwnWork(size));
+    if (samples == 0) return std::max(latency, unanswered_work);
+    return std::max(ExpectedLatency(size), uncrowded_latency + ExtraWork(size));
   }
-  double SizeOf(Micros estimate) {  // against the mean
+  double RelativeSize(Micros estimate) {  // against the mean of the class
     if (estimate <= 0) return 1;
-    work += (work > 0 ? kEstimateWeight : 1) * (static_cast<double>(estimate) - work);
-    return std::min(static_cast<double>(estimate) / work, kMostSize);
+    mean_estimate +=
+        (mean_estimate > 0 ? kEstimateWeight : 1) * (static_cast<double>(estimate) - mean_estimate);
+    return std::min(static_cast<double>(estimate) / mean_estimate, kMaxSize);
   }
 
-  void Learn(double took) {
-    spread += kLatencyWeight * (std::abs(took - latency) - spread);
-    latency += kLatencyWeight * (took - latency);
-    fastest += (samples == 0 ? 1 : took < fastest ? kFasterWeight : kSlowerWeight) * (took - fastest);
+  void AddLatency(double duration) {
+    deviation += kLatencyWeight * (std::abs(duration - latency) - deviation);
+    latency += kLatencyWeight * (duration - latency);
+    fastest += (samples == 0 ? 1 : duration < fastest ? kFasterWeight : kSlowerWeight) * (duration - fastest);
   }
 
-  // `share` of what the request was worth was served: 1 in time, 0 not at all.
-  void NoteServed(double share) { served += kServedWeight * (share - served); }
+  // `served` is the share of the request's worth that was served: 1 in time, 0 not at all.
+  void AddServed(double served) { served_share += kServedWeight * (served - served_share); }
 
-  // An answer's latency against what the class usually takes while this node is not crowded.
-  double Pace(double took, bool crowded) {
+  // Returns an answer's latency relative to the class's usual latency while this node is not crowded.
+  double Slowdown(double duration, bool crowded) {
     if (samples < kFirstSamples || !crowded) {
       ++samples;
-      calm += std::max(1.0 / samples, kCalmWeight) * (took - calm);
+      uncrowded_latency += std::max(1.0 / samples, kUncrowdedWeight) * (duration - uncrowded_latency);
     }
-    return took / std::max(calm, 1.0);
+    return duration / std::max(uncrowded_latency, 1.0);
   }
 };
 
-// Of classes of whose work nothing is known, one request at a time goes to cold backends.
-inline bool MayTryCold(const std::vector<Learned>& classes, int cls) {
-  return classes[static_cast<size_t>(cls)].samples > 0 || std::ranges::none_of(classes, &Learned::trying);
+// While nothing is known about the work of a class, only one such request at a time goes to cold backends.
+inline bool MaySendToCold(const std::vector<ClassStats>& classes, int cls) {
+  return classes[static_cast<size_t>(cls)].samples > 0 ||
+         std::ranges::none_of(classes, &ClassStats::cold_pending);
 }
-// Where it had no good answer, what is unknown is taken for some times as much work, up to `most`: how long
-// an attempt waited says little where it had little time left, or was turned away.
-inline void NoteTried(std::vector<Learned>& classes, int cls, bool answered, double most) {
-  Learned& tried = classes[static_cast<size_t>(cls)];
-  if (!std::exchange(tried.trying, false) || answered) return;
-  const double raised = std::min(kUnansweredFactor * tried.ColdWork(1), most);
-  for (Learned& one : classes) one.unanswered = std::max(one.unanswered, raised);
+// If the attempt had no successful answer, the assumed work of the unknown classes grows, up to `max_work`.
+// The attempt's duration is not used: it says little after a rejection, or with little time left.
+inline void NoteColdAttempt(std::vector<ClassStats>& classes, int cls, bool answered, double max_work) {
+  ClassStats& stats = classes[static_cast<size_t>(cls)];
+  if (!std::exchange(stats.cold_pending, false) || answered) return;
+  const double work = std::min(kUnansweredFactor * stats.ColdWork(1), max_work);
+  for (ClassStats& one : classes) one.unanswered_work = std::max(one.unanswered_work, work);
 }
 
 }  // namespace meadowslip::state
--- a/src/state/request_queues.h
+++ b/src/state/request_queues.h
@@ -1,6 +1,5 @@
-// The requests that are held, and the lines in which those that wait stand. Each change costs the logarithm
-// of their number at the most. What is calm, useful or worth more is judged elsewhere: no decisions are made
-// here.
+// The held requests, and the queues of those that wait. Each operation costs at most the logarithm of the
+// number of requests. Deadlines and priorities are computed elsewhere; this class makes no decisions.
 #ifndef MEADOWSLIP_SRC_STATE_REQUEST_QUEUES_H_
 #define MEADOWSLIP_SRC_STATE_REQUEST_QUEUES_H_
 
@@ -10,186 +9,190 @@
 
 namespace meadowslip::state {
 
-constexpr int kLevels = 4;  // of worth in a class
+constexpr int kWorthLevels = 4;  // priority levels within a class
 
-// How long a request is calm, and how long its answer is of use.
-struct Times {
-  Micros calm_until = 0;
+// Until when a request can still be answered within its aim, and until when an answer is of use at all.
+struct Deadlines {
+  Micros on_time_until = 0;
   Micros useful_until = 0;
 };
 
-class Lines {
+class RequestQueues {
  public:
-  Lines(Roster& roster, size_t classes) : roster_(roster), buckets_(classes * kLevels) {}
-  Lines(const Lines&) = delete;  // what waits knows where its line is
-  Lines& operator=(const Lines&) = delete;
-  ~Lines() {  // the lines before what stands in them
+  RequestQueues(BackendTable& table, size_t classes) : table_(table), buckets_(classes * kWorthLevels) {}
+  RequestQueues(const RequestQueues&) = delete;  // queued requests are linked to their queue
+  RequestQueues& operator=(const RequestQueues&) = delete;
+  ~RequestQueues() {  // empties the queues before the requests in them are destroyed
     buckets_.clear();
     for_group_.clear();
     for_probes_.clear();
   }
 
-  std::unordered_map<RequestId, Held> held;  // looked up, never walked
-  uint64_t turns = 0;
+  std::unordered_map<RequestId, HeldRequest> held;  // lookups only, never iterated in an order that matters
+  uint64_t last_sequence = 0;
 
-  Held* Find(RequestId id) {
+  HeldRequest* Find(RequestId id) {
     auto it = held.find(id);
     return it != held.end() ? &it->second : nullptr;
   }
-  size_t Waiting() const { return by_next_.size(); }
-
-  // Into a line, or from one to another.
-  void Line(Held& r, Wait as, Micros now, const Times& times, const Group& group = kAnywhere) {
-    Unqueue(r);
-    r.calm_until = times.calm_until;
-    r.waits = as == Wait::kCalm && times.calm_until <= now ? Wait::kPressed : as;
-    r.next_at = NextAt(r, times);
-    r.turn = ++turns;
-    Insert(r, group);
+  size_t QueuedCount() const { return by_next_.size(); }
+
+  // Puts a request into a queue, or moves it from one queue to another.
+  void Enqueue(HeldRequest& r, Wait new_state, Micros now, const Deadlines& deadlines,
+               const Group& group = kAnywhere) {
+    Dequeue(r);
+    r.on_time_until = deadlines.on_time_until;
+    r.wait_state = new_state == Wait::kOnTime && deadlines.on_time_until <= now ? Wait::kUrgent : new_state;
+    r.next_at = NextAt(r, deadlines);
+    r.sequence = ++last_sequence;
+    Link(r, group);
   }
-  void Unqueue(Held& r) {
-    if (r.waits == Wait::kNot) return;
+  void Dequeue(HeldRequest& r) {
+    if (r.wait_state == Wait::kNone) return;
     by_next_.Erase(&r);
-    if (r.waits == Wait::kPressed) {
-      r.pressed_hook.unlink();
+    if (r.wait_state == Wait::kUrgent) {
+      r.urgent_hook.unlink();
     } else {
       r.hook.unlink();
     }
-    r.waits = Wait::kNot;
+    r.wait_state = Wait::kNone;
   }
-  void Erase(Held& r) {
-    Unqueue(r);
+  void Erase(HeldRequest& r) {
+    Dequeue(r);
     for (const Attempt& a : r) {
-      Backend& b = roster_.backends[a.backend];
-      if (--b.held_by == 0 && b.withdrawn) roster_.Change(a.backend);
+      Backend& b = table_.backends[a.backend];
+      if (--b.references == 0 && b.delisted) table_.Modify(a.backend);
     }
     held.erase(r.id);
   }
 
-  // What is due by now: of no use any more, and to be taken out by `end`; or pressed from now on. Moments
-  // follow from what was learned when they were set, so each is worked out anew when it has come.
-  void Advance(Micros now, const auto& times, const auto& end) {
+  // Handles the requests that are due by now: those that are no longer useful are passed to `give_up`, and
+  // those that are no longer on time become urgent. Deadlines depend on statistics at the time when they were
+  // set, so each is computed again when it has come.
+  void Advance(Micros now, const auto& deadlines, const auto& give_up) {
     while (!by_next_.empty() && by_next_.TopKey().first <= now) {
-      Held& r = *by_next_.Top();
-      const Times t = times(r);
+      HeldRequest& r = *by_next_.Top();
+      const Deadlines t = deadlines(r);
       if (t.useful_until <= now) {
-        end(r);
-      } else if (r.waits == Wait::kCalm && t.calm_until <= now) {
-        Line(r, Wait::kPressed, now, t);
+        give_up(r);
+      } else if (r.wait_state == Wait::kOnTime && t.on_time_until <= now) {
+        Enqueue(r, Wait::kUrgent, now, t);
       } else {
         r.next_at = NextAt(r, t);
-        by_next_.Set(&r);
+        by_next_.InsertOrUpdate(&r);
       }
     }
   }
-  // Those whose probes are answered, or were waited for long enough.
-  void Release(Micros now, bool answered, const auto& times) {
-    while (!for_probes_.empty() && (answered || for_probes_.front().hold_until <= now)) {
-      Line(for_probes_.front(), Wait::kCalm, now, times(for_probes_.front()));
+  // Requeues requests whose probes are answered, or have been waited for long enough.
+  void Release(Micros now, bool answered, const auto& deadlines) {
+    while (!for_probes_.empty() && (answered || for_probes_.front().probe_wait_until <= now)) {
+      Enqueue(for_probes_.front(), Wait::kOnTime, now, deadlines(for_probes_.front()));
     }
   }
-  // The first of those that wait for a group goes back to its line.
   bool AnyForGroup() const { return !for_group_.empty(); }
-  void Stir(const Group& group, Micros now, const auto& times) {
+  // Moves the first request that waits for a group back to its class's queue.
+  void Requeue(const Group& group, Micros now, const auto& deadlines) {
     auto it = for_group_.find(group);
     if (it == for_group_.end()) return;
-    if (!it->second.empty()) Line(it->second.front(), Wait::kCalm, now, times(it->second.front()));
+    if (!it->second.empty()) Enqueue(it->second.front(), Wait::kOnTime, now, deadlines(it->second.front()));
     if (it->second.empty()) for_group_.erase(it);
   }
-  void Stir(const Backend& b, Micros now, const auto& times) {
-    for (const Group& g : Roster::Groups(b)) Stir(g, now, times);
+  void Requeue(const Backend& b, Micros now, const auto& deadlines) {
+    for (const Group& g : BackendTable::Groups(b)) Requeue(g, now, deadlines);
   }
-  // Of each group in turn, so that none is forgotten.
-  void StirNext(Micros now, const auto& times) {
+  // Goes round the groups, so that each gets its turn.
+  void RequeueNextGroup(Micros now, const auto& deadlines) {
     if (for_group_.empty()) return;
-    auto it = for_group_.upper_bound(stirred_);
-    stirred_ = it == for_group_.end() ? for_group_.begin()->first : it->first;
-    Stir(stirred_, now, times);
+    auto it = for_group_.upper_bound(last_requeued_);
+    last_requeued_ = it == for_group_.end() ? for_group_.begin()->first : it->first;
+    Requeue(last_requeued_, now, deadlines);
   }
 
-  // The best of all that wait in classes' lines: the first come of a line's calm ones, which are alike, and
-  // the last to be pressed of the others, which has most of its time left. Among equals the first to wait.
-  Held* Best(const auto& priority) {
-    if (by_next_.size() == 1) {  // as it mostly is: nothing to compare with
-      Held& only = *by_next_.Top();
-      return only.waits == Wait::kCalm || only.waits == Wait::kPressed ? &only : nullptr;
+  // Returns the best request in the classes' queues. Candidates are the oldest on-time request of each queue,
+  // as these are alike, and the urgent one that became urgent last, which has most of its time left. Ties go
+  // to the request that was queued first.
+  HeldRequest* Best(const auto& priority) {
+    if (by_next_.size() == 1) {  // the common case: nothing to compare with
+      HeldRequest& single = *by_next_.Top();
+      return single.wait_state == Wait::kOnTime || single.wait_state == Wait::kUrgent ? &single : nullptr;
     }
-    Held* best = nullptr;
-    double most = 0;
-    const auto take = [&](Held& r) {
+    HeldRequest* best = nullptr;
+    double highest = 0;
+    const auto consider = [&](HeldRequest& r) {
       const double p = priority(r);
-      if (best != nullptr && (p < most || (p == most && r.turn > best->turn))) return;
+      if (best != nullptr && (p < highest || (p == highest && r.sequence > best->sequence))) return;
       best = &r;
-      most = p;
+      highest = p;
     };
     for (Bucket& b : buckets_) {
-      if (!b.calm.empty()) take(b.calm.front());
-      if (!b.pressed.empty()) take(*b.pressed.rbegin());
+      if (!b.on_time.empty()) consider(b.on_time.front());
+      if (!b.urgent.empty()) consider(*b.urgent.rbegin());
     }
     return best;
   }
-  // And the worst: the first to be pressed of a line, or the last come of its calm ones. Among equals the
-  // last.
-  Held* Worst(const auto& priority) {
-    Held* worst = nullptr;
-    double least = 0;
-    const auto take = [&](Held& r) {
+  // Returns the worst request. Candidates are the request of each queue that became urgent first or, without
+  // urgent ones, the youngest on-time request. Ties go to the request that was queued last.
+  HeldRequest* Worst(const auto& priority) {
+    HeldRequest* worst = nullptr;
+    double lowest = 0;
+    const auto consider = [&](HeldRequest& r) {
       const double p = priority(r);
-      if (worst != nullptr && (p > least || (p == least && r.turn < worst->turn))) return;
+      if (worst != nullptr && (p > lowest || (p == lowest && r.sequence < worst->sequence))) return;
       worst = &r;
-      least = p;
+      lowest = p;
     };
     for (Bucket& b : buckets_) {
-      if (!b.pressed.empty()) {
-        take(*b.pressed.begin());
-      } else if (!b.calm.empty()) {
-        take(b.calm.back());
+      if (!b.urgent.empty()) {
+        consider(*b.urgent.begin());
+      } else if (!b.on_time.empty()) {
+        consider(b.on_time.back());
       }
     }
     return worst;
   }
 
-  void Fields(auto& a) { a(held, turns, stirred_.first, stirred_.second); }
-  // As they were saved, each with the group that it waits for.
+  void Fields(auto& a) { a(held, last_sequence, last_requeued_.first, last_requeued_.second); }
+  // Rebuilds the queues after loading; `group_of` gives the group that a request waits for.
   void Restore(const auto& group_of) {
-    std::vector<Held*> waiting;
+    std::vector<HeldRequest*> queued;
     for (auto& [id, r] : held) {
-      if (r.waits != Wait::kNot) waiting.push_back(&r);
+      if (r.wait_state != Wait::kNone) queued.push_back(&r);
     }
-    std::ranges::sort(waiting, {}, &Held::turn);
-    for (Held* r : waiting) Insert(*r, group_of(*r));
+    std::ranges::sort(queued, {}, &HeldRequest::sequence);
+    for (HeldRequest* r : queued) Link(*r, group_of(*r));
   }
 
  private:
   struct ByNext {
-    static std::pair<Micros, uint64_t> Key(const Held* r) { return {r->next_at, r->turn}; }
-    static uint32_t& Place(Held* r) { return r->next_place; }
+    static std::pair<Micros, uint64_t> Key(const HeldRequest* r) { return {r->next_at, r->sequence}; }
+    static uint32_t& Position(HeldRequest* r) { return r->heap_position; }
   };
-  struct ByPressed {
-    bool operator()(const Held& a, const Held& b) const {
-      return std::pair(a.calm_until, a.turn) < std::pair(b.calm_until, b.turn);
+  struct ByUrgency {
+    bool operator()(const HeldRequest& a, const HeldRequest& b) const {
+      return std::pair(a.on_time_until, a.sequence) < std::pair(b.on_time_until, b.sequence);
     }
   };
-  using HeldList = boost::intrusive::list<Held, boost::intrusive::member_hook<Held, ListHook, &Held::hook>,
-                                          boost::intrusive::constant_time_size<false>>;
-  using HeldSet =
-      boost::intrusive::set<Held, boost::intrusive::member_hook<Held, SetHook, &Held::pressed_hook>,
-                            boost::intrusive::compare<ByPressed>,
-                            boost::intrusive::constant_time_size<false>>;
-  struct Bucket {  // of a class and a level of worth
-    HeldList calm;
-    HeldSet pressed;
+  using RequestList =
+      boost::intrusive::list<HeldRequest,
+                             boost::intrusive::member_hook<HeldRequest, ListHook, &HeldRequest::hook>,
+                             boost::intrusive::constant_time_size<false>>;
+  using RequestSet = boost::intrusive::set<
+      HeldRequest, boost::intrusive::member_hook<HeldRequest, SetHook, &HeldRequest::urgent_hook>,
+      boost::intrusive::compare<ByUrgency>, boost::intrusive::constant_time_size<false>>;
+  struct Bucket {  // for one class and worth level
+    RequestList on_time;
+    RequestSet urgent;
   };
 
-  static Micros NextAt(const Held& r, const Times& t) {
-    return r.waits == Wait::kCalm ? std::min(t.calm_until, t.useful_until) : t.useful_until;
+  static Micros NextAt(const HeldRequest& r, const Deadlines& t) {
+    return r.wait_state == Wait::kOnTime ? std::min(t.on_time_until, t.useful_until) : t.useful_until;
   }
-  void Insert(Held& r, const Group& group) {
-    by_next_.Set(&r);
-    Bucket& bucket = buckets_[static_cast<size_t>(r.cls * kLevels + r.level)];
-    switch (r.waits) {
-      case Wait::kPressed:
-        bucket.pressed.insert(r);
+  void Link(HeldRequest& r, const Group& group) {
+    by_next_.InsertOrUpdate(&r);
+    Bucket& bucket = buckets_[static_cast<size_t>(r.cls * kWorthLevels + r.worth_level)];
+    switch (r.wait_state) {
+      case Wait::kUrgent:
+        bucket.urgent.insert(r);
         break;
       case Wait::kForProbes:
         for_probes_.push_back(r);
@@ -198,16 +201,16 @@
         for_group_[group].push_back(r);
         break;
       default:
-        bucket.calm.push_back(r);
+        bucket.on_time.push_back(r);
     }
   }
 
-  Roster& roster_;
+  BackendTable& table_;
   std::vector<Bucket> buckets_;
-  HeldList for_probes_;
-  std::map<Group, HeldList> for_group_;  // found no room where they may still go
-  Group stirred_ = kAnywhere;
-  IndexedHeap<Held*, ByNext> by_next_;  // all, by when they have to be looked at
+  RequestList for_probes_;
+  std::map<Group, RequestList> for_group_;  // requests that found no capacity where they may still go
+  Group last_requeued_ = kAnywhere;
+  IndexedHeap<HeldRequest*, ByNext> by_next_;  // all queued requests, by the time of their next check
 };
 
 }  // namespace meadowslip::state
--- a/src/state/serializer.h
+++ b/src/state/serializer.h
@@ -1,5 +1,4 @@
-// Bytes for what the module keeps: a list of fields, written and read by the same words. No decisions are
-// made here.
+// Binary serialization of the module's state. A type lists its fields once, in Fields(), for both directions.
 #ifndef MEADOWSLIP_SRC_STATE_SERIALIZER_H_
 #define MEADOWSLIP_SRC_STATE_SERIALIZER_H_
 
@@ -22,31 +21,31 @@
 template <typename T>
 concept Number = std::is_arithmetic_v<T> || std::is_enum_v<T>;
 
-// Integers in steps of seven bits, signed ones folded so that small ones stay small; doubles as they are.
+// Integers are varints of seven bits a byte, with zigzag encoding of signed ones; doubles take 8 bytes.
 class Writer {
  public:
   static constexpr bool kLoads = false;
   void operator()(auto&... fields) { (Put(fields), ...); }
-  // With a sum over all, which Reader::Whole() checks.
-  std::string Take();
+  // Appends a checksum, which Reader::Complete() verifies.
+  std::string Finish();
 
  private:
-  void Bits(uint64_t value) {
+  void Varint(uint64_t value) {
     for (; value >= 0x80; value >>= 7) out_ += static_cast<char>(value | 0x80);
     out_ += static_cast<char>(value);
   }
-  void Fixed(uint64_t value) {
+  void Fixed64(uint64_t value) {
     for (int shift = 0; shift < 64; shift += 8) out_ += static_cast<char>(value >> shift);
   }
   template <Number T>
   void Put(T value) {
     if constexpr (std::is_floating_point_v<T>) {
-      Fixed(std::bit_cast<uint64_t>(static_cast<double>(value)));
+      Fixed64(std::bit_cast<uint64_t>(static_cast<double>(value)));
     } else if constexpr (std::is_unsigned_v<T>) {
-      Bits(value);
+      Varint(value);
     } else {
       const auto wide = static_cast<int64_t>(value);
-      Bits(static_cast<uint64_t>(wide) << 1 ^ static_cast<uint64_t>(wide >> 63));
+      Varint(static_cast<uint64_t>(wide) << 1 ^ static_cast<uint64_t>(wide >> 63));
     }
   }
   template <typename T>
@@ -58,20 +57,20 @@
   }
   template <typename T>
   void Put(std::vector<T>& all) {
-    Bits(all.size());
+    Varint(all.size());
     for (T& one : all) Put(one);
   }
   void Put(std::string& text) {
-    Bits(text.size());
+    Varint(text.size());
     out_ += text;
   }
-  // By key: the order in which such a map is walked says nothing, and differs after loading.
+  // Sorted by key: the iteration order of such a map is arbitrary, and differs after loading.
   template <typename Key, typename T>
   void Put(std::unordered_map<Key, T>& all) {
     std::vector<Key> keys;
     for (auto& [key, one] : all) keys.push_back(key);
     std::sort(keys.begin(), keys.end());
-    Bits(keys.size());
+    Varint(keys.size());
     for (const Key& key : keys) {
       Put(key);
       Put(all.at(key));
@@ -80,11 +79,11 @@
   void Put(std::mt19937_64& random) {
     std::stringstream text;
     text << random;
-    for (uint64_t word = 0; text >> word;) Fixed(word);
+    for (uint64_t word = 0; text >> word;) Fixed64(word);
   }
 
   friend class Reader;
-  static uint64_t Sum(std::string_view bytes) {
+  static uint64_t Checksum(std::string_view bytes) {
     uint64_t sum = 14695981039346656037u;
     for (char c : bytes) sum = (sum ^ static_cast<unsigned char>(c)) * 1099511628211u;
     return sum;
@@ -92,12 +91,12 @@
   std::string out_;
 };
 
-inline std::string Writer::Take() {
-  Fixed(Sum(out_));
+inline std::string Writer::Finish() {
+  Fixed64(Checksum(out_));
   return std::move(out_);
 }
 
-// What can't be read leaves the field as it was, and Whole() says so at the end.
+// An unreadable field keeps its value, and Complete() returns false at the end.
 class Reader {
  public:
   static constexpr bool kLoads = true;
@@ -106,53 +105,53 @@
     in_ = bytes.substr(0, bytes.size() - 8);
     const std::string_view body = in_;
     in_ = bytes.substr(body.size());
-    good_ = Fixed() == Writer::Sum(body);
+    ok_ = Fixed64() == Writer::Checksum(body);
     in_ = body;
   }
   void operator()(auto&... fields) { (Get(fields), ...); }
-  bool Whole() const { return good_ && in_.empty(); }
+  bool Complete() const { return ok_ && in_.empty(); }
 
  private:
   uint8_t Byte() {
-    if (in_.empty()) return good_ = false, uint8_t{0};
+    if (in_.empty()) return ok_ = false, uint8_t{0};
     const auto byte = static_cast<uint8_t>(in_.front());
     in_.remove_prefix(1);
     return byte;
   }
-  uint64_t Bits() {
+  uint64_t Varint() {
     uint64_t value = 0;
-    for (int shift = 0; shift < 64 && good_; shift += 7) {
+    for (int shift = 0; shift < 64 && ok_; shift += 7) {
       const uint8_t byte = Byte();
       value |= static_cast<uint64_t>(byte & 0x7f) << shift;
       if (byte < 0x80) break;
     }
     return value;
   }
-  uint64_t Fixed() {
+  uint64_t Fixed64() {
     uint64_t value = 0;
     for (int shift = 0; shift < 64; shift += 8) value |= static_cast<uint64_t>(Byte()) << shift;
     return value;
   }
-  size_t Count() {  // no more than there can be: each takes a byte at the least
-    const uint64_t n = Bits();
-    if (n > in_.size()) good_ = false;
-    return good_ ? static_cast<size_t>(n) : 0;
+  size_t Count() {  // bounded by the remaining input, since each element takes at least one byte
+    const uint64_t n = Varint();
+    if (n > in_.size()) ok_ = false;
+    return ok_ ? static_cast<size_t>(n) : 0;
   }
   template <Number T>
   void Get(T& value) {
     if constexpr (std::is_floating_point_v<T>) {
-      const double read = std::bit_cast<double>(Fixed());
-      // Likewise: a latency that no clock can hold must not become a time.
-      if (!(read >= -1e15 && read <= 1e15)) good_ = false;
+      const double read = std::bit_cast<double>(Fixed64());
+      // Bounds the value like the integers below: a latency that no clock can hold must not become a time.
+      if (!(read >= -1e15 && read <= 1e15)) ok_ = false;
       value = static_cast<T>(read);
     } else if constexpr (std::is_unsigned_v<T>) {
-      value = static_cast<T>(Bits());
+      value = static_cast<T>(Varint());
     } else {
-      const uint64_t folded = Bits();
+      const uint64_t folded = Varint();
       const auto wide = static_cast<int64_t>(folded >> 1 ^ (0 - (folded & 1)));
-      // Guards the sums of times: none that is true is so far away, but for the one that never comes.
-      constexpr int64_t kFar = int64_t{1} << 61;
-      if (wide < -kFar || (wide > kFar && wide != std::numeric_limits<int64_t>::max())) good_ = false;
+      // Guards sums of times against overflow: no real time is so far away, except the value for never.
+      constexpr int64_t kMaxTime = int64_t{1} << 61;
+      if (wide < -kMaxTime || (wide > kMaxTime && wide != std::numeric_limits<int64_t>::max())) ok_ = false;
       value = static_cast<T>(wide);
     }
   }
@@ -176,7 +175,7 @@
   template <typename Key, typename T>
   void Get(std::unordered_map<Key, T>& all) {
     all.clear();
-    for (size_t n = Count(); n > 0 && good_; --n) {
+    for (size_t n = Count(); n > 0 && ok_; --n) {
       Key key{};
       Get(key);
       Get(all[key]);
@@ -184,12 +183,12 @@
   }
   void Get(std::mt19937_64& random) {
     std::stringstream text;
-    for (size_t i = 0; i <= std::mt19937_64::state_size; ++i) text << Fixed() << ' ';
-    if (!(text >> random)) good_ = false;
+    for (size_t i = 0; i <= std::mt19937_64::state_size; ++i) text << Fixed64() << ' ';
+    if (!(text >> random)) ok_ = false;
   }
 
   std::string_view in_;
-  bool good_ = false;
+  bool ok_ = false;
 };
 
 }  // namespace meadowslip::state
--- a/tests/kit/kit_test.cpp
+++ b/tests/kit/kit_test.cpp
@@ -1,4 +1,5 @@
-// The containers: held against the plain ones of the library, and the random draw against its distribution.
+// The containers compared with those of the standard library, the random draw with its distribution, and the
+// token bucket and rate estimate with the expected values.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -12,98 +13,98 @@
 namespace burlfall::kit {
 namespace {
 
-struct Numbers {
+struct KeyOrder {
   std::vector<int>* keys;
-  std::vector<uint32_t>* places;
+  std::vector<uint32_t>* positions;
   std::pair<int, uint32_t> Key(uint32_t i) const { return {(*keys)[i], i}; }
-  uint32_t& Place(uint32_t i) const { return (*places)[i]; }
+  uint32_t& Position(uint32_t i) const { return (*positions)[i]; }
 };
 
-TEST(IndexedHeap, GivesTheLeastWhateverChangesAndGoes) {
+TEST(IndexedHeap, TopIsTheSmallestKeyAfterUpdatesAndErasures) {
   std::mt19937_64 random(1);
   std::vector<int> keys(300);
-  std::vector<uint32_t> places(keys.size(), kNoPlace);
-  IndexedHeap<uint32_t, Numbers> heap(Numbers{&keys, &places});
-  std::set<std::pair<int, uint32_t>> plain;
+  std::vector<uint32_t> positions(keys.size(), kNotInHeap);
+  IndexedHeap<uint32_t, KeyOrder> heap(KeyOrder{&keys, &positions});
+  std::set<std::pair<int, uint32_t>> expected;
   for (int step = 0; step < 100000; ++step) {
     const auto i = static_cast<uint32_t>(random() % keys.size());
-    plain.erase({keys[i], i});
+    expected.erase({keys[i], i});
     if (random() % 3 == 0) {
       heap.Erase(i);
     } else {
-      keys[i] = static_cast<int>(random() % 100);  // many alike
-      heap.Set(i);
-      plain.insert({keys[i], i});
+      keys[i] = static_cast<int>(random() % 100);  // many equal keys
+      heap.InsertOrUpdate(i);
+      expected.insert({keys[i], i});
     }
-    ASSERT_EQ(heap.size(), plain.size());
-    ASSERT_EQ(heap.Has(i), plain.contains({keys[i], i}));
-    if (!plain.empty()) {
-      ASSERT_EQ(heap.Top(), plain.begin()->second);
+    ASSERT_EQ(heap.size(), expected.size());
+    ASSERT_EQ(heap.Contains(i), expected.contains({keys[i], i}));
+    if (!expected.empty()) {
+      ASSERT_EQ(heap.Top(), expected.begin()->second);
     }
   }
 }
 
-struct Place {
-  std::vector<uint32_t>* places;
-  uint32_t& operator()(uint32_t n) const { return (*places)[n]; }
+struct PositionOf {
+  std::vector<uint32_t>* positions;
+  uint32_t& operator()(uint32_t n) const { return (*positions)[n]; }
 };
 
-TEST(Bag, HoldsWhatWasPutAndNotDropped) {
+TEST(Bag, HoldsWhatWasInsertedAndNotRemoved) {
   std::mt19937_64 random(2);
-  std::vector<uint32_t> places(100);
-  const Place place{&places};
-  Bag bag;
-  std::set<uint32_t> plain;
+  std::vector<uint32_t> positions(100);
+  const PositionOf position{&positions};
+  IndexedSet indexed;
+  std::set<uint32_t> expected;
   const auto below = [&](size_t n) { return random() % n; };
   for (int step = 0; step < 50000; ++step) {
-    const auto n = static_cast<uint32_t>(random() % places.size());
-    if (plain.insert(n).second) {
-      bag.Put(n, place);
+    const auto n = static_cast<uint32_t>(random() % positions.size());
+    if (expected.insert(n).second) {
+      indexed.Insert(n, position);
     } else {
-      plain.erase(n);
-      bag.Drop(n, place);
+      expected.erase(n);
+      indexed.Remove(n, position);
     }
-    ASSERT_EQ(bag.size(), plain.size());
-    const uint32_t wanted = static_cast<uint32_t>(random() % places.size());
-    const uint32_t got = bag.Draw(
-        bag.size(), 999, below, [&](uint32_t k) { return k == wanted; }, place);
-    ASSERT_EQ(got, plain.contains(wanted) ? wanted : 999);  // one of many is found
+    ASSERT_EQ(indexed.size(), expected.size());
+    const uint32_t target = static_cast<uint32_t>(random() % positions.size());
+    const uint32_t drawn = indexed.Draw(
+        indexed.size(), 999, below, [&](uint32_t k) { return k == target; }, position);
+    ASSERT_EQ(drawn, expected.contains(target) ? target : 999);  // the only acceptable one is found
   }
-  Bag again;
-  for (uint32_t n : plain) ASSERT_TRUE(again.Restore(n, plain.size(), place));
-  EXPECT_TRUE(again.Whole());
-  for (size_t k = 0; k < bag.size(); ++k) EXPECT_EQ(again[k], bag[k]);
-  places[*plain.begin()] = places[*plain.rbegin()];
-  Bag damaged;
-  bool sound = true;
-  for (uint32_t n : plain) sound &= damaged.Restore(n, plain.size(), place);
-  EXPECT_FALSE(sound && damaged.Whole());
+  IndexedSet restored;
+  for (uint32_t n : expected) ASSERT_TRUE(restored.Restore(n, expected.size(), position));
+  EXPECT_TRUE(restored.Complete());
+  for (size_t k = 0; k < indexed.size(); ++k) EXPECT_EQ(restored[k], indexed[k]);
+  positions[*expected.begin()] = positions[*expected.rbegin()];
+  IndexedSet damaged;
+  bool ok = true;
+  for (uint32_t n : expected) ok &= damaged.Restore(n, expected.size(), position);
+  EXPECT_FALSE(ok && damaged.Complete());
 }
 
-// All that fit are drawn alike, also behind others that do not and after many refusals have moved them about.
-// Chi-square at 49 degrees of freedom: 99.9% of fair draws stay under 85.4; with a fixed seed the test can't
-// fail by chance, and a draw that is fair fails it for one seed of a thousand.
-TEST(Bag, DrawsEvenlyAmongThoseThatFit) {
+// Acceptable numbers are drawn with equal probability, even if they are mixed with others and rejected draws
+// have moved them. Chi-square with 49 degrees of freedom: 99.9% of fair draws stay under 85.4. The seed is
+// fixed, so the result is always the same; a fair draw exceeds the bound for one seed in a thousand.
+TEST(Bag, DrawsAcceptableNumbersWithEqualProbability) {
   std::mt19937_64 random(3);
-  std::vector<uint32_t> places(200);
-  Bag bag;
-  for (uint32_t n = 0; n < places.size(); ++n) bag.Put(n, Place{&places});
-  std::vector<int> drawn(places.size());
+  std::vector<uint32_t> positions(200);
+  IndexedSet indexed;
+  for (uint32_t n = 0; n < positions.size(); ++n) indexed.Insert(n, PositionOf{&positions});
+  std::vector<int> counts(positions.size());
   const auto below = [&](size_t n) { return random() % n; };
   constexpr int kDraws = 50000;
   for (int i = 0; i < kDraws; ++i) {
-    ++drawn[bag.Draw(
-        200, 0, below, [](uint32_t n) { return n % 4 == 1; }, Place{&places})];
+    ++counts[indexed.Draw(
+        200, 0, below, [](uint32_t n) { return n % 4 == 1; }, PositionOf{&positions})];
   }
   double chi = 0;
-  for (uint32_t n = 1; n < places.size(); n += 4) {
-    const double off = drawn[n] - kDraws / 50.0;
-    chi += off * off / (kDraws / 50.0);
+  for (uint32_t n = 1; n < positions.size(); n += 4) {
+    const double deviation = counts[n] - kDraws / 50.0;
+    chi += deviation * deviation / (kDraws / 50.0);
   }
   EXPECT_LT(chi, 85.4);
 }
 
-TEST(ExactSum, IsWhatRemainsToTheLastBit) {
+TEST(ExactSum, EqualsTheSumOfTheRemainingTermsExactly) {
   std::mt19937_64 random(4);
   std::vector<double> parts;
   ExactSum sum;
@@ -121,26 +122,26 @@
   EXPECT_NEAR(ExactSum(0.1).value(), 0.1, 1e-6);
 }
 
-TEST(TokenBucket, GivesItsRateAndNoMoreThanItHolds) {
+TEST(TokenBucket, LimitsToItsRateAndCapacity) {
   TokenBucket bucket;
-  int given = 0;
-  for (int64_t now = 0; now < 10'000'000; now += 1000) given += bucket.Take(5, 3, now);
-  EXPECT_NEAR(given, 50, 3);
-  for (int i = 0; i < 10; ++i) given -= bucket.Take(5, 3, 100'000'000);
-  EXPECT_NEAR(given, 47, 3);
-  TokenBucket earned;
-  for (int i = 0; i < 100; ++i) earned.Earn(0.25, 4);
-  given = 0;
-  while (earned.Take()) ++given;
-  EXPECT_EQ(given, 4);
+  int taken = 0;
+  for (int64_t now = 0; now < 10'000'000; now += 1000) taken += bucket.Take(5, 3, now);
+  EXPECT_NEAR(taken, 50, 3);
+  for (int i = 0; i < 10; ++i) taken -= bucket.Take(5, 3, 100'000'000);
+  EXPECT_NEAR(taken, 47, 3);
+  TokenBucket deposited;
+  for (int i = 0; i < 100; ++i) deposited.Deposit(0.25, 4);
+  taken = 0;
+  while (deposited.Take()) ++taken;
+  EXPECT_EQ(taken, 4);
 }
 
-TEST(Rate, IsHowOftenItHappensAndFades) {
+TEST(Rate, EstimatesTheFrequencyAndDecays) {
   Rate rate;
   int64_t now = 0;
   for (; now < 20'000'000; now += 10'000) rate.Add(now, 2e6);
-  EXPECT_NEAR(rate.Now(now, 2e6), 100, 5);
-  EXPECT_LT(rate.Now(now + 20'000'000, 2e6), 15);
+  EXPECT_NEAR(rate.At(now, 2e6), 100, 5);
+  EXPECT_LT(rate.At(now + 20'000'000, 2e6), 15);
 }
 
 }  // namespace
