--- a/fuzz/http_fuzz.cpp
+++ b/fuzz/http_fuzz.cpp
@@ -30,18 +30,18 @@
     const bool came = !bytes.empty();
     bytes.remove_prefix(std::min(piece, bytes.size()));
     parsed = parser.Feed(buffer);
-    if (parsed == Parsed::kPart) {
+    if (parsed == Parsed::kHeadComplete) {
       parted = true;
       const HttpMessage head = parser.TakeHead();
       said += Head(head) + head.body;
       parsed = parser.Feed(buffer);
-      if (parsed == Parsed::kPart) std::abort();  // it is said once
+      if (parsed == Parsed::kHeadComplete) std::abort();  // it is said once
     }
     if (parted) {
       said += parser.body();
       parser.body().clear();
     }
-    if (buffer.size() > kMostHead + piece + 512) std::abort();
+    if (buffer.size() > kMaxHead + piece + 512) std::abort();
     if (parsed == Parsed::kDone) {
       const HttpMessage whole = parser.Take();
       if (!parted) said += Head(whole) + whole.body;
--- a/src/codec/base64.h
+++ b/src/codec/base64.h
@@ -1,4 +1,4 @@
-// Base64url (RFC 4648, section 5) without padding, read strictly: one text for each value and no other.
+// Base64url (RFC 4648, section 5) without padding. Decoding is strict: each value has exactly one valid text.
 #ifndef BURLFALL_CODEC_BASE64_H_
 #define BURLFALL_CODEC_BASE64_H_
 
@@ -9,6 +9,7 @@
 namespace burlfall {
 
 std::string Base64Url(std::string_view bytes);
+// Returns nothing when the text is not valid base64url.
 std::optional<std::string> FromBase64Url(std::string_view text);
 
 }  // namespace burlfall
--- a/src/codec/http.cpp
+++ b/src/codec/http.cpp
@@ -8,10 +8,10 @@
 namespace burlfall {
 namespace {
 
-constexpr size_t kMostHeaders = 100;
-constexpr std::array<std::string_view, 9> kOneLink = {"connection", "keep-alive",        "proxy-connection",
-                                                      "te",         "trailer",           "upgrade",
-                                                      "expect",     "transfer-encoding", "content-length"};
+constexpr size_t kMaxHeaders = 100;
+constexpr std::array<std::string_view, 9> kHopByHopHeaders = {
+    "connection", "keep-alive",        "proxy-connection", "te", "trailer", "upgrade",
+    "expect",     "transfer-encoding", "content-length"};
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
 
 char Lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
@@ -34,10 +34,10 @@
                       [](char c) { return (c >= 0 && c < ' ' && c != '\t') || c == 127; });
 }
 
-bool HasWord(std::string_view list, std::string_view word) {
+bool ListContains(std::string_view list, std::string_view word) {
   while (!list.empty()) {
     size_t comma = std::min(list.find(','), list.size());
-    if (SameName(Trim(list.substr(0, comma)), word)) return true;
+    if (EqualsIgnoreCase(Trim(list.substr(0, comma)), word)) return true;
     list.remove_prefix(std::min(comma + 1, list.size()));
   }
   return false;
@@ -50,7 +50,7 @@
 
 }  // namespace
 
-bool SameName(std::string_view a, std::string_view b) {
+bool EqualsIgnoreCase(std::string_view a, std::string_view b) {
   return a.size() == b.size() &&
          std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) { return Lower(x) == Lower(y); });
 }
@@ -65,16 +65,16 @@
   out.append("\r\n").append(bytes).append("\r\n");
 }
 
-void AppendEndToEnd(std::string& out, const HttpMessage& message, std::string_view but) {
+void AppendEndToEnd(std::string& out, const HttpMessage& message, std::string_view except) {
   for (const Header& h : message.headers) {
-    bool one_link = std::any_of(kOneLink.begin(), kOneLink.end(),
-                                [&](std::string_view name) { return SameName(name, h.name); });
-    if (one_link || SameName(h.name, but) || message.OfOneLink(h.name)) continue;
+    bool hop_by_hop = std::any_of(kHopByHopHeaders.begin(), kHopByHopHeaders.end(),
+                                  [&](std::string_view name) { return EqualsIgnoreCase(name, h.name); });
+    if (hop_by_hop || EqualsIgnoreCase(h.name, except) || message.HasConnectionOption(h.name)) continue;
     AppendHeader(out, h.name, h.value);
   }
 }
 
-std::string_view Reason(int status) {
+std::string_view ReasonPhrase(int status) {
   switch (status) {
     case 200:
       return "OK";
@@ -110,25 +110,25 @@
 
 const std::string* HttpMessage::Find(std::string_view name) const {
   for (const Header& h : headers) {
-    if (SameName(h.name, name)) return &h.value;
+    if (EqualsIgnoreCase(h.name, name)) return &h.value;
   }
   return nullptr;
 }
 
-// There may be several such lines (RFC 9110, 5.3). Guards a link that ends after this message: a query
-// written to it would be reset.
-bool HttpMessage::OfOneLink(std::string_view word) const {
+// There may be several Connection headers (RFC 9110, 5.3). Missing a "close" among them would keep a link in
+// use that its peer closes after this message: a query written to it would be reset.
+bool HttpMessage::HasConnectionOption(std::string_view word) const {
   return std::any_of(headers.begin(), headers.end(), [&](const Header& h) {
-    return SameName(h.name, "Connection") && HasWord(h.value, word);
+    return EqualsIgnoreCase(h.name, "Connection") && ListContains(h.value, word);
   });
 }
 
 Parsed HttpParser::Feed(std::string& buffer) {
-  if (part_ == Part::kHead) {
-    // A stray line break between requests is forgiven.
+  if (state_ == State::kHead) {
+    // Tolerates empty lines between requests.
     while (kind_ == Kind::kRequest && scanned_ == 0 && buffer.starts_with("\r\n")) buffer.erase(0, 2);
     size_t end = buffer.find(kHeadEnd, scanned_);
-    if (interim_ + std::min(end, buffer.size()) > kMostHead) return Parsed::kTooLarge;
+    if (interim_bytes_ + std::min(end, buffer.size()) > kMaxHead) return Parsed::kTooLarge;
     if (end == std::string::npos) {
       scanned_ = buffer.size() < kHeadEnd.size() ? 0 : buffer.size() - kHeadEnd.size() + 1;
       return Parsed::kMore;
@@ -137,61 +137,63 @@
     Parsed head = Head(std::string_view(buffer).substr(0, end));
     if (head != Parsed::kDone) return head;
     buffer.erase(0, end + kHeadEnd.size());
-    if (kind_ == Kind::kResponse && message_.status / 100 == 1) {  // an interim answer: the real one follows
-      interim_ += end + kHeadEnd.size();
+    if (kind_ == Kind::kResponse && message_.status / 100 == 1) {  // interim: the final answer follows
+      interim_bytes_ += end + kHeadEnd.size();
       message_ = HttpMessage();
       return Feed(buffer);
     }
     Parsed framing = Framing();
     if (framing != Parsed::kDone) return framing;
   }
-  const Parsed parsed = wrong_ != Parsed::kMore ? wrong_ : Body(buffer);
-  const bool longer =
-      message_.body.size() > held_ || (part_ == Part::kBody && !parted_ && length_.value_or(0) > held_);
-  if (parsed == Parsed::kDone || parted_ || !longer) return parsed;
-  wrong_ = parsed;  // what is wrong further on is said once the head is told, as where it comes in pieces
-  return Parsed::kPart;
+  const Parsed parsed = deferred_error_ != Parsed::kMore ? deferred_error_ : Body(buffer);
+  const bool exceeds_hold_limit =
+      message_.body.size() > hold_limit_ ||
+      (state_ == State::kBody && !head_taken_ && length_.value_or(0) > hold_limit_);
+  if (parsed == Parsed::kDone || head_taken_ || !exceeds_hold_limit) return parsed;
+  deferred_error_ = parsed;  // reported after the head, as it would be if the body had arrived in pieces
+  return Parsed::kHeadComplete;
 }
 
-// What of it has come, up to the end of the buffer.
+// Parses the body as far as the buffer holds it.
 Parsed HttpParser::Body(std::string& buffer) {
-  if (part_ == Part::kBody || part_ == Part::kToEnd) {
-    size_t n = part_ == Part::kBody ? std::min(left_, buffer.size()) : buffer.size();
-    if (total_ + n > most_body_) return Parsed::kTooLarge;
-    total_ += n;
+  if (state_ == State::kBody || state_ == State::kToEnd) {
+    size_t n = state_ == State::kBody ? std::min(remaining_, buffer.size()) : buffer.size();
+    if (body_bytes_ + n > max_body_) return Parsed::kTooLarge;
+    body_bytes_ += n;
     message_.body.append(buffer, 0, n);
     buffer.erase(0, n);
-    if (part_ == Part::kToEnd) return Parsed::kMore;
-    left_ -= n;
-    if (left_ == 0) part_ = Part::kDone;
+    if (state_ == State::kToEnd) return Parsed::kMore;
+    remaining_ -= n;
+    if (remaining_ == 0) state_ = State::kDone;
   }
-  if (part_ != Part::kDone && part_ != Part::kBody) return Chunks(buffer);
-  return part_ == Part::kDone ? Parsed::kDone : Parsed::kMore;
+  if (state_ != State::kDone && state_ != State::kBody) return Chunks(buffer);
+  return state_ == State::kDone ? Parsed::kDone : Parsed::kMore;
 }
 
-Parsed HttpParser::Closed() {
-  if (part_ != Part::kToEnd) return Parsed::kBad;
-  part_ = Part::kDone;
+Parsed HttpParser::OnPeerClosed() {
+  if (state_ != State::kToEnd) return Parsed::kBad;
+  state_ = State::kDone;
   return Parsed::kDone;
 }
 
-bool HttpParser::ExpectsContinue() { return std::exchange(expects_, false); }
+bool HttpParser::ExpectsContinue() { return std::exchange(expects_continue_, false); }
 
 HttpMessage HttpParser::TakeHead() {
-  parted_ = true;
+  head_taken_ = true;
   HttpMessage head = std::exchange(message_, HttpMessage());
   message_.status = head.status;
   return head;
 }
 
 HttpMessage HttpParser::Take() {
-  part_ = Part::kHead;
-  scanned_ = interim_ = left_ = trailer_ = total_ = 0;
+  state_ = State::kHead;
+  scanned_ = interim_bytes_ = remaining_ = trailer_lines_ = body_bytes_ = 0;
   length_.reset();
-  held_ = held_first_;
-  wrong_ = Parsed::kMore;
-  parted_ = no_body_ = false;
-  expects_ = false;  // the body came unasked: a leave for it would stand before the next answer
+  hold_limit_ = default_hold_limit_;
+  deferred_error_ = Parsed::kMore;
+  head_taken_ = no_body_ = false;
+  expects_continue_ =
+      false;  // the body came without a "100 Continue": sent now, that would precede the next answer
   return std::exchange(message_, HttpMessage());
 }
 
@@ -202,7 +204,7 @@
     head.remove_prefix(eol + 2);
     eol = std::min(head.find("\r\n"), head.size());
     std::string_view line = head.substr(0, eol);
-    // A line that begins with a blank goes on with the one before (RFC 9112, 5.2).
+    // A line that begins with white space continues the previous one (obs-fold: RFC 9112, 5.2).
     if ((line.starts_with(' ') || line.starts_with('\t')) && !message_.headers.empty() && IsText(line)) {
       std::string& value = message_.headers.back().value;
       value.append(value.empty() ? "" : " ").append(Trim(line));
@@ -211,29 +213,30 @@
     size_t colon = line.find(':');
     if (colon == std::string_view::npos || !IsToken(line.substr(0, colon))) return Parsed::kBad;
     std::string_view value = Trim(line.substr(colon + 1));
-    if (!IsText(value) || message_.headers.size() >= kMostHeaders) return Parsed::kBad;
+    if (!IsText(value) || message_.headers.size() >= kMaxHeaders) return Parsed::kBad;
     message_.headers.push_back({std::string(line.substr(0, colon)), std::string(value)});
   }
   return Parsed::kDone;
 }
 
 bool HttpParser::StartLine(std::string_view line) {
-  size_t one = line.find(' ');
-  if (one == std::string_view::npos || !IsText(line)) return false;
+  size_t first_space = line.find(' ');
+  if (first_space == std::string_view::npos || !IsText(line)) return false;
   std::string_view version;
   if (kind_ == Kind::kRequest) {
-    size_t two = line.rfind(' ');
-    if (two == one) return false;
-    message_.method = line.substr(0, one);
-    message_.target = line.substr(one + 1, two - one - 1);
-    version = line.substr(two + 1);
+    size_t last_space = line.rfind(' ');
+    if (last_space == first_space) return false;
+    message_.method = line.substr(0, first_space);
+    message_.target = line.substr(first_space + 1, last_space - first_space - 1);
+    version = line.substr(last_space + 1);
     if (!IsToken(message_.method) || !message_.target.starts_with('/')) return false;
     if (message_.target.find(' ') != std::string::npos) return false;
   } else {
-    version = line.substr(0, one);
+    version = line.substr(0, first_space);
     size_t status = 0;
-    const std::string_view reason = line.substr(std::min(one + 4, line.size()));  // with the blank before it
-    if (!Digits(line.substr(one + 1, 3), status, 10) || status < 100 || status > 599) return false;
+    const std::string_view reason =
+        line.substr(std::min(first_space + 4, line.size()));  // with the leading space
+    if (!Digits(line.substr(first_space + 1, 3), status, 10) || status < 100 || status > 599) return false;
     if (!reason.empty() && !reason.starts_with(' ')) return false;
     message_.status = static_cast<int>(status);
   }
@@ -241,73 +244,75 @@
   return message_.http_1_0 || version == "HTTP/1.1";
 }
 
-// How the body ends. Two ways of saying it in one message are a smuggler's: bad.
+// Determines how the body is delimited. A message with contradicting framing headers is rejected: it may be
+// an attempt at request smuggling.
 Parsed HttpParser::Framing() {
-  message_.keep_alive =
-      !message_.OfOneLink("close") && (!message_.http_1_0 || message_.OfOneLink("keep-alive"));
+  message_.keep_alive = !message_.HasConnectionOption("close") &&
+                        (!message_.http_1_0 || message_.HasConnectionOption("keep-alive"));
   const std::string* expect = message_.Find("Expect");
-  expects_ = kind_ == Kind::kRequest && expect != nullptr && SameName(*expect, "100-continue");
+  expects_continue_ =
+      kind_ == Kind::kRequest && expect != nullptr && EqualsIgnoreCase(*expect, "100-continue");
   const std::string* coding = message_.Find("Transfer-Encoding");
   const std::string* length = message_.Find("Content-Length");
-  bool twice = std::any_of(message_.headers.begin(), message_.headers.end(), [&](const Header& h) {
-    return (SameName(h.name, "Content-Length") && (coding != nullptr || h.value != *length)) ||
-           (SameName(h.name, "Transfer-Encoding") && &h.value != coding);
+  bool ambiguous = std::any_of(message_.headers.begin(), message_.headers.end(), [&](const Header& h) {
+    return (EqualsIgnoreCase(h.name, "Content-Length") && (coding != nullptr || h.value != *length)) ||
+           (EqualsIgnoreCase(h.name, "Transfer-Encoding") && &h.value != coding);
   });
-  if (twice) return Parsed::kBad;
+  if (ambiguous) return Parsed::kBad;
   if (no_body_ || message_.status == 204 || message_.status == 304) {
-    left_ = 0;
-    part_ = Part::kBody;
-    // It has no body, and says of which length: a sender that then sends one would be heard as the next
-    // answer.
+    remaining_ = 0;
+    state_ = State::kBody;
+    // The message has no body although its headers announce one. If the sender sends one all the same, it
+    // would be parsed as the next answer.
     if (!no_body_ && (coding != nullptr || length != nullptr)) message_.keep_alive = false;
   } else if (coding != nullptr) {
-    if (!SameName(*coding, "chunked")) return Parsed::kBad;
-    part_ = Part::kChunkSize;
+    if (!EqualsIgnoreCase(*coding, "chunked")) return Parsed::kBad;
+    state_ = State::kChunkSize;
   } else if (length != nullptr) {
-    if (!Digits(*length, left_, 10)) return Parsed::kBad;
-    if (left_ > most_body_) return Parsed::kTooLarge;
-    length_ = left_;
-    part_ = Part::kBody;
+    if (!Digits(*length, remaining_, 10)) return Parsed::kBad;
+    if (remaining_ > max_body_) return Parsed::kTooLarge;
+    length_ = remaining_;
+    state_ = State::kBody;
   } else if (kind_ == Kind::kResponse) {
-    part_ = Part::kToEnd;
+    state_ = State::kToEnd;
     message_.keep_alive = false;
   } else {
-    left_ = 0;
-    part_ = Part::kBody;
+    remaining_ = 0;
+    state_ = State::kBody;
   }
   return Parsed::kDone;
 }
 
 Parsed HttpParser::Chunks(std::string& buffer) {
-  constexpr size_t kMostLine = 4096;  // of a chunk's size with its extensions, or of a trailer
+  constexpr size_t kMaxLine = 4096;  // bytes of a chunk-size line with its extensions, or of a trailer line
   while (true) {
-    if (part_ == Part::kChunk) {
-      size_t n = std::min(left_, buffer.size());
-      total_ += n;
+    if (state_ == State::kChunk) {
+      size_t n = std::min(remaining_, buffer.size());
+      body_bytes_ += n;
       message_.body.append(buffer, 0, n);
       buffer.erase(0, n);
-      left_ -= n;
-      if (left_ > 0) return Parsed::kMore;
-      part_ = Part::kChunkEnd;
+      remaining_ -= n;
+      if (remaining_ > 0) return Parsed::kMore;
+      state_ = State::kChunkEnd;
     }
     size_t eol = buffer.find("\r\n");
-    // Also where it has come whole: what a message says must not hang on how it is cut.
-    if (std::min(eol, buffer.size()) > kMostLine) return Parsed::kBad;
+    // The limit holds also for a complete line: the result must not depend on how the bytes are split up.
+    if (std::min(eol, buffer.size()) > kMaxLine) return Parsed::kBad;
     if (eol == std::string::npos) return Parsed::kMore;
     std::string line = buffer.substr(0, eol);
     buffer.erase(0, eol + 2);
-    if (part_ == Part::kChunkEnd) {
+    if (state_ == State::kChunkEnd) {
       if (!line.empty()) return Parsed::kBad;
-      part_ = Part::kChunkSize;
-    } else if (part_ == Part::kChunkSize) {
+      state_ = State::kChunkSize;
+    } else if (state_ == State::kChunkSize) {
       std::string_view size = Trim(std::string_view(line).substr(0, line.find(';')));
-      if (size.size() > 8 || !Digits(size, left_, 16)) return Parsed::kBad;
-      if (left_ > most_body_ || total_ + left_ > most_body_) return Parsed::kTooLarge;
-      part_ = left_ > 0 ? Part::kChunk : Part::kTrailer;
+      if (size.size() > 8 || !Digits(size, remaining_, 16)) return Parsed::kBad;
+      if (remaining_ > max_body_ || body_bytes_ + remaining_ > max_body_) return Parsed::kTooLarge;
+      state_ = remaining_ > 0 ? State::kChunk : State::kTrailer;
     } else if (line.empty()) {
-      part_ = Part::kDone;
+      state_ = State::kDone;
       return Parsed::kDone;
-    } else if (++trailer_ > kMostHeaders) {
+    } else if (++trailer_lines_ > kMaxHeaders) {
       return Parsed::kBad;
     }
   }
--- a/src/codec/http.h
+++ b/src/codec/http.h
@@ -1,4 +1,4 @@
-// HTTP/1.1: an incremental parser for requests and responses, and the writers.
+// HTTP/1.1: an incremental parser for requests and responses, and the writers. Sizes are in bytes.
 #ifndef BURLFALL_CODEC_HTTP_H_
 #define BURLFALL_CODEC_HTTP_H_
 
@@ -15,11 +15,11 @@
 
 namespace burlfall {
 
-constexpr size_t kMostBody = 64 * 1024;  // that is held whole
-constexpr size_t kMostStreamed = 32 * 1024 * 1024;
-constexpr size_t kMostHead = 16 * 1024;
+constexpr size_t kMaxHeldBody = 64 * 1024;  // a body up to this size is held in memory
+constexpr size_t kMaxStreamedBody = 32 * 1024 * 1024;
+constexpr size_t kMaxHead = 16 * 1024;
 
-class BodySource;  // what is still to come: io/body_source.h
+class BodySource;  // the part of a body that has not been received: io/body_source.h
 
 struct Header {
   std::string name;
@@ -27,59 +27,62 @@
 };
 
 struct HttpMessage {
-  std::string method;  // of a request
+  std::string method;  // requests only
   std::string target;
-  int status = 0;  // of a response
+  int status = 0;  // responses only
   std::vector<Header> headers;
   std::string body;
   bool keep_alive = true;
-  bool http_1_0 = false;  // of a request: its sender can't read chunks
+  bool http_1_0 = false;  // HTTP/1.0: the sender of such a request can't read chunked answers
 
-  const std::string* Find(std::string_view name) const;  // nullptr: absent
-  bool OfOneLink(std::string_view word) const;           // some `Connection` line has it
+  // The value of the first header of this name; nullptr if there is none.
+  const std::string* Find(std::string_view name) const;
+  bool HasConnectionOption(std::string_view word) const;  // whether a `Connection` header lists it
 };
 
+// An HTTP request or response as the payload of a query or an answer.
 struct HttpPayload final : Payload, HttpMessage {
   explicit HttpPayload(HttpMessage message) : HttpMessage(std::move(message)) {}
-  bool Spent() const override { return spent; }
-  // What comes behind `body`; nullptr: nothing.
-  std::shared_ptr<BodySource> more;
-  mutable bool spent = false;  // something was taken of that
+  bool Consumed() const override { return consumed; }
+  // Supplies what follows `body`; nullptr if `body` is complete.
+  std::shared_ptr<BodySource> body_rest;
+  mutable bool consumed = false;  // part of `body_rest` has been taken
 };
 
 enum class Parsed {
-  kMore,
+  kMore,  // the message is incomplete: more bytes are needed
   kDone,
-  kPart,  // the head is whole, and the body is more than is held: TakeHead(), then Feed() and body()
+  kHeadComplete,  // the body exceeds the hold limit: call TakeHead(), then Feed() and body() repeatedly
   kBad,
   kTooLarge,
 };
 
-// Reads one message after the other off the front of a buffer that grows as bytes come.
+// Parses consecutive messages. Feed() removes the bytes it has parsed from the front of the caller's buffer.
 class HttpParser {
  public:
   enum class Kind { kRequest, kResponse };
-  // Holds bodies of up to `held`, and knows of longer ones up to `most_body`.
-  explicit HttpParser(Kind kind, size_t most_body = kMostBody, size_t held = kMostBody)
-      : kind_(kind), most_body_(most_body), held_(held) {}
+  // Holds bodies of up to `hold_limit` bytes, streams longer ones of up to `max_body`, and rejects the rest.
+  explicit HttpParser(Kind kind, size_t max_body = kMaxHeldBody, size_t hold_limit = kMaxHeldBody)
+      : kind_(kind), max_body_(max_body), hold_limit_(hold_limit) {}
 
   Parsed Feed(std::string& buffer);
-  Parsed Closed();  // the peer has ended its sending: what it means for the message at hand
-  bool
-  ExpectsContinue();   // true once, where the body is outstanding and the sender waits for leave to send it
-  HttpMessage Take();  // after kDone; the parser is then at the next message
-  HttpMessage TakeHead();  // after kPart, with the body so far
-  // Whether the message could be begun to be passed on: its head has come, and of its body something.
-  bool Begun() const { return part_ != Part::kHead && !message_.body.empty(); }
-  std::string& body() { return message_.body; }  // as far as it has come, to be taken at any time after that
+  // The peer has ended its sending. Returns the result for the current message.
+  Parsed OnPeerClosed();
+  // Returns true once if the body has not arrived and its sender waits for "100 Continue".
+  bool ExpectsContinue();
+  HttpMessage Take();      // after kDone; the parser then expects the next message
+  HttpMessage TakeHead();  // after kHeadComplete, with the part of the body received so far
+  // Whether forwarding could start: the head and at least one byte of the body have been received.
+  bool HasBodyBytes() const { return state_ != State::kHead && !message_.body.empty(); }
+  std::string& body() { return message_.body; }  // received so far; after TakeHead() the caller may empty it
   std::optional<size_t> length() const { return length_; }
-  void Hold(size_t bytes) { held_ = bytes; }            // of the message at hand
-  void NoBody() { no_body_ = true; }                    // the next response answers HEAD
-  bool AtHead() const { return part_ == Part::kHead; }  // and nothing of it was taken off the buffer
-  int Status() const { return part_ == Part::kHead ? 0 : message_.status; }  // once the head has come
+  void SetHoldLimit(size_t bytes) { hold_limit_ = bytes; }     // for the current message
+  void ExpectNoBody() { no_body_ = true; }                     // the next response answers a HEAD request
+  bool ReadingHead() const { return state_ == State::kHead; }  // its bytes are still in the buffer
+  int Status() const { return state_ == State::kHead ? 0 : message_.status; }  // 0 until the head is complete
 
  private:
-  enum class Part { kHead, kBody, kChunkSize, kChunk, kChunkEnd, kTrailer, kToEnd, kDone };
+  enum class State { kHead, kBody, kChunkSize, kChunk, kChunkEnd, kTrailer, kToEnd, kDone };
 
   Parsed Body(std::string& buffer);
   Parsed Head(std::string_view head);
@@ -88,29 +91,29 @@
   Parsed Chunks(std::string& buffer);
 
   Kind kind_;
-  size_t most_body_;
-  Part part_ = Part::kHead;
-  size_t scanned_ = 0;  // of the head, without its end
-  size_t interim_ = 0;  // answers before the head, all of them: they may be no longer than a head
-  size_t left_ = 0;     // of the body or the chunk
-  size_t trailer_ = 0;
-  size_t total_ = 0;  // of the body, as far as it has come
-  size_t held_;
-  size_t held_first_ = held_;
+  size_t max_body_;
+  State state_ = State::kHead;
+  size_t scanned_ = 0;        // bytes of the head already searched for its end
+  size_t interim_bytes_ = 0;  // total of the interim (1xx) responses, which count towards kMaxHead
+  size_t remaining_ = 0;      // bytes of the body or chunk still to come
+  size_t trailer_lines_ = 0;
+  size_t body_bytes_ = 0;  // received so far
+  size_t hold_limit_;
+  size_t default_hold_limit_ = hold_limit_;
   std::optional<size_t> length_;
-  Parsed wrong_ = Parsed::kMore;  // what is wrong with the body, where its head must be told first
-  bool parted_ = false;           // its head was taken
+  Parsed deferred_error_ = Parsed::kMore;  // an error in the body, reported after kHeadComplete
+  bool head_taken_ = false;                // TakeHead() was called for the current message
   bool no_body_ = false;
-  bool expects_ = false;
+  bool expects_continue_ = false;
   HttpMessage message_;
 };
 
-bool SameName(std::string_view a, std::string_view b);  // header names: case does not count
+bool EqualsIgnoreCase(std::string_view a, std::string_view b);  // ASCII only
 void AppendHeader(std::string& out, std::string_view name, std::string_view value);
-void AppendChunk(std::string& out, std::string_view bytes);  // none: the last one
-// Those headers of a message that are for the other end: not the framing, nor what concerns one connection.
-void AppendEndToEnd(std::string& out, const HttpMessage& message, std::string_view but = {});
-std::string_view Reason(int status);
+void AppendChunk(std::string& out, std::string_view bytes);  // empty `bytes`: the last chunk
+// Appends the message's end-to-end headers: not those of the framing or of one connection, nor `except`.
+void AppendEndToEnd(std::string& out, const HttpMessage& message, std::string_view except = {});
+std::string_view ReasonPhrase(int status);
 
 }  // namespace burlfall
 
--- a/src/codec/payload.h
+++ b/src/codec/payload.h
@@ -1,5 +1,5 @@
-// What a query carries to a server, or an answer brings back. Whoever passes it on need not know what it is:
-// the front that made a query and the upstream that sends it speak the same protocol.
+// The protocol-specific content of a query or of an answer. The code in between passes it on without knowing
+// the protocol: only the front that creates a query and the upstream that sends it interpret it.
 #ifndef BURLFALL_CODEC_PAYLOAD_H_
 #define BURLFALL_CODEC_PAYLOAD_H_
 
@@ -8,8 +8,8 @@
 class Payload {
  public:
   virtual ~Payload() = default;
-  virtual bool Spent() const { return false; }  // a part of it is gone: it can't be sent again
-  bool closed = false;  // nothing is owed for it any more: what is not whole on its way need not be
+  virtual bool Consumed() const { return false; }  // true once part of it is used up: it can't be sent again
+  bool closed = false;  // the query needs no answer any more: an attempt not yet fully sent may be dropped
 };
 
 }  // namespace burlfall
--- a/src/control/control_call.cpp
+++ b/src/control/control_call.cpp
@@ -13,7 +13,7 @@
 
 std::string Answer(int status, std::string_view text, std::string_view allow = {}) {
   std::string out = "HTTP/1.1 " + std::to_string(status) + " ";
-  out.append(Reason(status)).append("\r\n");
+  out.append(ReasonPhrase(status)).append("\r\n");
   if (!allow.empty()) AppendHeader(out, "Allow", allow);
   AppendHeader(out, "Content-Type", "text/plain");
   AppendHeader(out, "Content-Length", std::to_string(text.size() + 1));
@@ -98,7 +98,7 @@
   return change;
 }
 
-std::string AnswerBad(int status) { return Answer(status, Reason(status)); }
+std::string AnswerBad(int status) { return Answer(status, ReasonPhrase(status)); }
 
 std::string AnswerCall(const HttpMessage& call, Operations& operations) {
   const std::string_view path = std::string_view(call.target).substr(0, call.target.find('?'));
--- a/src/control/control_front.cpp
+++ b/src/control/control_front.cpp
@@ -75,7 +75,7 @@
     case Parsed::kDone:  // Serve() has it
     case Parsed::kBad:
       return AnswerBad(400);
-    case Parsed::kPart:
+    case Parsed::kHeadComplete:
     case Parsed::kTooLarge:
       return AnswerBad(call.parser.Take().method.empty() ? 431 : 413);
   }
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -88,7 +88,7 @@
   told.elapsed = now - attempt.sent_at;
   told.outcome = result.answer.outcome;
   // Guards what is sent but once: an attempt that took a part of the query and failed must be the last.
-  if (told.outcome != Outcome::kOk && query.asked.payload->Spent()) TellStream(told.id, told.attempt);
+  if (told.outcome != Outcome::kOk && query.asked.payload->Consumed()) TellStream(told.id, told.attempt);
   if (capture_) capture_->OnResult(now, told);
   balancer_.OnResult(now, told, *this);
 }
--- a/src/front/client_link.cpp
+++ b/src/front/client_link.cpp
@@ -25,7 +25,7 @@
 // Where descriptors run short: others wait for this one, and whoever hears of our end closes within a round
 // trip.
 constexpr Micros kLingerTight = 100 * kMs;
-constexpr size_t kMostDropped = kMostStreamed;  // of what comes behind the last answer: a large query's body
+constexpr size_t kMostDropped = kMaxStreamedBody;  // of what comes behind the last answer: a large query's body
 constexpr Micros kMostPatience = 3600 * kSecond;
 
 // A whole number of microseconds within reason; anything else says nothing.
@@ -68,7 +68,7 @@
     : asked(from.asked),
       front_(front),
       stream_(std::move(stream)),
-      parser_(HttpParser::Kind::kRequest, front.parts_.config.in_service ? kMostStreamed : kMostBody),
+      parser_(HttpParser::Kind::kRequest, front.parts_.config.in_service ? kMaxStreamedBody : kMaxHeldBody),
       share_(front.bytes()),
       in_(std::move(from.read)),
       began_before_(from.began) {}
@@ -127,9 +127,9 @@
   while (true) {
     if (began_ == 0 && !in_.empty()) began_ = stream_->scheduler().Now();
     Parsed parsed = in_.empty() ? Parsed::kMore : parser_.Feed(in_);
-    if (parsed == Parsed::kPart && HoldMore()) continue;
-    if (parsed == Parsed::kDone || parsed == Parsed::kPart) {
-      if (parsed == Parsed::kPart) {
+    if (parsed == Parsed::kHeadComplete && HoldMore()) continue;
+    if (parsed == Parsed::kDone || parsed == Parsed::kHeadComplete) {
+      if (parsed == Parsed::kHeadComplete) {
         upload_ = std::make_shared<Upload>(stream_->scheduler(), [this] { stream_->Notify(); });
         upload_->length = parser_.length();
       }
@@ -145,7 +145,7 @@
       if (io != Io::kLater) co_return false;
       // Only here, with nothing left to read: what has come whole gets its answer.
       if (leave_ && began_ == 0) co_return false;
-      if (front_.passes() && !cut_ && parser_.AtHead()) {
+      if (front_.passes() && !cut_ && parser_.ReadingHead()) {
         passed_ = front_.Pass(*stream_, {asked, began_, in_}) == Io::kSome;
         if (passed_) co_return false;
       }
@@ -165,7 +165,7 @@
 // A head has its time; of a body it counts that it goes on.
 Micros ClientLink::ReadUntil() const {
   const Micros until = began_ + kReadPatience;
-  return parser_.AtHead() || !front_.parts_.config.in_service
+  return parser_.ReadingHead() || !front_.parts_.config.in_service
              ? until
              : std::max(until, progress_at_ + kStallPatience);
 }
@@ -173,15 +173,15 @@
 // Room to hold the whole body, while there is some: its server then waits for no slow client, and the module
 // may send it again.
 bool ClientLink::HoldMore() {
-  const size_t held = kMostBody + share_.held();
-  const size_t wanted = parser_.length().value_or(held + kMostBody);
+  const size_t held = kMaxHeldBody + share_.held();
+  const size_t wanted = parser_.length().value_or(held + kMaxHeldBody);
   if (!share_.Grow(wanted - held)) return false;
   try {
     if (parser_.length()) parser_.body().reserve(wanted);
   } catch (const std::bad_alloc&) {  // what the budget allows the system may not have: the body then flows
     return false;
   }
-  parser_.Hold(wanted);
+  parser_.SetHoldLimit(wanted);
   return true;
 }
 
@@ -247,7 +247,7 @@
       if (Figures* figures = front_.parts_.figures) figures->Add(query.labels.series, Figure::kLeft);
       co_return false;
     }
-    payload->more = upload_;
+    payload->body_rest = upload_;
     query.payload = std::move(payload);
     const meadowslip::RequestId id = front_.parts_.dispatcher.Take(std::move(query));
     if (upload_) {
@@ -263,11 +263,11 @@
     }
   }
   bool written = co_await WriteAnswer();
-  const bool to_end = more_ && !more_->length && old_client_;
-  if (written && more_) written = co_await WriteRest();
+  const bool to_end = body_rest_ && !body_rest_->length && old_client_;
+  if (written && body_rest_) written = co_await WriteRest();
   // Guards an old client, to whom the end of the link says that the answer is whole.
   if (!written && to_end) stream_->Reset();
-  more_.reset();
+  body_rest_.reset();
   if (upload_) {
     upload_->Leave();
     if (upload_->whole()) upload_.reset();
@@ -348,10 +348,10 @@
   Micros until = stream_->scheduler().Now() + kWritePatience;
   while (true) {
     piece.clear();
-    const Next next = more_->Take(piece);
+    const Next next = body_rest_->Take(piece);
     if (next == Next::kBroken) co_return false;
     if (next == Next::kLater) {
-      bool notified = co_await more_->signal().Wait(until);
+      bool notified = co_await body_rest_->signal().Wait(until);
       if (!notified && stream_->scheduler().Now() >= until) co_return false;
       continue;
     }
@@ -390,7 +390,7 @@
     const std::string* token = nullptr;
     bool twice = false;
     for (const Header& header : message.headers) {
-      if (!SameName(header.name, platform::kToken)) continue;
+      if (!EqualsIgnoreCase(header.name, platform::kToken)) continue;
       twice = twice || token != nullptr;
       token = &header.value;
     }
@@ -446,7 +446,7 @@
 
 // What comes while a query runs belongs to the next one; false where the client has closed the link.
 bool ClientLink::Listen() {
-  while (in_.size() < kMostHead + kMostBody) {  // beyond that the client waits
+  while (in_.size() < kMaxHead + kMaxHeldBody) {  // beyond that the client waits
     Io io = stream_->Read(in_);
     if (io == Io::kLater) return true;
     if (io != Io::kSome) return false;
@@ -458,13 +458,13 @@
   const auto& answer = static_cast<const HttpPayload&>(payload);
   std::string headers;
   AppendEndToEnd(headers, answer);
-  more_ = answer.more;
+  body_rest_ = answer.body_rest;
   if (head_only_) {
     // What the body would be, in its place.
     const std::string* length = answer.Find("Content-Length");
     Answer(200, length ? headers.append("Content-Length: ").append(*length).append("\r\n") : headers, "");
   } else {
-    Answer(200, headers, answer.body, more_.get());
+    Answer(200, headers, answer.body, body_rest_.get());
   }
 }
 
@@ -481,19 +481,19 @@
 void ClientLink::Fail() { Answer(502, "", ""); }
 
 void ClientLink::Answer(int status, const std::string& headers, std::string_view body,
-                        const BodySource* more) {
+                        const BodySource* body_rest) {
   // Where descriptors run short the client is told with its answer. Guards the query that would cross the
   // close of a link that looked idle: it is lost.
   last_ = last_ || leave_ || front_.leaving() || front_.tight() || (upload_ && !upload_->whole());
-  chunks_ = more && !more->length && !old_client_;
-  if (more && !more->length && old_client_) last_ = true;  // its end is the link's
+  chunks_ = body_rest && !body_rest->length && !old_client_;
+  if (body_rest && !body_rest->length && old_client_) last_ = true;  // its end is the link's
   out_ = "HTTP/1.1 " + std::to_string(status) + " ";
-  out_.append(Reason(status)).append("\r\n").append(headers);
+  out_.append(ReasonPhrase(status)).append("\r\n").append(headers);
   if (chunks_) {
     AppendHeader(out_, "Transfer-Encoding", "chunked");
-  } else if (!more || more->length) {
+  } else if (!body_rest || body_rest->length) {
     if (!head_only_ || status != 200)
-      AppendHeader(out_, "Content-Length", std::to_string(more ? *more->length : body.size()));
+      AppendHeader(out_, "Content-Length", std::to_string(body_rest ? *body_rest->length : body.size()));
   }
   if (last_) AppendHeader(out_, "Connection", "close");
   if (old_client_ && !last_) AppendHeader(out_, "Connection", "keep-alive");
--- a/src/front/client_link.h
+++ b/src/front/client_link.h
@@ -72,7 +72,7 @@
   bool HoldMore();
   bool Listen();
   void Answer(int status, const std::string& headers, std::string_view body,
-              const BodySource* more = nullptr);
+              const BodySource* body_rest = nullptr);
 
   HttpFront& front_;
   std::unique_ptr<Stream> stream_;
@@ -82,7 +82,7 @@
   std::string out_;
   std::shared_ptr<Upload> upload_;    // of the query at hand, where it is large
   Micros upload_patience_ = 0;        // its asker's, from its last byte on
-  std::shared_ptr<BodySource> more_;  // of the answer
+  std::shared_ptr<BodySource> body_rest_;  // of the answer
   bool chunks_ = false;               // in which that goes out
   bool old_client_ = false;           // of HTTP/1.0
   bool head_only_ = false;            // it asked for no body
--- a/src/front/http_front.cpp
+++ b/src/front/http_front.cpp
@@ -252,7 +252,7 @@
 size_t HttpFront::most_held() const {
   const size_t links = static_cast<size_t>(parts_.config.sockets) / 2;
   const size_t all = static_cast<size_t>(parts_.config.memory_mb) * 1024 * 1024 / kHeldPart;
-  return std::clamp(all / links, kLeastHeld, kMostBody);
+  return std::clamp(all / links, kLeastHeld, kMaxHeldBody);
 }
 
 void HttpFront::Busy(ClientLink& link) {
--- a/src/lab/load/http_link.cpp
+++ b/src/lab/load/http_link.cpp
@@ -69,7 +69,7 @@
       End(Gone::kReset);
       return Heard::kOver;
     }
-    if (io == Io::kClosed && (!busy_ || parser_.Closed() != Parsed::kDone)) return Heard::kEnd;
+    if (io == Io::kClosed && (!busy_ || parser_.OnPeerClosed() != Parsed::kDone)) return Heard::kEnd;
     if (io == Io::kSome) {
       heard_ = true;
       const Parsed parsed = busy_ ? parser_.Feed(in_) : Parsed::kBad;
@@ -119,7 +119,7 @@
       continue;
     }
     const Parsed parsed = io == Io::kSome     ? parser.Feed(in)
-                          : io == Io::kClosed ? parser.Closed()
+                          : io == Io::kClosed ? parser.OnPeerClosed()
                                               : Parsed::kBad;
     if (parsed == Parsed::kDone) co_return parser.Take().status;
     if (parsed != Parsed::kMore) co_return 0;
--- a/src/lab/load/http_link.h
+++ b/src/lab/load/http_link.h
@@ -35,7 +35,7 @@
   };
   enum class Sent { kWhole, kPartly, kBroken };
 
-  HttpLink(Owner& owner, std::unique_ptr<Stream> stream, size_t most_body = kMostBody);
+  HttpLink(Owner& owner, std::unique_ptr<Stream> stream, size_t most_body = kMaxHeldBody);
   HttpLink(const HttpLink&) = delete;
   void Start();  // may tell that it came up
 
--- a/src/lab/site/stand_in.cpp
+++ b/src/lab/site/stand_in.cpp
@@ -233,7 +233,7 @@
 
 // What comes while a query is at hand belongs to the next one; false where the balancer has ended the link.
 bool StandIn::Listen(Link& link) {
-  while (link.in.size() < kMostHead + kMostBody) {  // beyond that the balancer waits
+  while (link.in.size() < kMaxHead + kMaxHeldBody) {  // beyond that the balancer waits
     const Io io = link.stream->Read(link.in);
     if (io == Io::kLater) return true;
     if (io != Io::kSome) return false;
@@ -268,7 +268,7 @@
 
 void StandIn::Answer(Link& link, int status, std::string_view headers, std::string_view body) {
   std::string& out = link.out;
-  out.assign("HTTP/1.1 ").append(std::to_string(status)).append(" ").append(Reason(status)).append("\r\n");
+  out.assign("HTTP/1.1 ").append(std::to_string(status)).append(" ").append(ReasonPhrase(status)).append("\r\n");
   out.append(headers);
   AppendHeader(out, "Content-Length", std::to_string(body.size()));
   if (link.last) AppendHeader(out, "Connection", "close");
--- a/src/membership/discovery.cpp
+++ b/src/membership/discovery.cpp
@@ -182,7 +182,7 @@
         co_return answer;
       }
     } else {
-      if (io == Io::kBroken || parser.Closed() != Parsed::kDone) co_return answer;
+      if (io == Io::kBroken || parser.OnPeerClosed() != Parsed::kDone) co_return answer;
       parsed = Parsed::kDone;
     }
   }
--- a/src/upstream/http_upstream.cpp
+++ b/src/upstream/http_upstream.cpp
@@ -35,20 +35,20 @@
 
 std::string WriteQuery(const HttpPayload& query, Micros patience) {
   std::string out;
-  out.reserve(512 + (query.body.size() <= kMostBody ? query.body.size() : 0));
+  out.reserve(512 + (query.body.size() <= kMaxHeldBody ? query.body.size() : 0));
   out.append(query.method).append(" ").append(query.target).append(" HTTP/1.1\r\n");
   AppendEndToEnd(out, query, platform::kExpiresIn);
   AppendHeader(out, platform::kExpiresIn, std::to_string(patience) + "u");
-  const bool chunked = query.more && !query.more->length;
+  const bool chunked = query.body_rest && !query.body_rest->length;
   if (chunked) {
     AppendHeader(out, "Transfer-Encoding", "chunked");
-  } else if (!query.body.empty() || query.more || (query.method != "GET" && query.method != "HEAD")) {
-    AppendHeader(out, "Content-Length", std::to_string(query.more ? *query.more->length : query.body.size()));
+  } else if (!query.body.empty() || query.body_rest || (query.method != "GET" && query.method != "HEAD")) {
+    AppendHeader(out, "Content-Length", std::to_string(query.body_rest ? *query.body_rest->length : query.body.size()));
   }
   out.append("\r\n");
   if (chunked && !query.body.empty()) {
     AppendChunk(out, query.body);
-  } else if (query.body.size() <= kMostBody) {  // a larger one is not copied, it follows by itself
+  } else if (query.body.size() <= kMaxHeldBody) {  // a larger one is not copied, it follows by itself
     out.append(query.body);
   }
   return out;
@@ -100,7 +100,7 @@
       } else {
         const Io io = link_->stream->Read(in_);
         if (io == Io::kLater) return Next::kLater;
-        parsed_ = io == Io::kSome ? parser_.Feed(in_) : io == Io::kClosed ? parser_.Closed() : Parsed::kBad;
+        parsed_ = io == Io::kSome ? parser_.Feed(in_) : io == Io::kClosed ? parser_.OnPeerClosed() : Parsed::kBad;
       }
     }
     if (link_) link_->stream->Close();
@@ -148,18 +148,18 @@
 
 // The rest of a query, as it comes: kDone where its last byte was written, kBroken where the server took no
 // more, kLater where the client did not give it.
-Task<BodySource::Next> HttpUpstream::SendRest(Stream& to, std::shared_ptr<BodySource> more) {
+Task<BodySource::Next> HttpUpstream::SendRest(Stream& to, std::shared_ptr<BodySource> body_rest) {
   using Next = BodySource::Next;
   std::string piece, out;
   while (true) {
     piece.clear();
-    const Next next = more->Take(piece);
+    const Next next = body_rest->Take(piece);
     if (next == Next::kBroken) co_return Next::kLater;
     if (next == Next::kLater) {
-      co_await more->signal().Wait();  // whoever makes it ends it where it stalls
+      co_await body_rest->signal().Wait();  // whoever makes it ends it where it stalls
       continue;
     }
-    if (!more->length) {
+    if (!body_rest->length) {
       out.clear();
       AppendChunk(out, piece);  // with the last one, which is empty
       piece.swap(out);
@@ -174,7 +174,7 @@
                                          Micros until, Micros whole_by) {
   const Host& host = *held;
   // The query is there as long as any attempt of it.
-  const std::shared_ptr<BodySource> more = query.more;
+  const std::shared_ptr<BodySource> body_rest = query.body_rest;
   const bool no_body = query.method == "HEAD";
   ServerAnswer answer;
   std::unique_ptr<Link> link = Reuse(host);
@@ -212,26 +212,26 @@
   std::string_view rest = bytes;  // at once as a rule; only what finds no room costs a coroutine of its own
   bool whole = link->stream->Write(rest) == Io::kSome;
   if (!rest.empty()) whole = co_await WriteWhole(*link->stream, query, rest, whole_by);
-  if (whole && query.body.size() > kMostBody && (!more || more->length)) {
+  if (whole && query.body.size() > kMaxHeldBody && (!body_rest || body_rest->length)) {
     // The client's time has not begun where its query has not come whole.
-    const Micros by = more ? scheduler_.Now() + kStreamPatience : whole_by;
+    const Micros by = body_rest ? scheduler_.Now() + kStreamPatience : whole_by;
     whole = co_await WriteWhole(*link->stream, query, query.body, by);
   }
   if (!whole && query.closed) answer.outcome = Outcome::kMoot;
   if (!whole) co_return answer;
-  if (more) {
-    query.spent = true;
-    const BodySource::Next rest_sent = co_await SendRest(*link->stream, more);
+  if (body_rest) {
+    query.consumed = true;
+    const BodySource::Next rest_sent = co_await SendRest(*link->stream, body_rest);
     if (rest_sent == BodySource::Next::kLater) answer.outcome = Outcome::kMoot;  // the host is not at fault
     if (rest_sent != BodySource::Next::kDone) co_return answer;
-    until = more->Patience();
+    until = body_rest->Patience();
   }
   answer.outcome = Outcome::kReset;  // from here on it may have run
   const Micros written = scheduler_.Now();
   const Micros idle = idle_since == kNever ? -1 : written - idle_since;
   if (idle >= 0) idle_record_.NoteUse(idle, written);
-  HttpParser parser(HttpParser::Kind::kResponse, large_ ? kMostStreamed : kMostBody);
-  if (no_body) parser.NoBody();
+  HttpParser parser(HttpParser::Kind::kResponse, large_ ? kMaxStreamedBody : kMaxHeldBody);
+  if (no_body) parser.ExpectNoBody();
   std::string in;
   Parsed parsed = Parsed::kMore;
   Micros go_on_at = kNever;
@@ -248,29 +248,29 @@
       }
       co_await link->stream->Wait(scheduler_.Now());
     } else if (io == Io::kLater) {
-      if (large_ && go_on_at == kNever && parser.Begun() && !parser.length()) {
+      if (large_ && go_on_at == kNever && parser.HasBodyBytes() && !parser.length()) {
         go_on_at = scheduler_.Now() + kGoOn;
       }
       bool notified = co_await link->stream->Wait(std::min(until, go_on_at));
       if (notified) continue;
       if (go_on_at < until) {
-        parsed = Parsed::kPart;
+        parsed = Parsed::kHeadComplete;
         break;
       }
       answer.outcome = Outcome::kTimeout;
       co_return answer;
     } else {
       if (idle >= 0 && in.empty() && scheduler_.Now() - written < kResetAtOnce) idle_record_.NoteReset(idle);
-      if (io == Io::kBroken || parser.Closed() != Parsed::kDone) co_return answer;
+      if (io == Io::kBroken || parser.OnPeerClosed() != Parsed::kDone) co_return answer;
       parsed = Parsed::kDone;
     }
   }
   answer.outcome = Outcome::kError;  // an answer that can't be understood
-  if (parsed == Parsed::kPart) {
+  if (parsed == Parsed::kHeadComplete) {
     auto head = std::make_unique<HttpPayload>(parser.TakeHead());
     answer.outcome = ToOutcome(*head);
     if (answer.outcome != Outcome::kOk) co_return answer;
-    head->more = std::make_shared<Download>(*this, held, std::move(link), std::move(parser), std::move(in),
+    head->body_rest = std::make_shared<Download>(*this, held, std::move(link), std::move(parser), std::move(in),
                                             head->keep_alive);
     answer.payload = std::move(head);
     co_return answer;
--- a/src/upstream/http_upstream.h
+++ b/src/upstream/http_upstream.h
@@ -54,7 +54,7 @@
   Task<ServerAnswer> Attempt(std::shared_ptr<const Host> held, const HttpPayload& query, Micros until,
                              Micros whole_by);
   Task<bool> WriteWhole(Stream& to, const Payload& query, std::string_view bytes, Micros until);
-  Task<BodySource::Next> SendRest(Stream& to, std::shared_ptr<BodySource> more);
+  Task<BodySource::Next> SendRest(Stream& to, std::shared_ptr<BodySource> body_rest);
   std::unique_ptr<Link> Reuse(const Host& host);
   bool Usable(const Host& host, const Link& link);
   bool Rested(const Host& host, const Link& link) const;
--- a/tests/attempts/answers_test.cpp
+++ b/tests/attempts/answers_test.cpp
@@ -16,7 +16,7 @@
 };
 Heard Hear(const std::string& bytes, size_t piece, bool no_body = false) {
   HttpParser parser(HttpParser::Kind::kResponse);
-  if (no_body) parser.NoBody();
+  if (no_body) parser.ExpectNoBody();
   Heard heard;
   for (size_t at = 0; at < bytes.size(); at += piece) {
     heard.behind += bytes.substr(at, piece);
@@ -28,7 +28,7 @@
 
 TEST(Answers, InterimOnesEndSomewhere) {
   std::string endless;
-  while (endless.size() < 4 * kMostHead) endless += "HTTP/1.1 102 Processing\r\n\r\n";
+  while (endless.size() < 4 * kMaxHead) endless += "HTTP/1.1 102 Processing\r\n\r\n";
   const std::string some = endless.substr(0, 100 * 27);
   for (size_t piece : {size_t{1}, size_t{1000}, endless.size()}) {
     EXPECT_EQ(Hear(endless, piece).last, Parsed::kTooLarge) << piece;
@@ -68,10 +68,10 @@
   }
   EXPECT_EQ(Hear("HTTP/1.1 200\r\nContent-Length: 0\r\n\r\n", 1000).last,
             Parsed::kDone);  // no reason is a reason
-  EXPECT_EQ(Hear("HTTP/1.1 200 OK\r\nX: " + std::string(kMostHead, 'x'), 1000).last,
+  EXPECT_EQ(Hear("HTTP/1.1 200 OK\r\nX: " + std::string(kMaxHead, 'x'), 1000).last,
             Parsed::kTooLarge);  // endless
   std::string endless = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-  while (endless.size() < 2 * kMostBody) endless += "100\r\n" + std::string(256, 'x') + "\r\n";
+  while (endless.size() < 2 * kMaxHeldBody) endless += "100\r\n" + std::string(256, 'x') + "\r\n";
   EXPECT_EQ(Hear(endless, 1000).last, Parsed::kTooLarge);
 }
 
--- a/tests/attempts/attempts_test.cpp
+++ b/tests/attempts/attempts_test.cpp
@@ -59,13 +59,13 @@
     std::string Body() const { return static_cast<const HttpPayload&>(*answer.payload).body; }
   };
   std::unique_ptr<Sent> Send(Micros patience, Micros whole_by = kNever, const std::string& body = "",
-                             std::shared_ptr<BodySource> more = nullptr) {
+                             std::shared_ptr<BodySource> body_rest = nullptr) {
     HttpMessage message;
     message.method = "POST";
     message.target = "/pay";
     message.body = body;
     auto sent = std::make_unique<Sent>(std::move(message));
-    sent->query.more = std::move(more);
+    sent->query.body_rest = std::move(body_rest);
     sent->task = Exchange(*sent, Now() + patience, whole_by);
     sent->task.Start();
     return sent;
@@ -179,15 +179,15 @@
 TEST_F(Attempts, TheRestOfAQueryIsNotWrittenOnceItsTimeIsOver) {
   Play([&]() -> Task<> {
     const Micros began = Now();
-    const auto sent = Send(3 * kSecond, began + 500 * kMs, std::string(kMostBody, 'x'));
+    const auto sent = Send(3 * kSecond, began + 500 * kMs, std::string(kMaxHeldBody, 'x'));
     co_await Until(began + 400 * kMs);
     const auto link = Accept();
     std::string come = Read(*link);  // there is room for the rest now
-    EXPECT_GE(come.size(), kMostBody);
+    EXPECT_GE(come.size(), kMaxHeldBody);
     world.scheduler.StandStill(300 * kMs);
     co_await Until(Now() + kMs);
     come += Read(*link);
-    EXPECT_LT(come.size() - come.find("\r\n\r\n") - 4, kMostBody) << "it came whole";
+    EXPECT_LT(come.size() - come.find("\r\n\r\n") - 4, kMaxHeldBody) << "it came whole";
     EXPECT_TRUE(sent->over);
     EXPECT_EQ(sent->answer.outcome, Outcome::kConnectFailed);
   });
@@ -403,16 +403,16 @@
 // In service a large query flows: its first part is held, and the rest comes from the client.
 TEST_F(Attempts, AServerThatTakesNothingOfALargeQueryIsGivenUp) {
   large = true;
-  const auto more = std::make_shared<Upload>(world.scheduler, [] {});
-  more->length = 3 * kMostBody;
+  const auto body_rest = std::make_shared<Upload>(world.scheduler, [] {});
+  body_rest->length = 3 * kMaxHeldBody;
   Play([&]() -> Task<> {
-    const auto sent = Send(3 * kSecond, kNever, std::string(2 * kMostBody, 'x'), more);
+    const auto sent = Send(3 * kSecond, kNever, std::string(2 * kMaxHeldBody, 'x'), body_rest);
     co_await Until(Now() + 5 * kSecond);
     EXPECT_FALSE(sent->over);  // a slow one has its time
     co_await Until(Now() + 6 * kSecond);
     EXPECT_TRUE(sent->over);
     EXPECT_EQ(sent->answer.outcome, Outcome::kConnectFailed);
-    EXPECT_FALSE(sent->query.Spent());  // another server may have it
+    EXPECT_FALSE(sent->query.Consumed());  // another server may have it
   });
 }
 
--- a/tests/histories/stall_test.cpp
+++ b/tests/histories/stall_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 struct Nothing final : Payload {
-  bool Spent() const override { return false; }
+  bool Consumed() const override { return false; }
 };
 
 struct Sent final : Upstream {
--- a/tests/service/http_parser_test.cpp
+++ b/tests/service/http_parser_test.cpp
@@ -29,8 +29,8 @@
 }
 
 Heard Hear(Kind kind, const std::vector<std::string>& pieces, bool closed, bool no_body = false) {
-  HttpParser parser(kind, kMostStreamed);
-  if (no_body) parser.NoBody();
+  HttpParser parser(kind, kMaxStreamedBody);
+  if (no_body) parser.ExpectNoBody();
   Heard heard;
   std::string buffer;
   auto take = [&] {
@@ -38,7 +38,7 @@
       heard.body += parser.body();
       parser.body().clear();
     }
-    if (heard.last == Parsed::kPart) {
+    if (heard.last == Parsed::kHeadComplete) {
       heard.parted = true;
       HttpMessage head = parser.TakeHead();
       heard.head = HeadOf(head);
@@ -62,7 +62,7 @@
     take();
   }
   if (closed && heard.last == Parsed::kMore) {
-    heard.last = parser.Closed();
+    heard.last = parser.OnPeerClosed();
     take();
   }
   heard.left = heard.last == Parsed::kDone ? buffer : "";
@@ -129,7 +129,7 @@
   std::string all = text, first = text.substr(0, text.size() - 6);
   const Parsed at_once = whole.Feed(all), begun = pieces.Feed(first);
   EXPECT_EQ(at_once, begun);
-  EXPECT_EQ(begun, Parsed::kPart);
+  EXPECT_EQ(begun, Parsed::kHeadComplete);
   std::string rest = first + text.substr(text.size() - 6);
   for (HttpParser* parser : {&whole, &pieces}) {
     EXPECT_EQ(parser->TakeHead().body, std::string(256, 'x'));
@@ -185,15 +185,15 @@
 }
 
 TEST(HttpParser, HoldsWhatItIsToldToHold) {
-  HttpParser parser(Kind::kRequest, kMostStreamed);
+  HttpParser parser(Kind::kRequest, kMaxStreamedBody);
   std::string bytes = "POST /open HTTP/1.1\r\nContent-Length: 70000\r\n\r\n";
-  ASSERT_EQ(parser.Feed(bytes), Parsed::kPart);
-  parser.Hold(70000);
+  ASSERT_EQ(parser.Feed(bytes), Parsed::kHeadComplete);
+  parser.SetHoldLimit(70000);
   bytes = kLong;
   EXPECT_EQ(parser.Feed(bytes), Parsed::kDone);
   EXPECT_EQ(parser.Take().body.size(), 70000u);
   bytes = "POST /open HTTP/1.1\r\nContent-Length: 70000\r\n\r\n";
-  EXPECT_EQ(parser.Feed(bytes), Parsed::kPart);  // the next is held as the first was
+  EXPECT_EQ(parser.Feed(bytes), Parsed::kHeadComplete);  // the next is held as the first was
 }
 
 TEST(HttpParser, ALeaveIsAskedForOnceAndOnlyForWhatIsOutstanding) {
