--- a/src/front/client_link.h
+++ b/src/front/client_link.h
@@ -11,7 +11,7 @@
 #include "front/upload.h"
 #include "io/network.h"
 #include "links/byte_budget.h"
-#include "links/room.h"
+#include "links/link_shedding.h"
 
 namespace burlfall {
 
--- a/src/links/room.h
+++ b/src/links/link_shedding.h
@@ -1,7 +1,7 @@
 // Which client links make room for others, where descriptors run short: by least progress. Decides without
 // I/O.
-#ifndef BURLFALL_LINKS_ROOM_H_
-#define BURLFALL_LINKS_ROOM_H_
+#ifndef BURLFALL_LINKS_LINK_SHEDDING_H_
+#define BURLFALL_LINKS_LINK_SHEDDING_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -28,4 +28,4 @@
 
 }  // namespace burlfall
 
-#endif  // BURLFALL_LINKS_ROOM_H_
+#endif  // BURLFALL_LINKS_LINK_SHEDDING_H_
--- a/tests/service/room_test.cpp
+++ b/tests/service/room_test.cpp
@@ -1,4 +1,4 @@
-#include "links/room.h"
+#include "links/link_shedding.h"
 
 #include <gtest/gtest.h>
 
