--- a/src/front/client_link.cpp
+++ b/src/front/client_link.cpp
@@ -25,7 +25,8 @@
 // Where descriptors run short: others wait for this one, and whoever hears of our end closes within a round
 // trip.
 constexpr Micros kLingerTight = 100 * kMs;
-constexpr size_t kMostDropped = kMaxStreamedBody;  // of what comes behind the last answer: a large query's body
+constexpr size_t kMostDropped =
+    kMaxStreamedBody;  // of what comes behind the last answer: a large query's body
 constexpr Micros kMostPatience = 3600 * kSecond;
 
 // A whole number of microseconds within reason; anything else says nothing.
@@ -83,11 +84,11 @@
   task_.Start();
 }
 
-LinkStanding ClientLink::Standing(Micros now) const {
-  using Doing = LinkStanding::Doing;
-  if (busy_ || leave_ || cut_ || leaving_) return {Doing::kBusy, 0};
-  if (began_ != 0) return {Doing::kHalf, now - std::max(began_, progress_at_)};
-  return {asked ? Doing::kIdle : Doing::kSilent, now - idle_since_};
+LinkStatus ClientLink::Status(Micros now) const {
+  using Activity = LinkStatus::Activity;
+  if (busy_ || leave_ || cut_ || leaving_) return {Activity::kBusy, 0};
+  if (began_ != 0) return {Activity::kPartialQuery, now - std::max(began_, progress_at_)};
+  return {asked ? Activity::kIdle : Activity::kNoQueryYet, now - idle_since_};
 }
 
 void ClientLink::Leave() {
--- a/src/front/client_link.h
+++ b/src/front/client_link.h
@@ -46,7 +46,7 @@
   }
   // Of such a query nothing has come since then.
   bool StalledSince(Micros then) const { return UnfinishedSince(then) && progress_at_ <= then; }
-  LinkStanding Standing(Micros now) const;
+  LinkStatus Status(Micros now) const;
   bool Ended() const { return leaving_; }  // our side of it
   bool Ending() const { return leaving_ || (!busy_ && (leave_ || cut_)); }
   void Stir() { stream_->Notify(); }  // looks anew at what it is to do
@@ -80,15 +80,15 @@
   ByteBudget::Share share_;  // what the query at hand holds beyond kMostBody
   std::string in_;
   std::string out_;
-  std::shared_ptr<Upload> upload_;    // of the query at hand, where it is large
-  Micros upload_patience_ = 0;        // its asker's, from its last byte on
+  std::shared_ptr<Upload> upload_;         // of the query at hand, where it is large
+  Micros upload_patience_ = 0;             // its asker's, from its last byte on
   std::shared_ptr<BodySource> body_rest_;  // of the answer
-  bool chunks_ = false;               // in which that goes out
-  bool old_client_ = false;           // of HTTP/1.0
-  bool head_only_ = false;            // it asked for no body
-  Micros began_before_ = 0;           // in the process that had the link before
-  Micros began_ = 0;                  // when the first bytes of the query came
-  Micros progress_at_ = 0;            // when bytes came last
+  bool chunks_ = false;                    // in which that goes out
+  bool old_client_ = false;                // of HTTP/1.0
+  bool head_only_ = false;                 // it asked for no body
+  Micros began_before_ = 0;                // in the process that had the link before
+  Micros began_ = 0;                       // when the first bytes of the query came
+  Micros progress_at_ = 0;                 // when bytes came last
   Micros idle_since_ = 0;
   bool busy_ = false;
   bool answered_ = false;
--- a/src/front/http_front.cpp
+++ b/src/front/http_front.cpp
@@ -139,13 +139,13 @@
   while (true) {
     // Room is made only as the links shed close. Guards the limit in a burst of connections: a process that
     // holds more than it may is stopped.
-    const size_t most = parts_.budget.most();
+    const size_t most = parts_.budget.max_links();
     const bool over = parts_.config.in_service && open() >= most - most / kServersPart;
     if (over || parts_.budget.open() >= most + parts_.budget.spare() / 2) {
       // Beside those that end already. Guards the links that may stay: one that waits for its client's end is
       // still counted, and each look for room would shed as many more.
       const size_t wanted = kShedAtOnce - std::min(Ending(), kShedAtOnce);
-      if (wanted > 0) over ? MakeRoom(wanted) : parts_.budget.MakeRoom(wanted);
+      if (wanted > 0) over ? ReleaseIdle(wanted) : parts_.budget.EnsureCapacity(wanted);
       return false;
     }
     std::unique_ptr<Stream> stream;
@@ -153,14 +153,14 @@
       case Listener::Accepted::kNone:
         return true;
       case Listener::Accepted::kNoRoom:
-        parts_.budget.MakeRoom();
+        parts_.budget.EnsureCapacity();
         return false;
       case Listener::Accepted::kOne:
         break;
     }
     // Without room the link is taken all the same, while the spare descriptors last: its query is ours from
     // the moment the machine has taken it, and waits no longer here than in the machine's backlog.
-    parts_.budget.MakeRoom();
+    parts_.budget.EnsureCapacity();
     ++parts_.counters.client_links;
     unasked_.push_back(std::make_unique<ClientLink>(std::move(stream), *this));
     unasked_.back()->place = std::prev(unasked_.end());
@@ -176,20 +176,20 @@
 }
 
 // Clients come back at little cost. What has come on a link by then is still read and answered.
-bool HttpFront::MakeRoom(size_t wanted) {
+bool HttpFront::ReleaseIdle(size_t wanted) {
   if (!parts_.config.in_service) return MakeRoomByAge(wanted);
   const Micros now = parts_.machine.Now();
   std::vector<ClientLink*> links;
-  std::vector<LinkStanding> standings;
+  std::vector<LinkStatus> statuses;
   for (const Links* some : {&unasked_, &clients_}) {
     for (const auto& link : *some) {
       links.push_back(link.get());
-      standings.push_back(link->Standing(now));
+      statuses.push_back(link->Status(now));
     }
   }
-  const std::vector<size_t> first = WhoMakesRoom(standings, wanted);
+  const std::vector<size_t> first = ChooseLinksToClose(statuses, wanted);
   for (size_t i : first) {
-    standings[i].doing == LinkStanding::Doing::kHalf ? links[i]->Cut() : links[i]->Leave();
+    statuses[i].activity == LinkStatus::Activity::kPartialQuery ? links[i]->Cut() : links[i]->Leave();
   }
   return !first.empty();
 }
@@ -243,7 +243,7 @@
 // back. Guards the queries behind them: they would wait in the machine's line until their clients give up,
 // since each link that is there waits for an answer.
 size_t HttpFront::most_queries() const {
-  const size_t most = parts_.budget.most();
+  const size_t most = parts_.budget.max_links();
   const size_t links = parts_.config.in_service ? most - most / kServersPart : most;
   return links - std::max<size_t>(1, links / kSparePart);
 }
--- a/src/front/http_front.h
+++ b/src/front/http_front.h
@@ -77,7 +77,7 @@
   size_t most_queries() const;
 
   size_t open() const override { return unasked_.size() + clients_.size(); }
-  bool MakeRoom(size_t wanted) override;
+  bool ReleaseIdle(size_t wanted) override;
 
  private:
   friend class ClientLink;
--- a/src/links/budget.cpp
+++ b/src/links/budget.cpp
@@ -4,22 +4,22 @@
 
 namespace burlfall {
 
-void LinkBudget::Allow(size_t descriptors, size_t reserved) {
+void LinkBudget::SetDescriptors(size_t descriptors, size_t reserved) {
   const size_t left = descriptors - std::min(descriptors, reserved);
-  spare_ = std::min(kSpare, left / 2);  // where there are few, half is links' all the same
-  most_ = left - spare_;
+  spare_ = std::min(kSpareDescriptors, left / 2);  // links get at least half of what is left
+  max_links_ = left - spare_;
 }
 
 size_t LinkBudget::open() const {
-  size_t all = 0;
-  for (const LinkHolder* holder : holders_) all += holder->open();
-  return all;
+  size_t total = 0;
+  for (const LinkHolder* holder : holders_) total += holder->open();
+  return total;
 }
 
-bool LinkBudget::MakeRoom(size_t wanted) {
-  if (open() < most_) return true;
+bool LinkBudget::EnsureCapacity(size_t wanted) {
+  if (open() < max_links_) return true;
   for (LinkHolder* holder : holders_) {
-    if (holder->MakeRoom(wanted)) return true;
+    if (holder->ReleaseIdle(wanted)) return true;
   }
   return false;
 }
--- a/src/links/budget.h
+++ b/src/links/budget.h
@@ -1,4 +1,4 @@
-// The descriptors that links may use, and who makes room where they run short. Decides without I/O.
+// Limits the file descriptors that links may use, and has idle links closed when they run short. No I/O.
 #ifndef BURLFALL_LINKS_BUDGET_H_
 #define BURLFALL_LINKS_BUDGET_H_
 
@@ -7,12 +7,12 @@
 
 namespace burlfall {
 
-// Whoever holds links. Told to make room, it lets go of idle ones.
+// An owner of links that can close idle ones on request.
 class LinkHolder {
  public:
   virtual size_t open() const = 0;
-  // False where it has none to spare; about as many as wanted otherwise.
-  virtual bool MakeRoom(size_t wanted) = 0;
+  // Closes about `wanted` idle links. Returns false if none could be spared.
+  virtual bool ReleaseIdle(size_t wanted) = 0;
 
  protected:
   ~LinkHolder() = default;
@@ -20,23 +20,24 @@
 
 class LinkBudget {
  public:
-  static constexpr size_t kSpare = 32;  // the listener, epoll, discovery, the standard streams, and some
+  // For the listener, epoll, discovery, the standard streams, and a reserve.
+  static constexpr size_t kSpareDescriptors = 32;
 
-  // Of so many descriptors in all, of which some are others' and no links'.
-  void Allow(size_t descriptors, size_t reserved = 0);
-  // The holders that are asked first are added first; each must outlive the budget's use.
+  // Sets the process's descriptor limit, and how many of them are reserved for other uses than links.
+  void SetDescriptors(size_t descriptors, size_t reserved = 0);
+  // Holders are asked to release links in the order in which they were added; each must outlive the budget.
   void Add(LinkHolder& holder) { holders_.push_back(&holder); }
 
   size_t open() const;
-  size_t most() const { return most_; }
-  size_t spare() const { return spare_; }  // beside those, kSpare where there are enough
-  bool tight() const { return open() >= most_ * 3 / 4; }
-  // Whether one more link fits, once room was made for it where it had to be.
-  bool MakeRoom(size_t wanted = 1);
+  size_t max_links() const { return max_links_; }
+  size_t spare() const { return spare_; }  // kept free beside max_links(); kSpareDescriptors at most
+  bool tight() const { return open() >= max_links_ * 3 / 4; }
+  // Whether one more link fits. At the limit, the holders are first asked to release `wanted` idle links.
+  bool EnsureCapacity(size_t wanted = 1);
 
  private:
-  size_t most_ = 0;
-  size_t spare_ = kSpare;
+  size_t max_links_ = 0;
+  size_t spare_ = kSpareDescriptors;
   std::vector<LinkHolder*> holders_;
 };
 
--- a/src/links/byte_budget.h
+++ b/src/links/byte_budget.h
@@ -1,4 +1,4 @@
-// The bytes that messages may hold together, from the program's memory. Decides without I/O.
+// Limits the memory, in bytes, that message bodies may hold together. No I/O.
 #ifndef BURLFALL_LINKS_BYTE_BUDGET_H_
 #define BURLFALL_LINKS_BYTE_BUDGET_H_
 
@@ -10,24 +10,24 @@
 
 class ByteBudget {
  public:
-  // Of so many bytes one message may take an eighth.
-  explicit ByteBudget(size_t all) : left_(all), most_each_(all / 8) {}
+  // One message may hold at most an eighth of the total.
+  explicit ByteBudget(size_t total_bytes) : available_(total_bytes), max_per_message_(total_bytes / 8) {}
 
-  // What one message holds of it, given back when it ends.
+  // The bytes held for one message; returned to the budget on destruction.
   class Share {
    public:
     explicit Share(ByteBudget& of) : of_(&of) {}
     Share(const Share&) = delete;
     Share& operator=(const Share&) = delete;
     ~Share() { Clear(); }
-    // False where it, or all together, would hold too much: nothing is taken then.
+    // Returns false, and reserves nothing, if the message's or the total limit would be exceeded.
     bool Grow(size_t bytes) {
-      if (bytes > of_->left_ || held_ + bytes > of_->most_each_) return false;
-      of_->left_ -= bytes;
+      if (bytes > of_->available_ || held_ + bytes > of_->max_per_message_) return false;
+      of_->available_ -= bytes;
       held_ += bytes;
       return true;
     }
-    void Clear() { of_->left_ += std::exchange(held_, 0); }
+    void Clear() { of_->available_ += std::exchange(held_, 0); }
     size_t held() const { return held_; }
 
    private:
@@ -35,11 +35,11 @@
     size_t held_ = 0;
   };
 
-  size_t left() const { return left_; }
+  size_t available() const { return available_; }
 
  private:
-  size_t left_;
-  const size_t most_each_;
+  size_t available_;
+  const size_t max_per_message_;
 };
 
 }  // namespace burlfall
--- a/src/links/link_shedding.h
+++ b/src/links/link_shedding.h
@@ -1,5 +1,4 @@
-// Which client links make room for others, where descriptors run short: by least progress. Decides without
-// I/O.
+// Chooses the client links to close when file descriptors run short: those with the least progress. No I/O.
 #ifndef BURLFALL_LINKS_LINK_SHEDDING_H_
 #define BURLFALL_LINKS_LINK_SHEDDING_H_
 
@@ -10,21 +9,22 @@
 
 namespace burlfall {
 
-// What a client link is doing, and for how long nothing has come on it, in microseconds.
-struct LinkStanding {
-  enum class Doing {
-    kSilent,  // it never said anything
-    kHalf,    // a query was begun and is not whole
-    kIdle,    // it has asked before, and does not now
-    kBusy,    // it is owed an answer, or ends
+// What a client link is doing, and how long ago it last received anything.
+struct LinkStatus {
+  enum class Activity {
+    kNoQueryYet,    // has not sent anything
+    kPartialQuery,  // part of a query has been received
+    kIdle,          // has sent queries before; none is in progress
+    kBusy,          // awaits an answer, or is being closed
   };
-  Doing doing = Doing::kBusy;
-  int64_t stalled = 0;
+  Activity activity = Activity::kBusy;
+  int64_t stalled = 0;  // microseconds
 };
 
-// At most so many of them, those that go first first. None that may well go on: whoever connects sends soon
-// after, whoever writes slowly brings something now and then, whoever asked a moment ago may ask again.
-std::vector<size_t> WhoMakesRoom(std::span<const LinkStanding> links, size_t wanted);
+// Returns the indices of at most `wanted` links in the order to close them. Leaves out links that are likely
+// to continue: a new client sends soon after connecting, a slow one sends something now and then, and one
+// that was answered a moment ago may send its next query.
+std::vector<size_t> ChooseLinksToClose(std::span<const LinkStatus> links, size_t wanted);
 
 }  // namespace burlfall
 
--- a/src/serve/program.cpp
+++ b/src/serve/program.cpp
@@ -181,7 +181,7 @@
   facts.list_version = hosts_.version();
   const Micros wall = machine_.WallClock();
   facts.list_age_ms = heard_at_ == 0 ? 0 : static_cast<uint64_t>(std::max<Micros>(0, wall - heard_at_) / kMs);
-  const size_t most = budget_.most();
+  const size_t most = budget_.max_links();
   facts.used_percent =
       most == 0 ? 0 : static_cast<uint8_t>(std::min<size_t>(100, 100 * budget_.open() / most));
   return facts;
@@ -212,7 +212,7 @@
 }
 
 void Program::Allow() {
-  budget_.Allow(descriptors(), other_.descriptors + (control_ ? Calls(descriptors()) + 1 : 0));
+  budget_.SetDescriptors(descriptors(), other_.descriptors + (control_ ? Calls(descriptors()) + 1 : 0));
   dispatcher_.HoldAtMost(front_.most_queries());
 }
 
@@ -430,7 +430,7 @@
 
 // At the edges alone, and far apart, so that a budget that is nearly used up makes few lines.
 void Program::TellDescriptors() {
-  const size_t open = budget_.open(), most = budget_.most();
+  const size_t open = budget_.open(), most = budget_.max_links();
   if (!descriptors_tight_ && budget_.tight()) {
     descriptors_tight_ = true;
     log_.Tell<"descriptors_tight">(open, most);
--- a/src/serve/program_handover.cpp
+++ b/src/serve/program_handover.cpp
@@ -116,12 +116,12 @@
   other_ = use;
   Allow();
   if (!first) return;
-  log_.Tell<"two_processes">(use.descriptors, use.memory_kb, budget_.open() + LinkBudget::kSpare,
+  log_.Tell<"two_processes">(use.descriptors, use.memory_kb, budget_.open() + LinkBudget::kSpareDescriptors,
                              machine_.ResidentBytes() / 1024, descriptors());
 }
 
 void Program::TellUse() {
-  handover_->TellUse({budget_.open() + LinkBudget::kSpare, machine_.ResidentBytes() / 1024});
+  handover_->TellUse({budget_.open() + LinkBudget::kSpareDescriptors, machine_.ResidentBytes() / 1024});
 }
 
 // Said on: a third process may be about. It ends where it is known.
--- a/src/upstream/http_upstream.cpp
+++ b/src/upstream/http_upstream.cpp
@@ -43,7 +43,8 @@
   if (chunked) {
     AppendHeader(out, "Transfer-Encoding", "chunked");
   } else if (!query.body.empty() || query.body_rest || (query.method != "GET" && query.method != "HEAD")) {
-    AppendHeader(out, "Content-Length", std::to_string(query.body_rest ? *query.body_rest->length : query.body.size()));
+    AppendHeader(out, "Content-Length",
+                 std::to_string(query.body_rest ? *query.body_rest->length : query.body.size()));
   }
   out.append("\r\n");
   if (chunked && !query.body.empty()) {
@@ -100,7 +101,9 @@
       } else {
         const Io io = link_->stream->Read(in_);
         if (io == Io::kLater) return Next::kLater;
-        parsed_ = io == Io::kSome ? parser_.Feed(in_) : io == Io::kClosed ? parser_.OnPeerClosed() : Parsed::kBad;
+        parsed_ = io == Io::kSome     ? parser_.Feed(in_)
+                  : io == Io::kClosed ? parser_.OnPeerClosed()
+                                      : Parsed::kBad;
       }
     }
     if (link_) link_->stream->Close();
@@ -180,7 +183,7 @@
   std::unique_ptr<Link> link = Reuse(host);
   const Micros idle_since = link ? link->idle_since : kNever;
   if (!link) {
-    if (!budget_.MakeRoom()) co_return answer;  // moot: the host is not at fault
+    if (!budget_.EnsureCapacity()) co_return answer;  // moot: the host is not at fault
     NoConnection why = NoConnection::kRefused;
     std::unique_ptr<Stream> stream = network_.Connect(host.address, why);
     // Nor is it where this process has no descriptor or port left: that must not put a good host to sleep.
@@ -270,8 +273,8 @@
     auto head = std::make_unique<HttpPayload>(parser.TakeHead());
     answer.outcome = ToOutcome(*head);
     if (answer.outcome != Outcome::kOk) co_return answer;
-    head->body_rest = std::make_shared<Download>(*this, held, std::move(link), std::move(parser), std::move(in),
-                                            head->keep_alive);
+    head->body_rest = std::make_shared<Download>(*this, held, std::move(link), std::move(parser),
+                                                 std::move(in), head->keep_alive);
     answer.payload = std::move(head);
     co_return answer;
   }
@@ -335,7 +338,7 @@
 }
 
 // From the host that has most of them.
-bool HttpUpstream::MakeRoom(size_t) {
+bool HttpUpstream::ReleaseIdle(size_t) {
   Idle* most = nullptr;
   for (auto& [id, idle] : idle_) {
     if (!idle.empty() && (most == nullptr || idle.size() > most->size())) most = &idle;
--- a/src/upstream/http_upstream.h
+++ b/src/upstream/http_upstream.h
@@ -35,7 +35,7 @@
   void RetireAll() { idle_.clear(); }  // all that is idle
 
   size_t open() const override { return open_; }
-  bool MakeRoom(size_t wanted) override;
+  bool ReleaseIdle(size_t wanted) override;
 
  private:
   // A link to a server. One that is idle waits in its host's list, the most recently used last.
--- a/tests/attempts/attempts_test.cpp
+++ b/tests/attempts/attempts_test.cpp
@@ -26,7 +26,7 @@
  protected:
   Attempts() {
     settings.connect_timeout = 1500 * kMs;
-    budget.Allow(1024);
+    budget.SetDescriptors(1024);
     List(BackendState::kReady, 0);
     listener = server.network().Listen(*ReadAddress(kAt));
   }
--- a/tests/service/budget_test.cpp
+++ b/tests/service/budget_test.cpp
@@ -9,20 +9,20 @@
 TEST(LinkBudget, FewDescriptorsAreCountedAsTheyAre) {
   LinkBudget budget;
   for (const size_t descriptors : {16, 24, 48, 63}) {
-    budget.Allow(descriptors);
-    EXPECT_LE(budget.most() + budget.spare(), descriptors);
-    EXPECT_GE(budget.most(), descriptors / 2);
+    budget.SetDescriptors(descriptors);
+    EXPECT_LE(budget.max_links() + budget.spare(), descriptors);
+    EXPECT_GE(budget.max_links(), descriptors / 2);
   }
 }
 
 TEST(LinkBudget, WhatIsReservedIsNoLinks) {
   LinkBudget budget;
-  budget.Allow(1024, 100);
-  EXPECT_EQ(budget.most(), 1024 - 100 - LinkBudget::kSpare);
-  budget.Allow(48, 40);
-  EXPECT_EQ(budget.most(), 4u);
-  budget.Allow(16, 40);
-  EXPECT_EQ(budget.most(), 0u);
+  budget.SetDescriptors(1024, 100);
+  EXPECT_EQ(budget.max_links(), 1024 - 100 - LinkBudget::kSpareDescriptors);
+  budget.SetDescriptors(48, 40);
+  EXPECT_EQ(budget.max_links(), 4u);
+  budget.SetDescriptors(16, 40);
+  EXPECT_EQ(budget.max_links(), 0u);
 }
 
 }  // namespace
--- a/tests/service/byte_budget_test.cpp
+++ b/tests/service/byte_budget_test.cpp
@@ -14,7 +14,7 @@
   EXPECT_TRUE(one.Grow(60));
   EXPECT_FALSE(one.Grow(41));
   EXPECT_TRUE(one.Grow(40));
-  EXPECT_EQ(budget.left(), 700u);
+  EXPECT_EQ(budget.available(), 700u);
   {
     std::vector<std::unique_ptr<ByteBudget::Share>> others;
     for (int i = 0; i < 7; ++i) {
@@ -27,7 +27,7 @@
     one.Clear();
     EXPECT_TRUE(last.Grow(100));
   }
-  EXPECT_EQ(budget.left(), 800u);
+  EXPECT_EQ(budget.available(), 800u);
 }
 
 }  // namespace
