--- a/src/front/client_link.cpp
+++ b/src/front/client_link.cpp
@@ -387,7 +387,7 @@
     }
   };
   // Tokens first: forged queries must not use up a caller's bucket.
-  if (front_.parts_.tokens.on()) {
+  if (front_.parts_.tokens.enabled()) {
     const std::string* token = nullptr;
     bool twice = false;
     for (const Header& header : message.headers) {
@@ -403,7 +403,7 @@
               : front_.parts_.tokens.Check(token != nullptr ? std::string_view(*token) : "", cls,
                                            front_.parts_.machine.WallClock());
     if (verdict != Tokens::Verdict::kPass) {
-      const TokenAnswer answer = AnswerTo(verdict);
+      const TokenResponse answer = ResponseFor(verdict);
       std::string headers;
       AppendHeader(headers, "Content-Type", "text/plain");
       if (answer.status == 401) AppendHeader(headers, platform::kChallenge, platform::kToken);
@@ -421,26 +421,27 @@
       count(Figure::kThrottled);
       std::string headers;
       const Micros told = std::min(*wait, settings.max_retry_after);
-      if (settings.retry_after && told > 0) AppendHeader(headers, platform::kRetryAfter, Door::Seconds(told));
+      if (settings.retry_after && told > 0)
+        AppendHeader(headers, platform::kRetryAfter, RateLimiter::FormatSeconds(told));
       Answer(503, headers, "");
       return true;
     }
   }
-  Door& door = front_.parts_.door;
-  if (!door.on()) return false;
+  RateLimiter& limiter = front_.parts_.rate_limiter;
+  if (!limiter.enabled()) return false;
   std::string key = platform::kNobody;
-  if (door.by_address()) {
+  if (limiter.by_address()) {
     const std::string from = HostOf(stream_->Peer());
     if (!from.empty()) key = from;
   } else if (tenant != nullptr && !tenant->empty()) {
     key = *tenant;
   }
-  const std::optional<Micros> wait = door.Refuses(key, stream_->scheduler().Now());
+  const std::optional<Micros> wait = limiter.CheckLimit(key, stream_->scheduler().Now());
   if (!wait) return false;
   ++front_.parts_.counters.limited;
   count(Figure::kLimited);
   std::string headers;
-  if (*wait != kNever) AppendHeader(headers, platform::kRetryAfter, Door::Seconds(*wait));
+  if (*wait != kNever) AppendHeader(headers, platform::kRetryAfter, RateLimiter::FormatSeconds(*wait));
   Answer(429, headers, "");
   return true;
 }
--- a/src/front/http_front.h
+++ b/src/front/http_front.h
@@ -14,7 +14,7 @@
 #include "config/platform_config.h"
 #include "dispatch/dispatcher.h"
 #include "front/client_link.h"
-#include "gates/door.h"
+#include "gates/rate_limiter.h"
 #include "gates/tokens.h"
 #include "io/machine.h"
 #include "links/budget.h"
@@ -39,7 +39,7 @@
     Dispatcher& dispatcher;
     LinkBudget& budget;
     Tokens& tokens;
-    Door& door;
+    RateLimiter& rate_limiter;
     Figures* figures;  // nullptr: off
     Counters& counters;
     // For a query with so much time: when to come back, where this balancer can't be of use before; nothing
--- a/src/serve/program.h
+++ b/src/serve/program.h
@@ -20,7 +20,7 @@
 #include "council/council.h"
 #include "dispatch/dispatcher.h"
 #include "front/http_front.h"
-#include "gates/door.h"
+#include "gates/rate_limiter.h"
 #include "gates/tokens.h"
 #include "handover/handover.h"
 #include "io/machine.h"
@@ -138,7 +138,7 @@
   Counters& counters_;
   std::unique_ptr<Figures> figures_;
   Tokens tokens_;
-  Door door_;
+  RateLimiter door_;
   LinkBudget budget_;
   const StartSettings start_;
   std::optional<start::Asking> asking_;
--- a/tests/features/door_test.cpp
+++ b/tests/features/rate_limiter_test.cpp
@@ -1,5 +1,5 @@
 // Door limits: the buckets, their bounds, and what a client is told.
-#include "gates/door.h"
+#include "gates/rate_limiter.h"
 
 #include "stories/peers.h"
 
@@ -25,95 +25,95 @@
 }  // namespace
 
 TEST_CASE("a caller may send its burst, then its rate, and is told when the next token is back") {
-  Door door;
-  CHECK_FALSE(door.Refuses("a", 0));  // off
-  door.Configure(Limits(50, 3));
+  RateLimiter limiter;
+  CHECK_FALSE(limiter.CheckLimit("a", 0));  // off
+  limiter.Configure(Limits(50, 3));
   Micros now = 1000 * kSecond;
-  for (int i = 0; i < 3; ++i) CHECK_FALSE(door.Refuses("a", now));
-  CHECK(door.Refuses("a", now) == 20000);
-  CHECK(door.Refuses("a", now + 5000) == 15000);
-  CHECK_FALSE(door.Refuses("b", now));  // each for itself
-  CHECK_FALSE(door.Refuses("a", now + 20000));
-  CHECK(door.Refuses("a", now + 20000) == 20000);
+  for (int i = 0; i < 3; ++i) CHECK_FALSE(limiter.CheckLimit("a", now));
+  CHECK(limiter.CheckLimit("a", now) == 20000);
+  CHECK(limiter.CheckLimit("a", now + 5000) == 15000);
+  CHECK_FALSE(limiter.CheckLimit("b", now));  // each for itself
+  CHECK_FALSE(limiter.CheckLimit("a", now + 20000));
+  CHECK(limiter.CheckLimit("a", now + 20000) == 20000);
   now += 3600 * kSecond;  // no more than the burst is saved up
-  for (int i = 0; i < 3; ++i) CHECK_FALSE(door.Refuses("a", now));
-  CHECK(door.Refuses("a", now));
-  CHECK(door.Refuses("a", now - kSecond));  // a clock that steps back gives nothing, and takes nothing
+  for (int i = 0; i < 3; ++i) CHECK_FALSE(limiter.CheckLimit("a", now));
+  CHECK(limiter.CheckLimit("a", now));
+  CHECK(limiter.CheckLimit("a", now - kSecond));  // a clock that steps back gives nothing, and takes nothing
 }
 
 TEST_CASE("at any rate the time that a caller is told is enough") {
   for (double rate : {0.3, 1.0, 3.0, 7.0, 33.3, 999.0, 100000.0}) {
     CAPTURE(rate);
-    Door door;
-    door.Configure(Limits(rate, 1));
+    RateLimiter limiter;
+    limiter.Configure(Limits(rate, 1));
     Micros now = 1000 * kSecond;
     for (int i = 0; i < 50; ++i) {
-      CHECK_FALSE(door.Refuses("a", now));
-      std::optional<Micros> wait = door.Refuses("a", now);
+      CHECK_FALSE(limiter.CheckLimit("a", now));
+      std::optional<Micros> wait = limiter.CheckLimit("a", now);
       REQUIRE(wait);
-      if (*wait > 1) CHECK(door.Refuses("a", now + *wait - 2));
+      if (*wait > 1) CHECK(limiter.CheckLimit("a", now + *wait - 2));
       now += *wait;
     }
   }
 }
 
 TEST_CASE("a rate that is next to nothing is told as a time that can be written") {
-  Door door;
-  door.Configure(Limits(5e-324, 1));
-  CHECK_FALSE(door.Refuses("a", kSecond));
-  std::optional<Micros> wait = door.Refuses("a", kSecond);
+  RateLimiter limiter;
+  limiter.Configure(Limits(5e-324, 1));
+  CHECK_FALSE(limiter.CheckLimit("a", kSecond));
+  std::optional<Micros> wait = limiter.CheckLimit("a", kSecond);
   REQUIRE(wait);
-  CHECK(Door::Seconds(*wait) == "1000000000");
+  CHECK(RateLimiter::FormatSeconds(*wait) == "1000000000");
 }
 
 TEST_CASE("seconds are rounded up and written as short as they go") {
-  CHECK(Door::Seconds(20000) == "0.02");
-  CHECK(Door::Seconds(20001) == "0.021");
-  CHECK(Door::Seconds(1) == "0.001");
-  CHECK(Door::Seconds(0) == "0.001");
-  CHECK(Door::Seconds(100 * kMs) == "0.1");
-  CHECK(Door::Seconds(2 * kSecond) == "2");
-  CHECK(Door::Seconds(10 * kSecond) == "10");
-  CHECK(Door::Seconds(1050 * kMs) == "1.05");
+  CHECK(RateLimiter::FormatSeconds(20000) == "0.02");
+  CHECK(RateLimiter::FormatSeconds(20001) == "0.021");
+  CHECK(RateLimiter::FormatSeconds(1) == "0.001");
+  CHECK(RateLimiter::FormatSeconds(0) == "0.001");
+  CHECK(RateLimiter::FormatSeconds(100 * kMs) == "0.1");
+  CHECK(RateLimiter::FormatSeconds(2 * kSecond) == "2");
+  CHECK(RateLimiter::FormatSeconds(10 * kSecond) == "10");
+  CHECK(RateLimiter::FormatSeconds(1050 * kMs) == "1.05");
 }
 
 TEST_CASE("a rate of nothing refuses everything, for good") {
   DoorSettings settings = Limits(20, 40);
   settings.own["shut"] = {0, 40};
-  Door door;
-  door.Configure(settings);
-  CHECK(door.Refuses("shut", kSecond) == kNever);
-  CHECK(door.Refuses("shut", 9000 * kSecond) == kNever);
-  CHECK_FALSE(door.Refuses("open", kSecond));
+  RateLimiter limiter;
+  limiter.Configure(settings);
+  CHECK(limiter.CheckLimit("shut", kSecond) == kNever);
+  CHECK(limiter.CheckLimit("shut", 9000 * kSecond) == kNever);
+  CHECK_FALSE(limiter.CheckLimit("open", kSecond));
 }
 
 TEST_CASE("the table stays bounded and forgets the caller seen least lately") {
   DoorSettings settings = Limits(0.001, 1);
   settings.max_keys = 3;
-  Door door;
-  door.Configure(settings);
-  for (std::string key : {"a", "b", "c"}) CHECK_FALSE(door.Refuses(key, 1));
-  CHECK(door.Refuses("a", 2));        // seen again: now b is the oldest
-  CHECK_FALSE(door.Refuses("d", 3));  // takes the place of b
-  CHECK(door.Refuses("a", 4));
-  CHECK(door.Refuses("c", 4));
-  CHECK_FALSE(door.Refuses("b", 5));
-  for (int i = 0; i < 10000; ++i) door.Refuses(std::string(1000, 'x').append(std::to_string(i)), 6);
-  for (int i = 0; i < 10000; ++i) door.Refuses(std::to_string(i), 6);
-  CHECK(door.known() == 3);
+  RateLimiter limiter;
+  limiter.Configure(settings);
+  for (std::string key : {"a", "b", "c"}) CHECK_FALSE(limiter.CheckLimit(key, 1));
+  CHECK(limiter.CheckLimit("a", 2));        // seen again: now b is the oldest
+  CHECK_FALSE(limiter.CheckLimit("d", 3));  // takes the place of b
+  CHECK(limiter.CheckLimit("a", 4));
+  CHECK(limiter.CheckLimit("c", 4));
+  CHECK_FALSE(limiter.CheckLimit("b", 5));
+  for (int i = 0; i < 10000; ++i) limiter.CheckLimit(std::string(1000, 'x').append(std::to_string(i)), 6);
+  for (int i = 0; i < 10000; ++i) limiter.CheckLimit(std::to_string(i), 6);
+  CHECK(limiter.caller_count() == 3);
 }
 
 TEST_CASE("new rates hold at once, and callers keep what they have used") {
-  Door door;
-  door.Configure(Limits(1, 10));
-  for (int i = 0; i < 10; ++i) CHECK_FALSE(door.Refuses("a", kSecond));
+  RateLimiter limiter;
+  limiter.Configure(Limits(1, 10));
+  for (int i = 0; i < 10; ++i) CHECK_FALSE(limiter.CheckLimit("a", kSecond));
   DoorSettings settings = Limits(1, 10);
   settings.own["a"] = {100, 20};
-  door.Configure(settings);
-  CHECK(door.Refuses("a", kSecond) == 10000);
+  limiter.Configure(settings);
+  CHECK(limiter.CheckLimit("a", kSecond) == 10000);
   settings.by_address = true;
-  door.Configure(settings);
-  CHECK(door.known() == 0);
+  limiter.Configure(settings);
+  CHECK(limiter.caller_count() == 0);
 }
 
 TEST_CASE("an excess query is answered 429 at the door, reaches no server, and its link stays usable") {
