--- a/src/replay/replay.cpp
+++ b/src/replay/replay.cpp
@@ -23,54 +23,57 @@
 using meadowslip::Settings;
 using Choice = Record::Choice;
 
-// A file that begins like JSON is the platform's; nothing where it is the operators'.
+// Returns the settings of a platform configuration, which begins like JSON. Returns nothing for a properties
+// file, which is only checked.
 std::optional<Settings> ReadSettings(const std::string& path, Files& files) {
   const std::string text = files.Read(path).value_or("");
   const size_t first = text.find_first_not_of(" \t\r\n");
   if (first == std::string::npos || text[first] != '{') {
-    LoadProperties(path, files);  // what can't be used is told, as everywhere
+    LoadProperties(path, files);  // reports a file that can't be used
     return std::nullopt;
   }
-  auto named = [&path](const char* name) {
+  auto variable = [&path](const char* name) {
     return std::string_view(name) == platform::kConfigVariable ? path.c_str() : nullptr;
   };
-  return LoadConfig(named, files).settings;
+  return LoadConfig(variable, files).settings;
 }
 
-struct Made {
+struct Decision {
   Choice did = Choice::kSend;
   RequestId id = 0;
   BackendId backend = 0;
   int attempt = 0;
   Micros span = 0;
 
-  bool operator==(const Made&) const = default;
+  bool operator==(const Decision&) const = default;
 };
 
-// Keeps what the module chooses; timers are told by the capture.
-class Sink : public meadowslip::ActionSink {
+// Records the module's decisions. Timers are not recorded: the capture has their expiries.
+class RecordingSink : public meadowslip::ActionSink {
  public:
   void Send(RequestId id, BackendId backend, Micros timeout) override {
-    made.push_back({Choice::kSend, id, backend, 0, timeout});
+    decisions.push_back({Choice::kSend, id, backend, 0, timeout});
   }
   void Refuse(RequestId id, Micros retry_after) override {
-    made.push_back({Choice::kRefuse, id, 0, 0, retry_after});
+    decisions.push_back({Choice::kRefuse, id, 0, 0, retry_after});
+  }
+  void Fail(RequestId id) override { decisions.push_back({Choice::kFail, id, 0, 0, 0}); }
+  void Cancel(RequestId id, int attempt) override {
+    decisions.push_back({Choice::kCancel, id, 0, attempt, 0});
   }
-  void Fail(RequestId id) override { made.push_back({Choice::kFail, id, 0, 0, 0}); }
-  void Cancel(RequestId id, int attempt) override { made.push_back({Choice::kCancel, id, 0, attempt, 0}); }
   void Schedule(Micros, uint64_t) override {}
   void Probe(BackendId) override {}
-  void Subscribe() override { made.push_back({Choice::kAsk, 0, 0, 0, 0}); }
+  void Subscribe() override { decisions.push_back({Choice::kAsk, 0, 0, 0, 0}); }
 
-  std::deque<Made> made;
+  std::deque<Decision> decisions;
 };
 
 class Replayer {
  public:
   Replayer(std::optional<Settings> settings, std::ostream& out) : settings_(std::move(settings)), out_(out) {}
 
-  void Take(const Record& r, long line, std::string_view text) {
-    if (r.kind == Record::Kind::kDecision) return Compare(r, line, text);
+  void Apply(const Record& r, long line, std::string_view text) {
+    if (r.kind == Record::Kind::kDecision) return CompareDecision(r, line, text);
     EndEvent(line);
     switch (r.kind) {
       case Record::Kind::kStart:
@@ -80,8 +83,8 @@
       default:
         break;
     }
-    Balancer& module = Module();
-    ++events_;
+    Balancer& module = ActiveModule();
+    ++event_count_;
     switch (r.kind) {
       case Record::Kind::kList: {
         meadowslip::BackendList list;
@@ -105,25 +108,26 @@
     }
   }
 
-  // What the module chose beyond what was captured for the event before this line. Behind a last line that is
-  // torn more may have stood.
+  // Reports the module's decisions that were not captured for the event before this line. If the capture ends
+  // in a torn line, they don't count as differences: the captured decisions may have been cut off.
   void EndEvent(long line, bool torn = false) {
-    for (const Made& made : sink_.made) {
-      out_ << "before line " << line << ": nothing captured\n  replay chose: " << Text(made) << "\n";
+    for (const Decision& decision : sink_.decisions) {
+      out_ << "before line " << line << ": nothing captured\n  replay chose: " << Describe(decision) << "\n";
       if (torn) {
         out_ << "  not counted: the capture ends within this event\n";
       } else {
-        ++differences_;
+        ++difference_count_;
       }
     }
-    sink_.made.clear();
+    sink_.decisions.clear();
   }
 
   bool started() const { return module_.has_value(); }
-  int End() {
-    out_ << "replayed " << events_ << " events and " << decisions_ << " decisions: " << differences_
-         << (differences_ == 1 ? " difference\n" : " differences\n");
-    return differences_ == 0 ? kSame : kDiffers;
+  int ReportTotals() {
+    out_ << "replayed " << event_count_ << " events and " << decision_count_
+         << " decisions: " << difference_count_
+         << (difference_count_ == 1 ? " difference\n" : " differences\n");
+    return difference_count_ == 0 ? kReplayMatches : kReplayDiffers;
   }
 
  private:
@@ -140,69 +144,69 @@
     } catch (const std::exception& e) {
       throw BadRecord(std::string("settings: ") + e.what());
     }
-    if (settings_ && *settings_ != captured && !std::exchange(told_, true)) {
+    if (settings_ && *settings_ != captured && !std::exchange(settings_difference_reported_, true)) {
       out_ << "replayed with the settings of the configuration, which differ from the captured ones\n";
     }
-    next_.emplace(settings_ ? *settings_ : captured, r.seed);
+    pending_module_.emplace(settings_ ? *settings_ : captured, r.seed);
   }
 
   void Checkpoint(const Record& r) {
-    if (!next_) throw BadRecord("a checkpoint without a start record before it");
-    if (!next_->Load(r.state))
+    if (!pending_module_) throw BadRecord("a checkpoint without a start record before it");
+    if (!pending_module_->Load(r.state))
       throw BadRecord("a checkpoint that the module can't take over with these settings");
-    module_ = std::move(next_);
-    next_.reset();
+    module_ = std::move(pending_module_);
+    pending_module_.reset();
     for (const Record::Server& s : r.servers) names_[s.entry.id] = s.name;
   }
 
-  Balancer& Module() {
-    if (next_) throw BadRecord("no checkpoint behind the start record");
+  Balancer& ActiveModule() {
+    if (pending_module_) throw BadRecord("no checkpoint behind the start record");
     if (!module_)
       throw BadRecord("no start record and checkpoint before it: what the module knew is not captured");
     return *module_;
   }
 
-  void Compare(const Record& r, long line, std::string_view text) {
-    Module();
-    ++decisions_;
-    const Made captured = {r.did, r.request.id, r.backend, r.result.attempt, r.span};
-    std::optional<Made> made;
-    if (!sink_.made.empty()) {
-      made = sink_.made.front();
-      sink_.made.pop_front();
-      // The number is the sockets' count, from 0; what was sent before the segment is not known here.
-      if (made->did == Choice::kSend) made->attempt = captured.attempt;
+  void CompareDecision(const Record& r, long line, std::string_view text) {
+    ActiveModule();
+    ++decision_count_;
+    const Decision captured = {r.did, r.request.id, r.backend, r.result.attempt, r.span};
+    std::optional<Decision> decision;
+    if (!sink_.decisions.empty()) {
+      decision = sink_.decisions.front();
+      sink_.decisions.pop_front();
+      // The captured attempt number counts from the query's first attempt, which may precede this segment.
+      if (decision->did == Choice::kSend) decision->attempt = captured.attempt;
     }
-    if (made == captured) return;
-    ++differences_;
-    out_ << "line " << line << ": " << text << "\n  replay chose: " << (made ? Text(*made) : "nothing")
-         << "\n";
+    if (decision == captured) return;
+    ++difference_count_;
+    out_ << "line " << line << ": " << text
+         << "\n  replay chose: " << (decision ? Describe(*decision) : "nothing") << "\n";
   }
 
-  std::string Text(const Made& made) const {
-    constexpr const char* kWords[] = {"send", "refuse", "fail", "cancel", "ask discovery"};
-    std::string text = kWords[static_cast<size_t>(made.did)];
-    if (made.did == Choice::kAsk) return text;
-    text += " query " + std::to_string(made.id);
-    if (made.did == Choice::kSend) {
-      auto it = names_.find(made.backend);
-      text += " to " + (it == names_.end() ? std::to_string(made.backend) : it->second);
+  std::string Describe(const Decision& decision) const {
+    constexpr const char* kChoiceNames[] = {"send", "refuse", "fail", "cancel", "ask discovery"};
+    std::string text = kChoiceNames[static_cast<size_t>(decision.did)];
+    if (decision.did == Choice::kAsk) return text;
+    text += " query " + std::to_string(decision.id);
+    if (decision.did == Choice::kSend) {
+      auto it = names_.find(decision.backend);
+      text += " to " + (it == names_.end() ? std::to_string(decision.backend) : it->second);
     }
-    if (made.did == Choice::kCancel) text += " attempt " + std::to_string(made.attempt);
-    if (made.span > 0) text += ", " + std::to_string(made.span) + " us";
+    if (decision.did == Choice::kCancel) text += " attempt " + std::to_string(decision.attempt);
+    if (decision.span > 0) text += ", " + std::to_string(decision.span) + " us";
     return text;
   }
 
   std::optional<Settings> settings_;
   std::ostream& out_;
-  std::optional<Balancer> next_;  // until its checkpoint comes
+  std::optional<Balancer> pending_module_;  // started, but its checkpoint has not been read
   std::optional<Balancer> module_;
-  Sink sink_;
+  RecordingSink sink_;
   std::map<BackendId, std::string> names_;
-  long events_ = 0;
-  long decisions_ = 0;
-  long differences_ = 0;
-  bool told_ = false;
+  long event_count_ = 0;
+  long decision_count_ = 0;
+  long difference_count_ = 0;
+  bool settings_difference_reported_ = false;
 };
 
 }  // namespace
@@ -210,51 +214,52 @@
 int Replay(const std::string& capture, const std::string& config, Files& files, std::ostream& out,
            std::ostream& errors) {
   Replayer replayer(ReadSettings(config, files), out);
-  const std::optional<std::string> whole = files.Read(capture);
-  if (!whole || whole->empty()) {
+  const std::optional<std::string> content = files.Read(capture);
+  if (!content || content->empty()) {
     errors << "burlfall: " << capture << ": can't be read, or is empty\n";
-    return kNoCapture;
+    return kReplayImpossible;
   }
-  std::istringstream file(*whole);
+  std::istringstream file(*content);
   RecordReader reader;
-  long line = 0, others = 0, torn = 0;
-  std::string why;
-  auto refuse = [&](long at, const std::string& what) {
+  long line = 0, skipped = 0, torn = 0;
+  std::string torn_error;
+  auto fail = [&](long at, const std::string& what) {
     errors << "burlfall: " << capture << ": line " << at << ": " << what << "\n";
-    return kNoCapture;
+    return kReplayImpossible;
   };
   for (std::string text; std::getline(file, text);) {
     ++line;
-    if (!text.starts_with('{') || text.starts_with("{\"event\":")) {  // other lines of the same log
-      others += !text.empty();
+    if (!text.starts_with('{') || text.starts_with("{\"event\":")) {  // other lines of a log
+      skipped += !text.empty();
       continue;
     }
     try {
       const Record record = reader.Read(text);
       if (torn > 0) {
-        // What follows a torn line can't be trusted, unless it begins anew: the program was started again.
-        if (record.kind != Record::Kind::kStart) return refuse(torn, why);
+        // Records behind a torn line can't be trusted, unless they begin with a start record: the program was
+        // restarted.
+        if (record.kind != Record::Kind::kStart) return fail(torn, torn_error);
         replayer.EndEvent(torn, true);
         out << "line " << torn << ": torn, skipped\n";
         torn = 0;
       }
-      replayer.Take(record, line, text);
+      replayer.Apply(record, line, text);
     } catch (const BadRecord& e) {
       if (e.why == BadRecord::Why::kEvent) {
-        ++others;
+        ++skipped;
         continue;
       }
-      if (e.why != BadRecord::Why::kJson) return refuse(line, e.what());
-      if (torn > 0) return refuse(torn, why);
+      if (e.why != BadRecord::Why::kJson) return fail(line, e.what());
+      if (torn > 0) return fail(torn, torn_error);
       torn = line;
-      why = e.what();
+      torn_error = e.what();
     }
   }
   if (torn > 0) out << "line " << torn << ": torn, skipped\n";
-  if (others > 0) out << others << " lines that are no records skipped\n";
-  if (!replayer.started()) return refuse(line, "no start record and checkpoint: there is nothing to replay");
+  if (skipped > 0) out << skipped << " lines that are no records skipped\n";
+  if (!replayer.started()) return fail(line, "no start record and checkpoint: there is nothing to replay");
   replayer.EndEvent(line + 1, torn > 0);
-  return replayer.End();
+  return replayer.ReportTotals();
 }
 
 }  // namespace burlfall
--- a/src/replay/replay.h
+++ b/src/replay/replay.h
@@ -1,4 +1,5 @@
-// Replays a capture: feeds its records to the module, without any socket, and compares what it chooses.
+// Replays a capture: feeds its records to the decision module, without sockets, and compares the module's
+// decisions with the captured ones.
 #ifndef BURLFALL_REPLAY_REPLAY_H_
 #define BURLFALL_REPLAY_REPLAY_H_
 
@@ -9,13 +10,14 @@
 
 namespace burlfall {
 
-constexpr int kSame = 0;
-constexpr int kDiffers = 1;
-constexpr int kNoCapture = 2;  // an unknown kind of record, or nothing that can be read or replayed
+// Exit codes of the command.
+constexpr int kReplayMatches = 0;
+constexpr int kReplayDiffers = 1;
+constexpr int kReplayImpossible = 2;  // the capture can't be read or replayed
 
-// `config` names the operators' properties, or a platform's configuration whose settings then go before the
-// captured ones. Lines that differ go to `out`, and a last line that says how many; what is wrong goes to
-// `errors`. Throws BadConfig where `config` can't be used.
+// Replays the file `capture` and returns one of the codes above. `config` is the path of a properties file,
+// or of a platform configuration, whose settings then override the captured ones. Writes each difference and
+// a summary line to `out`, and errors to `errors`. Throws BadConfig if `config` can't be used.
 int Replay(const std::string& capture, const std::string& config, Files& files, std::ostream& out,
            std::ostream& errors);
 
--- a/tests/features/capture_test.cpp
+++ b/tests/features/capture_test.cpp
@@ -112,7 +112,7 @@
   TextFile properties("capture.enabled = true\n");
   std::ostringstream out, errors;
   const std::string old = TEST_DATA "/features/capture_0_1_0.jsonl";
-  CHECK(Replay(old, properties.path, *MakeRealFiles(), out, errors) == kNoCapture);
+  CHECK(Replay(old, properties.path, *MakeRealFiles(), out, errors) == kReplayImpossible);
   CHECK(errors.str() == "burlfall: " + old +
                             ": line 1: captured by version 0.1.0 with decisions of format 1: this version "
                             "replays format 5 alone\n");
@@ -148,7 +148,7 @@
 
   Replayed same(program.output);  // picked out of standard error
   CAPTURE(same.text);
-  CHECK(same.code == kSame);
+  CHECK(same.code == kReplayMatches);
   CHECK(same.text.find(" lines that are no records skipped\n") != std::string::npos);
   CHECK(same.text.ends_with(" 0 differences\n"));
 
@@ -158,7 +158,7 @@
     const size_t id = bent[at].find("\"backend\":") + 10;
     bent[at].replace(id, bent[at].find(',', id) - id, "7");
     Replayed differs(Joined(bent));
-    CHECK(differs.code == kDiffers);
+    CHECK(differs.code == kReplayDiffers);
     CHECK(differs.text.starts_with("line " + std::to_string(at + 1) + ": " + bent[at] +
                                    "\n  replay chose: send "));
     CHECK(differs.text.ends_with(": 1 difference\n"));
@@ -166,19 +166,19 @@
   SECTION("a choice left out is a difference") {
     std::vector<std::string> bent = lines;
     bent.erase(bent.begin() + (first - lines.begin()));
-    CHECK(Replayed(Joined(bent)).code == kDiffers);
+    CHECK(Replayed(Joined(bent)).code == kReplayDiffers);
   }
   SECTION("a choice made up is a difference") {
     std::vector<std::string> bent = lines;
     bent.insert(bent.begin() + (first - lines.begin()), *first);
-    CHECK(Replayed(Joined(bent)).code == kDiffers);
+    CHECK(Replayed(Joined(bent)).code == kReplayDiffers);
   }
   SECTION("other settings are tried, and said to be others") {
     std::string config = ConfigText({.known = Entry("s-1", 1)});
-    CHECK(Replayed(Joined(lines), config).code == kSame);
+    CHECK(Replayed(Joined(lines), config).code == kReplayMatches);
     config.replace(config.find("\"SendCap\":5"), 11, "\"SendCap\":1");
     Replayed other(Joined(lines), config);
-    CHECK(other.code == kDiffers);
+    CHECK(other.code == kReplayDiffers);
     CHECK(other.text.starts_with("replayed with the settings of the configuration"));
   }
   SECTION("a torn last line is skipped and reported, anything else that is torn stops the replay") {
@@ -186,14 +186,14 @@
     for (size_t cut : {2, 10, 40}) {
       Replayed torn(whole.substr(0, whole.size() - cut));
       CAPTURE(cut, torn.text);
-      CHECK(torn.code == kSame);
+      CHECK(torn.code == kReplayMatches);
       CHECK(torn.text.find("line " + std::to_string(lines.size()) + ": torn, skipped\n") !=
             std::string::npos);
     }
     std::vector<std::string> bent = lines;
     bent[lines.size() / 2].resize(30);
     Replayed stopped(Joined(bent));
-    CHECK(stopped.code == kNoCapture);
+    CHECK(stopped.code == kReplayImpossible);
     CHECK(stopped.text.find("line " + std::to_string(lines.size() / 2 + 1) + ": no JSON object") !=
           std::string::npos);
   }
@@ -206,15 +206,15 @@
   }
   SECTION("without a start record, or its checkpoint, nothing is said to be the same") {
     std::vector<std::string> cut(lines.begin() + 1, lines.end());
-    CHECK(Replayed(Joined(cut)).code == kNoCapture);
+    CHECK(Replayed(Joined(cut)).code == kReplayImpossible);
     cut.erase(cut.begin());
-    CHECK(Replayed(Joined(cut)).code == kNoCapture);
+    CHECK(Replayed(Joined(cut)).code == kReplayImpossible);
     cut.insert(cut.begin(), lines[0]);
     Replayed none(Joined(cut));
-    CHECK(none.code == kNoCapture);
+    CHECK(none.code == kReplayImpossible);
     CHECK(none.text.find("no checkpoint") != std::string::npos);
-    CHECK(Replayed(lines[0] + "\n").code == kNoCapture);
-    CHECK(Replayed("burlfall: nothing of that\n").code == kNoCapture);
+    CHECK(Replayed(lines[0] + "\n").code == kReplayImpossible);
+    CHECK(Replayed("burlfall: nothing of that\n").code == kReplayImpossible);
   }
   SECTION("a record that can't be is refused, whatever is wrong with it") {
     const std::vector<std::pair<std::string, std::string>> cases = {
@@ -230,7 +230,7 @@
       std::string text = Joined(lines);
       text.replace(text.find(from), from.size(), to);
       CAPTURE(from, to);
-      CHECK(Replayed(text).code == kNoCapture);
+      CHECK(Replayed(text).code == kReplayImpossible);
     }
   }
   SECTION("the command line does the same") {
@@ -263,17 +263,17 @@
   CHECK(CountOf(program.output, "\"kind\":\"start\"") > 1);
   Replayed same(Joined(lines));
   CAPTURE(same.text);
-  CHECK(same.code == kSame);
+  CHECK(same.code == kReplayMatches);
   // Each segment alone.
   std::vector<std::string> part;
   for (const std::string& line : lines) {
     if (line.find("\"kind\":\"start\"") != std::string::npos && !part.empty()) {
-      CHECK(Replayed(Joined(part)).code == kSame);
+      CHECK(Replayed(Joined(part)).code == kReplayMatches);
       part.clear();
     }
     part.push_back(line);
   }
-  CHECK(Replayed(Joined(part)).code == kSame);
+  CHECK(Replayed(Joined(part)).code == kReplayMatches);
 }
 
 TEST_CASE("files make a ring too, each replays alone, and a restart overwrites none") {
@@ -307,7 +307,7 @@
   for (const std::string& name : first) {
     Replayed same(text(name));
     CAPTURE(name, same.text);
-    CHECK(same.code == kSame);
+    CHECK(same.code == kReplayMatches);
     CHECK(std::filesystem::file_size(folder.path + "/ring/" + name) <= 64 * 1024);
   }
   const std::string newest = text(first.back());
@@ -344,7 +344,7 @@
   CHECK(CountOf(program.output, "burlfall: capture: ") == 1);
   for (const auto& entry : std::filesystem::directory_iterator(blocked.path)) {
     std::ifstream in(entry.path());
-    CHECK(Replayed(std::string(std::istreambuf_iterator<char>(in), {})).code == kSame);
+    CHECK(Replayed(std::string(std::istreambuf_iterator<char>(in), {})).code == kReplayMatches);
   }
 }
 
@@ -370,7 +370,7 @@
   CHECK(CountOf(program.output, "burlfall: counters: ") == 3);
   Replayed same(program.output);
   CAPTURE(same.text);
-  CHECK(same.code == kSame);
+  CHECK(same.code == kReplayMatches);
 }
 
 TEST_CASE("a log of JSON lines with the capture in it replays, and its events are no records") {
@@ -384,11 +384,11 @@
   CHECK(CountOf(program.output, "{\"event\":") >= 6);
   Replayed same(program.output);
   CAPTURE(same.text);
-  CHECK(same.code == kSame);
+  CHECK(same.code == kReplayMatches);
   // Also where another program's log puts the event elsewhere; a record without a kind is none of these.
   const std::string start = program.output.substr(program.output.find("{\"t\":"));
-  CHECK(Replayed("{\"level\":\"info\",\"event\":\"x\"}\n" + start).code == kSame);
-  CHECK(Replayed("{\"level\":\"info\"}\n" + start).code == kNoCapture);
+  CHECK(Replayed("{\"level\":\"info\",\"event\":\"x\"}\n" + start).code == kReplayMatches);
+  CHECK(Replayed("{\"level\":\"info\"}\n" + start).code == kReplayImpossible);
 }
 
 TEST_CASE("whatever clients write into their headers stays one line of JSON") {
@@ -408,7 +408,7 @@
   CHECK(program.output.find("\"trace\":\"\\\"},{\\\\ \\u0009\\u00ff\\u00c3\\u00bc{") != std::string::npos);
   Replayed same(program.output);
   CAPTURE(same.text);
-  CHECK(same.code == kSame);
+  CHECK(same.code == kReplayMatches);
   for (const std::string& line : RecordLines(program.output)) {
     if (line.find("\"query\"") != std::string::npos) CHECK(line.size() < 1500);
   }
