--- a/src/upstream/http_upstream.h
+++ b/src/upstream/http_upstream.h
@@ -15,7 +15,7 @@
 #include "meadowslip/balancer.h"
 #include "membership/host_group.h"
 #include "observe/counters.h"
-#include "upstream/idle_record.h"
+#include "upstream/idle_reuse_stats.h"
 #include "upstream/upstream.h"
 
 namespace burlfall {
--- a/src/upstream/idle_record.cpp
+++ b/src/upstream/idle_reuse_stats.cpp
@@ -1,4 +1,4 @@
-#include "upstream/idle_record.h"
+#include "upstream/idle_reuse_stats.h"
 
 #include <algorithm>
 #include <tuple>
--- a/src/upstream/idle_record.h
+++ b/src/upstream/idle_reuse_stats.h
@@ -1,8 +1,8 @@
 // How links fare that are used again, by how long they were idle. Servers, and what lies between, may forget
 // links far sooner than the settings say and without a sign: the next query on one is reset, and if it is
 // unsafe it is lost. What was seen counts for some seconds, then links are tried that long again.
-#ifndef BURLFALL_UPSTREAM_IDLE_RECORD_H_
-#define BURLFALL_UPSTREAM_IDLE_RECORD_H_
+#ifndef BURLFALL_UPSTREAM_IDLE_REUSE_STATS_H_
+#define BURLFALL_UPSTREAM_IDLE_REUSE_STATS_H_
 
 #include <array>
 #include <cstddef>
@@ -29,4 +29,4 @@
 
 }  // namespace burlfall
 
-#endif  // BURLFALL_UPSTREAM_IDLE_RECORD_H_
+#endif  // BURLFALL_UPSTREAM_IDLE_REUSE_STATS_H_
