--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -342,8 +342,8 @@
   return ran == last ? kNever : ran->sent_at + c.dedup_window;
 }
 
-Task<> Dispatcher::Try(RequestId id, int n, BackendId backend, Micros until, Micros whole_by) {
-  ServerAnswer answer = co_await upstream_.Exchange(backend, *queries_.at(id).asked.payload, until, whole_by);
+Task<> Dispatcher::Try(RequestId id, int n, BackendId backend, Micros until, Micros send_by) {
+  ServerAnswer answer = co_await upstream_.Exchange(backend, *queries_.at(id).asked.payload, until, send_by);
   queries_.at(id).attempts[static_cast<size_t>(n)].ended = true;
   Post(id, n, std::move(answer));
 }
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -93,7 +93,7 @@
 
   Task<> Turns();
   Task<> Try(meadowslip::RequestId id, int attempt, meadowslip::BackendId backend, Micros until,
-             Micros whole_by);
+             Micros send_by);
   Micros WholeBy(const Query& query) const;
   void Post(meadowslip::RequestId id, int attempt, ServerAnswer answer);
   void Deliver(Result result);
--- a/src/serve/program.cpp
+++ b/src/serve/program.cpp
@@ -289,7 +289,7 @@
     heard_at_ = machine_.WallClock();
     if (keeper_) keeper_->Heard(changed);
     told = hosts_.Take(*list, machine_.Now());
-    upstream_.Retire();
+    upstream_.CloseStaleIdle();
     list_log_->Heard();
   } else {
     list_log_->Failed(why);
@@ -410,7 +410,7 @@
 Task<> Program::Sweep() {
   while (true) {
     co_await sweep_.Wait(machine_.Now() + kSweepEvery);
-    upstream_.Retire();
+    upstream_.CloseStaleIdle();
     list_log_->Tell();
     TellDescriptors();
     KeepOutLate();
--- a/src/serve/program_handover.cpp
+++ b/src/serve/program_handover.cpp
@@ -75,7 +75,7 @@
   }
   hosts_.LeaveCold(true, machine_.Now());
   HostsChanged();
-  upstream_.RetireAll();
+  upstream_.CloseAllIdle();
   TellUse();
   front_.PassOn([this](Stream& stream, const QuietLink& link) {
     const Io passed = handover_->Pass(stream, {link.asked, link.began, link.read});
--- a/src/serve/program_operations.cpp
+++ b/src/serve/program_operations.cpp
@@ -43,7 +43,7 @@
 }
 
 void Program::HostsChanged() {
-  upstream_.Retire();
+  upstream_.CloseStaleIdle();
   dispatcher_.OnList(hosts_.AsItStands());
 }
 
--- a/src/upstream/http_upstream.cpp
+++ b/src/upstream/http_upstream.cpp
@@ -14,31 +14,31 @@
 using meadowslip::BackendState;
 using meadowslip::Outcome;
 
-// Of the time after which the server's machine closes an idle link. Guards against a query that crosses that
-// close: it would end as a reset, and an unsafe one could not be sent again.
-constexpr double kKeepShare = 0.7;
+// Idle links are reused for this share of the time after which the server closes them. A query that crosses
+// the server's close would end in a reset, and an unsafe one could not be sent again.
+constexpr double kIdleTimeoutShare = 0.7;
 
-// A reset that comes so soon after a query, with nothing before it, is about the link and not the query.
-constexpr Micros kResetAtOnce = 10 * kMs;
+// A reset this soon after the query, with no byte of an answer before it, is due to the link, not the query.
+constexpr Micros kImmediateReset = 10 * kMs;
 
-// From a chunked answer's first bytes until it is passed on, if it has not come whole by then.
-constexpr Micros kGoOn = 100 * kMs;
-// A second answer comes some milliseconds after the first: so long links of a server that gave one rest,
-// until it has given none for a while.
-constexpr Micros kRest = 50 * kMs;
-constexpr Micros kUnaskedRemembered = 600 * kSecond;
-// A server that takes or gives nothing of a message for so long has given up on it.
-constexpr Micros kStreamPatience = 10 * kSecond;
+// A chunked answer that is incomplete this long after its first bytes is streamed to the client.
+constexpr Micros kStreamingDelay = 100 * kMs;
+// A server's unsolicited second answer follows the first by some milliseconds. Links to a server that has
+// sent one are not reused for kQuietPeriod after each answer, until it has sent none for kUnsolicitedMemory.
+constexpr Micros kQuietPeriod = 50 * kMs;
+constexpr Micros kUnsolicitedMemory = 600 * kSecond;
+// A server that accepts no byte of a query for this long is given up.
+constexpr Micros kStreamStallTimeout = 10 * kSecond;
 
-// More than any sound answer that is held comes in.
-constexpr int kPiecesATurn = 16;
+// Reads in a row before other tasks get their turn; more than a well-formed answer that is held needs.
+constexpr int kReadsPerTurn = 16;
 
-std::string WriteQuery(const HttpPayload& query, Micros patience) {
+std::string FormatQuery(const HttpPayload& query, Micros time_left) {
   std::string out;
   out.reserve(512 + (query.body.size() <= kMaxHeldBody ? query.body.size() : 0));
   out.append(query.method).append(" ").append(query.target).append(" HTTP/1.1\r\n");
   AppendEndToEnd(out, query, platform::kExpiresIn);
-  AppendHeader(out, platform::kExpiresIn, std::to_string(patience) + "u");
+  AppendHeader(out, platform::kExpiresIn, std::to_string(time_left) + "u");
   const bool chunked = query.body_rest && !query.body_rest->length;
   if (chunked) {
     AppendHeader(out, "Transfer-Encoding", "chunked");
@@ -49,7 +49,7 @@
   out.append("\r\n");
   if (chunked && !query.body.empty()) {
     AppendChunk(out, query.body);
-  } else if (query.body.size() <= kMaxHeldBody) {  // a larger one is not copied, it follows by itself
+  } else if (query.body.size() <= kMaxHeldBody) {  // a larger one is written separately, to avoid a copy
     out.append(query.body);
   }
   return out;
@@ -58,21 +58,20 @@
 Outcome ToOutcome(const HttpMessage& answer) {
   if (answer.status == 200) return Outcome::kOk;
   const std::string* never_ran = answer.Find(platform::kNeverRan);
-  bool turned_away =
-      (answer.status == 503 || answer.status == 504) && never_ran != nullptr && *never_ran == "1";
-  return turned_away ? Outcome::kFull : Outcome::kError;
+  bool refused = (answer.status == 503 || answer.status == 504) && never_ran != nullptr && *never_ran == "1";
+  return refused ? Outcome::kFull : Outcome::kError;
 }
 
 }  // namespace
 
-HttpUpstream::Link::Link(HttpUpstream& upstream, std::unique_ptr<Stream> to, uint64_t host_era)
-    : owner(upstream), stream(std::move(to)), era(host_era) {
+HttpUpstream::Link::Link(HttpUpstream& upstream, std::unique_ptr<Stream> to, uint64_t generation)
+    : owner(upstream), stream(std::move(to)), host_generation(generation) {
   ++owner.open_;
 }
 
 HttpUpstream::Link::~Link() { --owner.open_; }
 
-// The rest of an answer, straight from its server's link: what is not taken here is not read there.
+// Streams the rest of an answer from its server link. Bytes are read from the link only as they are taken.
 class HttpUpstream::Download final : public BodySource {
  public:
   Download(HttpUpstream& upstream, std::shared_ptr<const Host> host, std::unique_ptr<Link> link,
@@ -81,45 +80,45 @@
         host_(std::move(host)),
         link_(std::move(link)),
         parser_(std::move(parser)),
-        in_(std::move(in)),
+        received_(std::move(in)),
         keep_alive_(keep_alive) {
     length = parser_.length();
   }
 
   Next Take(std::string& into) override {
-    while (!over_) {
+    while (!result_) {
       if (!parser_.body().empty()) {
         into.append(parser_.body());
         parser_.body().clear();
         return Next::kSome;
       }
       if (parsed_ == Parsed::kDone) {
-        over_ = Next::kDone;
-        if (keep_alive_ && in_.empty()) upstream_.Keep(*host_, std::move(link_));
+        result_ = Next::kDone;
+        if (keep_alive_ && received_.empty()) upstream_.ReturnToPool(*host_, std::move(link_));
       } else if (parsed_ != Parsed::kMore) {
-        over_ = Next::kBroken;
+        result_ = Next::kBroken;
       } else {
-        const Io io = link_->stream->Read(in_);
+        const Io io = link_->stream->Read(received_);
         if (io == Io::kLater) return Next::kLater;
-        parsed_ = io == Io::kSome     ? parser_.Feed(in_)
+        parsed_ = io == Io::kSome     ? parser_.Feed(received_)
                   : io == Io::kClosed ? parser_.OnPeerClosed()
                                       : Parsed::kBad;
       }
     }
     if (link_) link_->stream->Close();
-    return *over_;
+    return *result_;
   }
   Signal& signal() override { return *link_->stream; }
 
  private:
   HttpUpstream& upstream_;
-  const std::shared_ptr<const Host> host_;  // an answer may take longer than its host is known
+  const std::shared_ptr<const Host> host_;  // the host may leave the group before the answer ends
   std::unique_ptr<Link> link_;
   HttpParser parser_;
-  std::string in_;
+  std::string received_;
   const bool keep_alive_;
   Parsed parsed_ = Parsed::kMore;
-  std::optional<Next> over_;
+  std::optional<Next> result_;
 };
 
 HttpUpstream::HttpUpstream(Machine& machine, const meadowslip::Settings& settings, const HostGroup& hosts,
@@ -128,20 +127,21 @@
       network_(machine.network()),
       hosts_(hosts),
       budget_(budget),
-      keep_for_(static_cast<Micros>(static_cast<double>(settings.keepalive) * kKeepShare)),
+      idle_timeout_(static_cast<Micros>(static_cast<double>(settings.keepalive) * kIdleTimeoutShare)),
       connect_timeout_(settings.connect_timeout),
       counters_(counters),
       large_(large) {}
 
 Task<ServerAnswer> HttpUpstream::Exchange(meadowslip::BackendId to, const Payload& query, Micros until,
-                                          Micros whole_by) {
-  return Attempt(hosts_.Hold(to), static_cast<const HttpPayload&>(query), until, std::min(until, whole_by));
+                                          Micros send_by) {
+  return RunAttempt(hosts_.Hold(to), static_cast<const HttpPayload&>(query), until, std::min(until, send_by));
 }
 
-// False where the connection broke, or its time or its client's end came first. Unlike WriteAll() it writes
-// nothing after that, also where there is room at once and this process stood still: guards a server against
-// a query that comes too late.
-Task<bool> HttpUpstream::WriteWhole(Stream& to, const Payload& query, std::string_view bytes, Micros until) {
+// Returns false if the link broke, or if the deadline passed or the query was closed first. Unlike
+// WriteAll(), it writes nothing after the deadline even if the socket has room: after a pause of this process
+// the server must not receive a query that is too late.
+Task<bool> HttpUpstream::WriteByDeadline(Stream& to, const Payload& query, std::string_view bytes,
+                                         Micros until) {
   while (!bytes.empty()) {
     if (query.closed || scheduler_.Now() >= until || to.Write(bytes) == Io::kBroken) co_return false;
     if (!bytes.empty()) co_await to.Wait(until);
@@ -149,82 +149,80 @@
   co_return true;
 }
 
-// The rest of a query, as it comes: kDone where its last byte was written, kBroken where the server took no
-// more, kLater where the client did not give it.
-Task<BodySource::Next> HttpUpstream::SendRest(Stream& to, std::shared_ptr<BodySource> body_rest) {
+// Sends the rest of a query's body as it arrives. Returns kDone once the last byte was written, kBroken if
+// the server accepted no more, and kLater if the client did not deliver the rest.
+Task<BodySource::Next> HttpUpstream::SendBodyRest(Stream& to, std::shared_ptr<BodySource> body_rest) {
   using Next = BodySource::Next;
-  std::string piece, out;
+  std::string chunk, out;
   while (true) {
-    piece.clear();
-    const Next next = body_rest->Take(piece);
+    chunk.clear();
+    const Next next = body_rest->Take(chunk);
     if (next == Next::kBroken) co_return Next::kLater;
     if (next == Next::kLater) {
-      co_await body_rest->signal().Wait();  // whoever makes it ends it where it stalls
+      co_await body_rest->signal().Wait();  // the source itself ends a stalled body
       continue;
     }
     if (!body_rest->length) {
       out.clear();
-      AppendChunk(out, piece);  // with the last one, which is empty
-      piece.swap(out);
+      AppendChunk(out, chunk);  // the last chunk is empty
+      chunk.swap(out);
     }
-    bool written = co_await WriteAll(to, piece, scheduler_.Now() + kStreamPatience);
+    bool written = co_await WriteAll(to, chunk, scheduler_.Now() + kStreamStallTimeout);
     if (!written) co_return Next::kBroken;
     if (next == Next::kDone) co_return Next::kDone;
   }
 }
 
-Task<ServerAnswer> HttpUpstream::Attempt(std::shared_ptr<const Host> held, const HttpPayload& query,
-                                         Micros until, Micros whole_by) {
-  const Host& host = *held;
-  // The query is there as long as any attempt of it.
+Task<ServerAnswer> HttpUpstream::RunAttempt(std::shared_ptr<const Host> host_ref, const HttpPayload& query,
+                                            Micros until, Micros send_by) {
+  const Host& host = *host_ref;
+  // The query outlives its attempts.
   const std::shared_ptr<BodySource> body_rest = query.body_rest;
   const bool no_body = query.method == "HEAD";
   ServerAnswer answer;
-  std::unique_ptr<Link> link = Reuse(host);
+  std::unique_ptr<Link> link = TakeIdleLink(host);
   const Micros idle_since = link ? link->idle_since : kNever;
   if (!link) {
     if (!budget_.EnsureCapacity()) co_return answer;  // moot: the host is not at fault
     NoConnection why = NoConnection::kRefused;
     std::unique_ptr<Stream> stream = network_.Connect(host.address, why);
-    // Nor is it where this process has no descriptor or port left: that must not put a good host to sleep.
+    // Nor is it if this process has no descriptor or port left: that must not put a healthy host to sleep.
     if (!stream && why == NoConnection::kNoRoom) co_return answer;
     answer.outcome = Outcome::kConnectFailed;
     if (!stream) co_return answer;
     ++counters_.server_links;
     link = std::make_unique<Link>(*this, std::move(stream), host.era);
-    Micros comes_up_by = scheduler_.Now() + connect_timeout_;
-    bool connected = co_await Connected(*link->stream, std::min(whole_by, comes_up_by));
-    // A query that ran out of time first says nothing about the host. Also of one that came up in time: this
-    // process may have stood still since.
-    if (scheduler_.Now() >= whole_by && (connected || whole_by < comes_up_by))
-      answer.outcome = Outcome::kMoot;
-    // Nor does one whose client left, or was answered, meanwhile: it is begun no more, also where attempts
-    // may not be cancelled.
+    Micros connect_by = scheduler_.Now() + connect_timeout_;
+    bool connected = co_await Connected(*link->stream, std::min(send_by, connect_by));
+    // A query whose time ran out first says nothing about the host. This holds even if the connection came up
+    // in time: this process may have been paused since.
+    if (scheduler_.Now() >= send_by && (connected || send_by < connect_by)) answer.outcome = Outcome::kMoot;
+    // The same holds if the client has left, or was answered, in the meantime: the query is not sent any
+    // more, even where attempts may not be cancelled.
     if (query.closed) answer.outcome = Outcome::kMoot;
     if (!connected || answer.outcome == Outcome::kMoot) co_return answer;
-    // Guards the drain rule: the host may have been withdrawn while the connection came up. Where it has come
-    // back since, or has moved, this link leads to its earlier life, which says nothing of the one that is
-    // there now.
-    if (link->era != host.era) answer.outcome = Outcome::kMoot;
-    if (link->era != host.era || host.state != BackendState::kReady) co_return answer;
+    // The host may have been withdrawn while the connection came up, and the drain rule then forbids the
+    // query. If the host has been restarted or has moved since, this link leads to its earlier incarnation,
+    // which says nothing about the current one.
+    if (link->host_generation != host.era) answer.outcome = Outcome::kMoot;
+    if (link->host_generation != host.era || host.state != BackendState::kReady) co_return answer;
   }
-  // Only now. Guards the time that the server is told against the wait for the connection, which is the
-  // client's too.
-  const std::string bytes = WriteQuery(query, std::max<Micros>(0, until - scheduler_.Now()));
+  // Formatted only now, so that the remaining time sent to the server excludes the wait for the connection.
+  const std::string bytes = FormatQuery(query, std::max<Micros>(0, until - scheduler_.Now()));
   answer.outcome = Outcome::kConnectFailed;  // until the last byte is written it can't have run
-  std::string_view rest = bytes;  // at once as a rule; only what finds no room costs a coroutine of its own
-  bool whole = link->stream->Write(rest) == Io::kSome;
-  if (!rest.empty()) whole = co_await WriteWhole(*link->stream, query, rest, whole_by);
-  if (whole && query.body.size() > kMaxHeldBody && (!body_rest || body_rest->length)) {
-    // The client's time has not begun where its query has not come whole.
-    const Micros by = body_rest ? scheduler_.Now() + kStreamPatience : whole_by;
-    whole = co_await WriteWhole(*link->stream, query, query.body, by);
+  std::string_view rest = bytes;  // usually written at once; a coroutine is needed only if the socket is full
+  bool sent = link->stream->Write(rest) == Io::kSome;
+  if (!rest.empty()) sent = co_await WriteByDeadline(*link->stream, query, rest, send_by);
+  if (sent && query.body.size() > kMaxHeldBody && (!body_rest || body_rest->length)) {
+    // The client's timeout starts only once its query has arrived completely.
+    const Micros by = body_rest ? scheduler_.Now() + kStreamStallTimeout : send_by;
+    sent = co_await WriteByDeadline(*link->stream, query, query.body, by);
   }
-  if (!whole && query.closed) answer.outcome = Outcome::kMoot;
-  if (!whole) co_return answer;
+  if (!sent && query.closed) answer.outcome = Outcome::kMoot;
+  if (!sent) co_return answer;
   if (body_rest) {
     query.consumed = true;
-    const BodySource::Next rest_sent = co_await SendRest(*link->stream, body_rest);
+    const BodySource::Next rest_sent = co_await SendBodyRest(*link->stream, body_rest);
     if (rest_sent == BodySource::Next::kLater) answer.outcome = Outcome::kMoot;  // the host is not at fault
     if (rest_sent != BodySource::Next::kDone) co_return answer;
     until = body_rest->Patience();
@@ -232,48 +230,49 @@
   answer.outcome = Outcome::kReset;  // from here on it may have run
   const Micros written = scheduler_.Now();
   const Micros idle = idle_since == kNever ? -1 : written - idle_since;
-  if (idle >= 0) idle_record_.NoteUse(idle, written);
+  if (idle >= 0) idle_reuse_stats_.NoteUse(idle, written);
   HttpParser parser(HttpParser::Kind::kResponse, large_ ? kMaxStreamedBody : kMaxHeldBody);
   if (no_body) parser.ExpectNoBody();
   std::string in;
   Parsed parsed = Parsed::kMore;
-  Micros go_on_at = kNever;
-  int pieces = 0;
+  Micros stream_from = kNever;
+  int reads = 0;
   while (parsed == Parsed::kMore) {
     Io io = link->stream->Read(in);
     if (io == Io::kSome) {
       parsed = parser.Feed(in);
-      if (parsed != Parsed::kMore || ++pieces % kPiecesATurn != 0) continue;
-      // Guards the others, and the end of this one, against a server that pours on.
+      if (parsed != Parsed::kMore || ++reads % kReadsPerTurn != 0) continue;
+      // A server that sends without pause must not starve other tasks, nor outlast its deadline.
       if (scheduler_.Now() >= until) {
         answer.outcome = Outcome::kTimeout;
         co_return answer;
       }
       co_await link->stream->Wait(scheduler_.Now());
     } else if (io == Io::kLater) {
-      if (large_ && go_on_at == kNever && parser.HasBodyBytes() && !parser.length()) {
-        go_on_at = scheduler_.Now() + kGoOn;
+      if (large_ && stream_from == kNever && parser.HasBodyBytes() && !parser.length()) {
+        stream_from = scheduler_.Now() + kStreamingDelay;
       }
-      bool notified = co_await link->stream->Wait(std::min(until, go_on_at));
+      bool notified = co_await link->stream->Wait(std::min(until, stream_from));
       if (notified) continue;
-      if (go_on_at < until) {
+      if (stream_from < until) {
         parsed = Parsed::kHeadComplete;
         break;
       }
       answer.outcome = Outcome::kTimeout;
       co_return answer;
     } else {
-      if (idle >= 0 && in.empty() && scheduler_.Now() - written < kResetAtOnce) idle_record_.NoteReset(idle);
+      if (idle >= 0 && in.empty() && scheduler_.Now() - written < kImmediateReset)
+        idle_reuse_stats_.NoteReset(idle);
       if (io == Io::kBroken || parser.OnPeerClosed() != Parsed::kDone) co_return answer;
       parsed = Parsed::kDone;
     }
   }
-  answer.outcome = Outcome::kError;  // an answer that can't be understood
+  answer.outcome = Outcome::kError;  // a malformed answer
   if (parsed == Parsed::kHeadComplete) {
     auto head = std::make_unique<HttpPayload>(parser.TakeHead());
     answer.outcome = ToOutcome(*head);
     if (answer.outcome != Outcome::kOk) co_return answer;
-    head->body_rest = std::make_shared<Download>(*this, held, std::move(link), std::move(parser),
+    head->body_rest = std::make_shared<Download>(*this, host_ref, std::move(link), std::move(parser),
                                                  std::move(in), head->keep_alive);
     answer.payload = std::move(head);
     co_return answer;
@@ -282,69 +281,72 @@
   auto message = std::make_unique<HttpPayload>(parser.Take());
   answer.outcome = ToOutcome(*message);
   if (!in.empty()) ++counters_.unasked;
-  if (message->keep_alive && in.empty()) Keep(host, std::move(link));
+  if (message->keep_alive && in.empty()) ReturnToPool(host, std::move(link));
   if (answer.outcome == Outcome::kOk) answer.payload = std::move(message);
   co_return answer;
 }
 
-std::unique_ptr<HttpUpstream::Link> HttpUpstream::Reuse(const Host& host) {
-  Idle& idle = idle_[host.id];
-  for (auto at = idle.end(); at != idle.begin();) {
-    --at;
-    if (!Rested(host, **at)) continue;
-    std::unique_ptr<Link> link = std::move(*at);
-    at = idle.erase(at);
+std::unique_ptr<HttpUpstream::Link> HttpUpstream::TakeIdleLink(const Host& host) {
+  IdleLinks& idle = idle_links_[host.id];
+  for (auto it = idle.end(); it != idle.begin();) {
+    --it;
+    if (!QuietLongEnough(host, **it)) continue;
+    std::unique_ptr<Link> link = std::move(*it);
+    it = idle.erase(it);
     if (Usable(host, *link)) return link;
   }
   return nullptr;
 }
 
-// Guards against a query on a link that its server has closed: it would end as a reset.
+// Whether the link can carry a query. A query on a link that its server has closed would end in a reset.
 bool HttpUpstream::Usable(const Host& host, const Link& link) {
   const Micros now = scheduler_.Now(), idle = now - link.idle_since;
-  if (link.era != host.era || idle >= keep_for_ || !idle_record_.Usable(idle, now)) return false;
+  if (link.host_generation != host.era || idle >= idle_timeout_ || !idle_reuse_stats_.Usable(idle, now))
+    return false;
   if (link.stream->Quiet()) return true;
   std::string in;
   if (link.stream->Read(in) == Io::kSome) {
     ++counters_.unasked;
-    unasked_at_[host.id] = now;
+    unsolicited_at_[host.id] = now;
   }
   return false;
 }
 
-// Guards against a server's second answer, which would be taken for that to the next query: nothing tells
-// them apart. A server that gave none of late is not waited for.
-bool HttpUpstream::Rested(const Host& host, const Link& link) const {
-  const auto at = unasked_at_.find(host.id);
-  return at == unasked_at_.end() || scheduler_.Now() - link.idle_since >= kRest;
+// Whether the link has been idle for kQuietPeriod, which only links to a server that recently sent an
+// unsolicited answer need. A late second answer would be taken for the answer to the next query: HTTP/1.1
+// can't tell them apart.
+bool HttpUpstream::QuietLongEnough(const Host& host, const Link& link) const {
+  const auto it = unsolicited_at_.find(host.id);
+  return it == unsolicited_at_.end() || scheduler_.Now() - link.idle_since >= kQuietPeriod;
 }
 
-void HttpUpstream::Keep(const Host& host, std::unique_ptr<Link> link) {
-  if (host.state != BackendState::kReady || link->era != host.era) return;
+void HttpUpstream::ReturnToPool(const Host& host, std::unique_ptr<Link> link) {
+  if (host.state != BackendState::kReady || link->host_generation != host.era) return;
   link->idle_since = scheduler_.Now();
-  idle_[host.id].push_back(std::move(link));
+  idle_links_[host.id].push_back(std::move(link));
 }
 
-void HttpUpstream::Retire() {
-  std::erase_if(unasked_at_, [now = scheduler_.Now()](const auto& one) {
-    return now - one.second > kUnaskedRemembered;  // also of hosts that are gone
+void HttpUpstream::CloseStaleIdle() {
+  std::erase_if(unsolicited_at_, [now = scheduler_.Now()](const auto& entry) {
+    return now - entry.second > kUnsolicitedMemory;  // also for hosts that are gone
   });
-  std::erase_if(idle_, [](const auto& one) { return one.second.empty(); });  // of hosts that may be forgotten
-  for (auto& [id, idle] : idle_) {
+  std::erase_if(idle_links_,
+                [](const auto& entry) { return entry.second.empty(); });  // their hosts may be forgotten
+  for (auto& [id, idle] : idle_links_) {
     const Host& host = *hosts_.Find(id);
-    const bool all = host.state != BackendState::kReady;
-    std::erase_if(idle, [&](const std::unique_ptr<Link>& link) { return all || !Usable(host, *link); });
+    const bool close_all = host.state != BackendState::kReady;
+    std::erase_if(idle, [&](const std::unique_ptr<Link>& link) { return close_all || !Usable(host, *link); });
   }
 }
 
-// From the host that has most of them.
+// Closes the least recently used idle link of the host that has the most.
 bool HttpUpstream::ReleaseIdle(size_t) {
-  Idle* most = nullptr;
-  for (auto& [id, idle] : idle_) {
-    if (!idle.empty() && (most == nullptr || idle.size() > most->size())) most = &idle;
+  IdleLinks* largest = nullptr;
+  for (auto& [id, idle] : idle_links_) {
+    if (!idle.empty() && (largest == nullptr || idle.size() > largest->size())) largest = &idle;
   }
-  if (most != nullptr) most->erase(most->begin());
-  return most != nullptr;
+  if (largest != nullptr) largest->erase(largest->begin());
+  return largest != nullptr;
 }
 
 }  // namespace burlfall
--- a/src/upstream/http_upstream.h
+++ b/src/upstream/http_upstream.h
@@ -1,4 +1,5 @@
-// HTTP/1.1 towards servers: the links to the hosts of the group, and one attempt of a query over one of them.
+// HTTP/1.1 towards servers: the pool of server links to the hosts of the group, and one attempt of a query
+// over one of them.
 #ifndef BURLFALL_UPSTREAM_HTTP_UPSTREAM_H_
 #define BURLFALL_UPSTREAM_HTTP_UPSTREAM_H_
 
@@ -22,57 +23,57 @@
 
 class HttpUpstream final : public Upstream, public LinkHolder {
  public:
-  // `large`: messages of over kMostBody pass through; else they are refused.
+  // `large`: messages with bodies above kMaxHeldBody are streamed; otherwise they are refused.
   HttpUpstream(Machine& machine, const meadowslip::Settings& settings, const HostGroup& hosts,
                LinkBudget& budget, Counters& counters, bool large);
 
   bool Knows(meadowslip::BackendId id) const override { return hosts_.Find(id) != nullptr; }
   Task<ServerAnswer> Exchange(meadowslip::BackendId to, const Payload& query, Micros until,
-                              Micros whole_by) override;
+                              Micros send_by) override;
 
-  // Closes what has been idle for long, and all that is idle where its host takes nothing new.
-  void Retire();
-  void RetireAll() { idle_.clear(); }  // all that is idle
+  // Closes links that have been idle for too long, and all idle links of hosts that accept no new queries.
+  void CloseStaleIdle();
+  void CloseAllIdle() { idle_links_.clear(); }
 
   size_t open() const override { return open_; }
   bool ReleaseIdle(size_t wanted) override;
 
  private:
-  // A link to a server. One that is idle waits in its host's list, the most recently used last.
+  // A server link. Idle ones wait in their host's list, the most recently used last.
   struct Link {
-    Link(HttpUpstream& upstream, std::unique_ptr<Stream> to, uint64_t host_era);
+    Link(HttpUpstream& upstream, std::unique_ptr<Stream> to, uint64_t generation);
     Link(const Link&) = delete;
     ~Link();
     HttpUpstream& owner;
     std::unique_ptr<Stream> stream;
-    uint64_t era;
+    uint64_t host_generation;
     Micros idle_since = 0;
   };
-  using Idle = std::vector<std::unique_ptr<Link>>;
+  using IdleLinks = std::vector<std::unique_ptr<Link>>;
   class Download;
 
-  Task<ServerAnswer> Attempt(std::shared_ptr<const Host> held, const HttpPayload& query, Micros until,
-                             Micros whole_by);
-  Task<bool> WriteWhole(Stream& to, const Payload& query, std::string_view bytes, Micros until);
-  Task<BodySource::Next> SendRest(Stream& to, std::shared_ptr<BodySource> body_rest);
-  std::unique_ptr<Link> Reuse(const Host& host);
+  Task<ServerAnswer> RunAttempt(std::shared_ptr<const Host> host_ref, const HttpPayload& query, Micros until,
+                                Micros send_by);
+  Task<bool> WriteByDeadline(Stream& to, const Payload& query, std::string_view bytes, Micros until);
+  Task<BodySource::Next> SendBodyRest(Stream& to, std::shared_ptr<BodySource> body_rest);
+  std::unique_ptr<Link> TakeIdleLink(const Host& host);
   bool Usable(const Host& host, const Link& link);
-  bool Rested(const Host& host, const Link& link) const;
-  void Keep(const Host& host, std::unique_ptr<Link> link);
+  bool QuietLongEnough(const Host& host, const Link& link) const;
+  void ReturnToPool(const Host& host, std::unique_ptr<Link> link);
 
   Scheduler& scheduler_;
   Network& network_;
   const HostGroup& hosts_;
   LinkBudget& budget_;
-  Micros keep_for_;
+  Micros idle_timeout_;
   Micros connect_timeout_;
-  IdleRecord idle_record_;
+  IdleReuseStats idle_reuse_stats_;
   Counters& counters_;
   const bool large_;
   size_t open_ = 0;
-  std::unordered_map<meadowslip::BackendId, Idle> idle_;
+  std::unordered_map<meadowslip::BackendId, IdleLinks> idle_links_;
   std::unordered_map<meadowslip::BackendId, Micros>
-      unasked_at_;  // when a server last sent what nobody asked for
+      unsolicited_at_;  // when a server last sent an unsolicited answer
 };
 
 }  // namespace burlfall
--- a/src/upstream/idle_reuse_stats.cpp
+++ b/src/upstream/idle_reuse_stats.cpp
@@ -6,33 +6,33 @@
 namespace burlfall {
 namespace {
 
-constexpr Micros kFirstPlace = 16 * kMs;
-constexpr Micros kRemembered = 10 * kSecond;
-constexpr int kLeastResets = 3;
-constexpr int kMostSeen = 64;
-constexpr int kBadPart = 4;  // a link is of no use where one in so many is reset
+constexpr Micros kFirstBucketLimit = 16 * kMs;
+constexpr Micros kBucketLifetime = 10 * kSecond;
+constexpr int kMinResets = 3;
+constexpr int kMaxUses = 64;         // then both counts of the bucket are halved
+constexpr int kBadUsesPerReset = 4;  // links are unusable if one in this many reuses is reset
 
 }  // namespace
 
-size_t IdleRecord::Place(Micros idle) {
-  size_t place = 0;
-  while (place + 1 < std::tuple_size_v<decltype(seen_)> && idle >= kFirstPlace << place) ++place;
-  return place;
+size_t IdleReuseStats::BucketOf(Micros idle) {
+  size_t index = 0;
+  while (index + 1 < std::tuple_size_v<decltype(buckets_)> && idle >= kFirstBucketLimit << index) ++index;
+  return index;
 }
 
-void IdleRecord::NoteUse(Micros idle, Micros now) {
-  Seen& seen = seen_[Place(idle)];
-  if (now - seen.since > kRemembered) seen = {0, 0, now};
-  ++seen.used;
-  if (seen.used >= kMostSeen) seen = {seen.used / 2, seen.reset / 2, now};
+void IdleReuseStats::NoteUse(Micros idle, Micros now) {
+  Bucket& bucket = buckets_[BucketOf(idle)];
+  if (now - bucket.since > kBucketLifetime) bucket = {0, 0, now};
+  ++bucket.used;
+  if (bucket.used >= kMaxUses) bucket = {bucket.used / 2, bucket.reset / 2, now};
 }
 
-// A link that was idle for longer than one that is of no use is of none either.
-bool IdleRecord::Usable(Micros idle, Micros now) const {
-  return std::none_of(seen_.begin(), seen_.begin() + static_cast<std::ptrdiff_t>(Place(idle)) + 1,
-                      [&](const Seen& seen) {
-                        return now - seen.since <= kRemembered && seen.reset >= kLeastResets &&
-                               seen.reset * kBadPart >= seen.used;
+// If links of some idle time are unusable, so are all that were idle for longer.
+bool IdleReuseStats::Usable(Micros idle, Micros now) const {
+  return std::none_of(buckets_.begin(), buckets_.begin() + static_cast<std::ptrdiff_t>(BucketOf(idle)) + 1,
+                      [&](const Bucket& bucket) {
+                        return now - bucket.since <= kBucketLifetime && bucket.reset >= kMinResets &&
+                               bucket.reset * kBadUsesPerReset >= bucket.used;
                       });
 }
 
--- a/src/upstream/idle_reuse_stats.h
+++ b/src/upstream/idle_reuse_stats.h
@@ -1,6 +1,7 @@
-// How links fare that are used again, by how long they were idle. Servers, and what lies between, may forget
-// links far sooner than the settings say and without a sign: the next query on one is reset, and if it is
-// unsafe it is lost. What was seen counts for some seconds, then links are tried that long again.
+// Counts reuses of idle server links, and how many of them ended in a reset, by idle time. Servers and
+// middleboxes may drop idle links far sooner than the settings say, and without notice: the next query on
+// such a link is reset, and an unsafe one is lost. Counts expire after some seconds; then links of that idle
+// time are tried again.
 #ifndef BURLFALL_UPSTREAM_IDLE_REUSE_STATS_H_
 #define BURLFALL_UPSTREAM_IDLE_REUSE_STATS_H_
 
@@ -11,20 +12,21 @@
 
 namespace burlfall {
 
-class IdleRecord {
+class IdleReuseStats {
  public:
+  // `idle`: how long the link was idle before its reuse. `now` is in microseconds.
   void NoteUse(Micros idle, Micros now);
-  void NoteReset(Micros idle) { ++seen_[Place(idle)].reset; }  // of a use that was noted
+  void NoteReset(Micros idle) { ++buckets_[BucketOf(idle)].reset; }  // NoteUse() came first
   bool Usable(Micros idle, Micros now) const;
 
  private:
-  struct Seen {
+  struct Bucket {
     int used = 0;
     int reset = 0;
     Micros since = 0;
   };
-  static size_t Place(Micros idle);
-  std::array<Seen, 12> seen_{};  // each for twice the time of the one before
+  static size_t BucketOf(Micros idle);
+  std::array<Bucket, 12> buckets_{};  // each covers twice the idle time of the previous one
 };
 
 }  // namespace burlfall
--- a/src/upstream/upstream.h
+++ b/src/upstream/upstream.h
@@ -1,4 +1,4 @@
-// How attempts go out: one exchange with one server, whatever the protocol.
+// The interface through which attempts are made: one exchange with one server, independent of the protocol.
 #ifndef BURLFALL_UPSTREAM_UPSTREAM_H_
 #define BURLFALL_UPSTREAM_UPSTREAM_H_
 
@@ -11,21 +11,22 @@
 
 namespace burlfall {
 
+// The result of an attempt.
 struct ServerAnswer {
   meadowslip::Outcome outcome = meadowslip::Outcome::kMoot;
-  std::unique_ptr<Payload> payload;  // of an outcome that is kOk
+  std::unique_ptr<Payload> payload;  // set if the outcome is kOk
 };
 
 class Upstream {
  public:
   virtual ~Upstream() = default;
-  // Whether the server can be named at all; one that can't gets nothing.
+  // Whether the server is known; an unknown one is sent nothing.
   virtual bool Knows(meadowslip::BackendId id) const = 0;
-  // Sends the query to a server that it knows, and waits for the answer until then. Never sends it a second
-  // time. What is not whole on its way by `whole_by` never will be: the server does not have it. Destroying
-  // the task ends the attempt, and closes its link.
+  // Sends the query to a known server and waits for the answer until `until`. Never sends it twice. A query
+  // not completely written by `send_by` is abandoned, so that the server never has all of it. Destroying the
+  // task ends the attempt and closes its link.
   virtual Task<ServerAnswer> Exchange(meadowslip::BackendId to, const Payload& query, Micros until,
-                                      Micros whole_by) = 0;
+                                      Micros send_by) = 0;
 };
 
 }  // namespace burlfall
--- a/tests/attempts/attempts_test.cpp
+++ b/tests/attempts/attempts_test.cpp
@@ -58,7 +58,7 @@
     Task<> task;
     std::string Body() const { return static_cast<const HttpPayload&>(*answer.payload).body; }
   };
-  std::unique_ptr<Sent> Send(Micros patience, Micros whole_by = kNever, const std::string& body = "",
+  std::unique_ptr<Sent> Send(Micros patience, Micros send_by = kNever, const std::string& body = "",
                              std::shared_ptr<BodySource> body_rest = nullptr) {
     HttpMessage message;
     message.method = "POST";
@@ -66,12 +66,12 @@
     message.body = body;
     auto sent = std::make_unique<Sent>(std::move(message));
     sent->query.body_rest = std::move(body_rest);
-    sent->task = Exchange(*sent, Now() + patience, whole_by);
+    sent->task = Exchange(*sent, Now() + patience, send_by);
     sent->task.Start();
     return sent;
   }
-  Task<> Exchange(Sent& sent, Micros until, Micros whole_by) {
-    sent.answer = co_await Up().Exchange(hosts.AllNames().front().first, sent.query, until, whole_by);
+  Task<> Exchange(Sent& sent, Micros until, Micros send_by) {
+    sent.answer = co_await Up().Exchange(hosts.AllNames().front().first, sent.query, until, send_by);
     sent.over = true;
   }
 
