--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-#include "dispatch/carried.h"
+#include "dispatch/dispatcher_state.h"
 #include "dispatch/query.h"
 #include "io/scheduler.h"
 #include "meadowslip/balancer.h"
--- a/src/dispatch/carried.h
+++ b/src/dispatch/dispatcher_state.h
@@ -1,6 +1,6 @@
 // What one process's dispatcher leaves to the next one's: all but the queries on their way, which stay.
-#ifndef BURLFALL_DISPATCH_CARRIED_H_
-#define BURLFALL_DISPATCH_CARRIED_H_
+#ifndef BURLFALL_DISPATCH_DISPATCHER_STATE_H_
+#define BURLFALL_DISPATCH_DISPATCHER_STATE_H_
 
 #include <cstdint>
 #include <string>
@@ -40,4 +40,4 @@
 
 }  // namespace burlfall
 
-#endif  // BURLFALL_DISPATCH_CARRIED_H_
+#endif  // BURLFALL_DISPATCH_DISPATCHER_STATE_H_
--- a/src/handover/estate.h
+++ b/src/handover/estate.h
@@ -25,7 +25,7 @@
 #include <string_view>
 #include <vector>
 
-#include "dispatch/carried.h"
+#include "dispatch/dispatcher_state.h"
 #include "io/time.h"
 #include "membership/host_group.h"
 #include "state/state.h"
