--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -5,8 +5,8 @@
 namespace burlfall {
 namespace {
 
-constexpr Micros kLeastGrace = 200 * kMs;  // a turn takes some time, whatever the settings say
-constexpr Micros kOnSockets = 40 * kMs;    // of the 50 ms by which each limit is longer there
+constexpr Micros kMinDrainGrace = 200 * kMs;   // one pass of the loop takes some time, whatever the settings
+constexpr Micros kSocketAllowance = 40 * kMs;  // of the 50 ms that are added to each limit over sockets
 
 }  // namespace
 
@@ -15,15 +15,15 @@
 using meadowslip::RequestId;
 
 Dispatcher::Dispatcher(Scheduler& scheduler, const meadowslip::Settings& settings, uint64_t seed,
-                       Upstream& upstream, std::function<void()> follow, Counters& counters)
+                       Upstream& upstream, std::function<void()> request_list, Counters& counters)
     : scheduler_(scheduler),
       settings_(settings),
       seed_(seed),
       upstream_(upstream),
-      follow_(std::move(follow)),
+      request_list_(std::move(request_list)),
       counters_(counters),
-      most_held_(static_cast<size_t>(settings.open_cap)),
-      turn_(scheduler),
+      max_open_queries_(static_cast<size_t>(settings.open_cap)),
+      wake_event_(scheduler),
       balancer_(settings, seed) {}
 
 void Dispatcher::Observe(Figures* figures, Capture* capture) {
@@ -32,87 +32,87 @@
 }
 
 void Dispatcher::Start() {
-  turns_ = Turns();
-  turns_.Start();
+  loop_task_ = RunLoop();
+  loop_task_.Start();
 }
 
-// ---- What happens, turn by turn --------------------------------------------------------------------------
+// ---- The event loop --------------------------------------------------------------------------------------
 
-// The module is told of results and timers here and nowhere else, so an action of its own never comes back to
-// it while it is still deciding.
-Task<> Dispatcher::Turns() {
+// Results and timers are reported to the module only here, so that its actions never re-enter it.
+Task<> Dispatcher::RunLoop() {
   while (true) {
     std::vector<Result> results;
     results.swap(results_);
-    for (Result& result : results) Deliver(std::move(result));
+    for (Result& result : results) DeliverResult(std::move(result));
     FireTimers();
-    if (scheduler_.Now() >= ends_by_) AnswerAll();
-    Bury();
-    wakes_at_ = timers_.empty() ? kNever : timers_.top().at;
-    if (ends_by_ > scheduler_.Now()) wakes_at_ = std::min(wakes_at_, ends_by_);
-    co_await turn_.Wait(wakes_at_);
+    if (scheduler_.Now() >= shutdown_deadline_) AnswerAllOpen();
+    EraseEnded();
+    next_wakeup_ = timers_.empty() ? kNever : timers_.top().at;
+    if (shutdown_deadline_ > scheduler_.Now()) next_wakeup_ = std::min(next_wakeup_, shutdown_deadline_);
+    co_await wake_event_.Wait(next_wakeup_);
   }
 }
 
-void Dispatcher::Post(RequestId id, int attempt, ServerAnswer answer) {
+void Dispatcher::PostResult(RequestId id, int attempt, ServerAnswer answer) {
   Result result;
   result.id = id;
   result.attempt = attempt;
   result.answer = std::move(answer);
   results_.push_back(std::move(result));
-  turn_.Notify();
+  wake_event_.Notify();
 }
 
-void Dispatcher::Deliver(Result result) {
-  Query* known = Known(result.id);
-  if (known == nullptr) return;
-  Query& query = *known;
+void Dispatcher::DeliverResult(Result result) {
+  Query* found = FindQuery(result.id);
+  if (found == nullptr) return;
+  Query& query = *found;
   Attempt& attempt = query.attempts[static_cast<size_t>(result.attempt)];
   attempt.task = Task<>();
-  attempt.heard = true;
+  attempt.reported = true;
   attempt.never_ran = result.answer.outcome == Outcome::kFull || result.answer.outcome == Outcome::kMoot ||
                       result.answer.outcome == Outcome::kConnectFailed;
-  --query.out;
+  --query.unreported;
   Count(result.answer.outcome);
   if (result.answer.outcome == Outcome::kOk && !query.closed) {
     ++counters_.served;
     Close(result.id, query, Figure::kServed)->Serve(*result.answer.payload);
   }
-  if (query.closed) ended_.push_back(result.id);
-  meadowslip::AttemptResult told;
-  told.id = result.id;
-  told.attempt = result.attempt;
-  told.closed = query.closed;
-  told.backend = attempt.backend;
+  if (query.closed) ended_queries_.push_back(result.id);
+  meadowslip::AttemptResult report;
+  report.id = result.id;
+  report.attempt = result.attempt;
+  report.closed = query.closed;
+  report.backend = attempt.backend;
   const Micros now = scheduler_.Now();
-  told.elapsed = now - attempt.sent_at;
-  told.outcome = result.answer.outcome;
-  // Guards what is sent but once: an attempt that took a part of the query and failed must be the last.
-  if (told.outcome != Outcome::kOk && query.asked.payload->Consumed()) TellStream(told.id, told.attempt);
-  if (capture_) capture_->OnResult(now, told);
-  balancer_.OnResult(now, told, *this);
+  report.elapsed = now - attempt.sent_at;
+  report.outcome = result.answer.outcome;
+  // An attempt that consumed part of the query and failed must be the last: the query can't be sent again.
+  if (report.outcome != Outcome::kOk && query.incoming.payload->Consumed())
+    ReportStreamStarted(report.id, report.attempt);
+  if (capture_) capture_->OnResult(now, report);
+  balancer_.OnResult(now, report, *this);
 }
 
 void Dispatcher::FireTimers() {
   Micros now = scheduler_.Now();
   while (!timers_.empty() && timers_.top().at <= now) {
-    uint64_t name = timers_.top().name;
+    uint64_t timer_id = timers_.top().timer_id;
     timers_.pop();
     const Micros at = scheduler_.Now();
-    if (capture_) capture_->OnTimer(at, name);
-    balancer_.OnTimer(at, name, *this);
+    if (capture_) capture_->OnTimer(at, timer_id);
+    balancer_.OnTimer(at, timer_id, *this);
   }
 }
 
-void Dispatcher::EndBy(Micros when) {
-  ends_by_ = when;
-  turn_.Notify();
+void Dispatcher::SetShutdownDeadline(Micros when) {
+  shutdown_deadline_ = when;
+  wake_event_.Notify();
 }
 
-// Guards what is open against an end of the process that answers nothing. What was never sent on is refused,
-// since that is harmless; the rest has failed. The module hears of it as of clients that left, once all of
-// them are closed: it would send others in their place.
-void Dispatcher::AnswerAll() {
+// Answers all open queries before the process ends. Those that never ran are refused, since that is harmless;
+// the others fail. The module is notified, as of clients that left, only once all of them are closed: it
+// would send waiting ones in their place.
+void Dispatcher::AnswerAllOpen() {
   std::vector<RequestId> open;
   for (const auto& [id, query] : queries_) {
     if (!query.closed) open.push_back(id);
@@ -121,10 +121,10 @@
   for (RequestId id : open) {
     Query& query = queries_.at(id);
     const bool never_ran = std::all_of(query.attempts.begin(), query.attempts.end(),
-                                       [](const Attempt& a) { return a.heard && a.never_ran; });
+                                       [](const Attempt& a) { return a.reported && a.never_ran; });
     ++(never_ran ? counters_.throttled : counters_.failed);
-    Asker* asker = Close(id, query, never_ran ? Figure::kThrottled : Figure::kFailed);
-    never_ran ? asker->Throttle(ComeBack()) : asker->Fail();
+    ResponseSink* sink = Close(id, query, never_ran ? Figure::kThrottled : Figure::kFailed);
+    never_ran ? sink->Throttle(DefaultRetryAfter()) : sink->Fail();
   }
   for (RequestId id : open) {
     const Micros now = scheduler_.Now();
@@ -133,13 +133,13 @@
   }
 }
 
-// Not at once: whoever ended them may still hold them.
-void Dispatcher::Bury() {
-  for (RequestId id : ended_) {
+// Queries are not erased where they end, because the code that ended them may still hold a reference.
+void Dispatcher::EraseEnded() {
+  for (RequestId id : ended_queries_) {
     auto it = queries_.find(id);
-    if (it != queries_.end() && it->second.closed && it->second.out == 0) queries_.erase(it);
+    if (it != queries_.end() && it->second.closed && it->second.unreported == 0) queries_.erase(it);
   }
-  ended_.clear();
+  ended_queries_.clear();
 }
 
 void Dispatcher::OnList(const meadowslip::BackendList& list) {
@@ -149,124 +149,128 @@
   balancer_.OnList(now, list, *this);
 }
 
-// ---- From one process to the next ------------------------------------------------------------------------
+// ---- Hand-over between processes -------------------------------------------------------------------------
 
-Carried Dispatcher::Carry() const {
-  Carried all;
-  all.module = balancer_.Save();
-  all.now = scheduler_.Now();
-  all.last_id = last_id_;
-  for (auto left = timers_; !left.empty(); left.pop()) all.timers.push_back({left.top().at, left.top().name});
+DispatcherState Dispatcher::ExportState() const {
+  DispatcherState state;
+  state.module_state = balancer_.Save();
+  state.saved_at = scheduler_.Now();
+  state.last_id = last_id_;
+  for (auto pending = timers_; !pending.empty(); pending.pop())
+    state.timers.push_back({pending.top().at, pending.top().timer_id});
   for (const auto& [id, query] : queries_) {
-    Carried::Query& q = all.queries.emplace_back();
+    DispatcherState::Query& q = state.queries.emplace_back();
     q.id = id;
-    q.sent = static_cast<int>(query.attempts.size());
-    for (int n = 0; n < q.sent; ++n) {
+    q.attempt_count = static_cast<int>(query.attempts.size());
+    for (int n = 0; n < q.attempt_count; ++n) {
       const Attempt& attempt = query.attempts[static_cast<size_t>(n)];
-      if (!attempt.heard) q.out.push_back({n, attempt.backend, attempt.sent_at});
+      if (!attempt.reported) q.unreported.push_back({n, attempt.backend, attempt.sent_at});
     }
   }
-  return all;
+  return state;
 }
 
-// Takes what the module does while another process's queries are settled: nothing of it is carried out, but a
-// send must be settled too, and timers run on.
-class Dispatcher::Settler final : public meadowslip::ActionSink {
+// Receives the module's actions while another process's queries are ended. Nothing is carried out, but timers
+// are set, and the result of each attempt that the module starts must be reported to it too.
+class Dispatcher::DiscardingSink final : public meadowslip::ActionSink {
  public:
-  explicit Settler(Dispatcher& of) : of_(of) {}
+  explicit DiscardingSink(Dispatcher& dispatcher) : dispatcher_(dispatcher) {}
   void Send(RequestId id, BackendId backend, Micros) override {
-    out.emplace_back(id, Carried::Attempt{sent[id]++, backend, of_.scheduler_.Now()});
+    unreported.emplace_back(
+        id, DispatcherState::Attempt{attempt_count[id]++, backend, dispatcher_.scheduler_.Now()});
   }
-  void Schedule(Micros delay, uint64_t timer) override { of_.Schedule(delay, timer); }
+  void Schedule(Micros delay, uint64_t timer) override { dispatcher_.Schedule(delay, timer); }
   void Refuse(RequestId, Micros) override {}
   void Fail(RequestId) override {}
   void Cancel(RequestId, int) override {}
   void Probe(BackendId) override {}
   void Subscribe() override {}
-  std::unordered_map<RequestId, int> sent;
-  std::vector<std::pair<RequestId, Carried::Attempt>> out;
+  std::unordered_map<RequestId, int> attempt_count;
+  std::vector<std::pair<RequestId, DispatcherState::Attempt>> unreported;
 
  private:
-  Dispatcher& of_;
+  Dispatcher& dispatcher_;
 };
 
-bool Dispatcher::TakeOver(const Carried& from) {
-  if (!balancer_.Load(from.module)) {
-    balancer_ = meadowslip::Balancer(settings_, seed_);  // what could not take a state is of no use
+bool Dispatcher::ImportState(const DispatcherState& saved) {
+  if (!balancer_.Load(saved.module_state)) {
+    balancer_ =
+        meadowslip::Balancer(settings_, seed_);  // a module that failed to load a state must not be used
     return false;
   }
-  last_id_ = from.last_id;
-  for (const Carried::Timer& timer : from.timers) {
-    timers_.push({timer.at, ++timers_set_, timer.name});
+  last_id_ = saved.last_id;
+  for (const DispatcherState::Timer& timer : saved.timers) {
+    timers_.push({timer.at, ++timer_sequence_, timer.timer_id});
   }
   const Micros now = scheduler_.Now();
-  Settler settler(*this);
-  for (const Carried::Query& q : from.queries) {
-    settler.sent[q.id] = q.sent;
-    for (const Carried::Attempt& attempt : q.out) settler.out.emplace_back(q.id, attempt);
+  DiscardingSink discarding(*this);
+  for (const DispatcherState::Query& q : saved.queries) {
+    discarding.attempt_count[q.id] = q.attempt_count;
+    for (const DispatcherState::Attempt& attempt : q.unreported)
+      discarding.unreported.emplace_back(q.id, attempt);
   }
-  // Left first, all of them: a result for one may let the module send another.
-  for (const Carried::Query& q : from.queries) balancer_.OnClientLeft(now, q.id, settler);
-  while (!settler.out.empty()) {
-    const auto [id, attempt] = settler.out.back();
-    settler.out.pop_back();
-    meadowslip::AttemptResult told;
-    told.id = id;
-    told.attempt = attempt.number;
-    told.closed = true;
-    told.backend = attempt.backend;
-    told.elapsed = now - attempt.sent_at;
-    told.outcome = Outcome::kMoot;  // says nothing of the server
-    balancer_.OnResult(now, told, settler);
+  // All clients leave first: the result of one query may let the module send another.
+  for (const DispatcherState::Query& q : saved.queries) balancer_.OnClientLeft(now, q.id, discarding);
+  while (!discarding.unreported.empty()) {
+    const auto [id, attempt] = discarding.unreported.back();
+    discarding.unreported.pop_back();
+    meadowslip::AttemptResult report;
+    report.id = id;
+    report.attempt = attempt.number;
+    report.closed = true;
+    report.backend = attempt.backend;
+    report.elapsed = now - attempt.sent_at;
+    report.outcome = Outcome::kMoot;  // says nothing about the server
+    balancer_.OnResult(now, report, discarding);
   }
   return true;
 }
 
 // ---- Queries ---------------------------------------------------------------------------------------------
 
-RequestId Dispatcher::Take(Asked asked) {
+RequestId Dispatcher::Submit(IncomingQuery incoming) {
   RequestId id = ++last_id_;
   ++counters_.taken;
-  if (queries_.size() >= std::min(most_held_, static_cast<size_t>(settings_.open_cap))) {
+  if (queries_.size() >= std::min(max_open_queries_, static_cast<size_t>(settings_.open_cap))) {
     ++counters_.throttled;
-    if (figures_) figures_->Add(asked.labels.series, Figure::kThrottled);
-    asked.asker->Throttle(ComeBack());
+    if (figures_) figures_->Add(incoming.labels.series, Figure::kThrottled);
+    incoming.sink->Throttle(DefaultRetryAfter());
     return id;
   }
-  asked.request.id = id;
-  asked.request.give_up_at = std::min(asked.request.give_up_at, ends_by_);
+  incoming.request.id = id;
+  incoming.request.give_up_at = std::min(incoming.request.give_up_at, shutdown_deadline_);
   const Micros now = scheduler_.Now();
-  if (figures_) figures_->Opened(asked.labels.series);
-  const meadowslip::Request request = asked.request;
+  if (figures_) figures_->Opened(incoming.labels.series);
+  const meadowslip::Request request = incoming.request;
   Query& query = queries_[id];
-  query.asked = std::move(asked);
-  query.taken_at = now;
-  if (capture_) capture_->OnQuery(now, request, query.asked.labels);
+  query.incoming = std::move(incoming);
+  query.received_at = now;
+  if (capture_) capture_->OnQuery(now, request, query.incoming.labels);
   balancer_.OnRequest(now, request, *this);
   return id;
 }
 
-// Of those that were refused before the module heard of them: by then some of those at hand are over.
-Micros Dispatcher::ComeBack() const {
+// The retry time for queries that are refused without asking the module: by then some open ones have ended.
+Micros Dispatcher::DefaultRetryAfter() const {
   Micros aim = 0;
   for (const meadowslip::RequestClass& c : settings_.classes) aim = std::max(aim, c.aim);
   return settings_.retry_after ? std::min(settings_.max_retry_after, aim) : 0;
 }
 
-void Dispatcher::Went(RequestId id) {
-  const Query* query = Known(id);
+void Dispatcher::OnBodyStreamed(RequestId id) {
+  const Query* query = FindQuery(id);
   if (query == nullptr || query->closed || query->attempts.empty()) return;
-  TellStream(id, static_cast<int>(query->attempts.size()) - 1);
+  ReportStreamStarted(id, static_cast<int>(query->attempts.size()) - 1);
 }
 
-void Dispatcher::TellStream(RequestId id, int attempt) {
+void Dispatcher::ReportStreamStarted(RequestId id, int attempt) {
   const Micros now = scheduler_.Now();
   if (capture_) capture_->OnStream(now, id, attempt);
   balancer_.OnStreamStarted(now, id, attempt, *this);
 }
 
-void Dispatcher::Left(RequestId id) {
-  Query* query = Known(id);
+void Dispatcher::ClientLeft(RequestId id) {
+  Query* query = FindQuery(id);
   if (query == nullptr || query->closed) return;
   ++counters_.left;
   Close(id, *query, Figure::kLeft);
@@ -275,82 +279,82 @@
   balancer_.OnClientLeft(now, id, *this);
 }
 
-Dispatcher::Query* Dispatcher::Known(RequestId id) {
+Dispatcher::Query* Dispatcher::FindQuery(RequestId id) {
   auto it = queries_.find(id);
   return it == queries_.end() ? nullptr : &it->second;
 }
 
-// From here on nothing is owed; the answer is the caller's to give.
-Asker* Dispatcher::Close(RequestId id, Query& query, Figure how) {
-  if (figures_) figures_->Closed(query.asked.labels.series, how, scheduler_.Now() - query.taken_at);
+// Marks the query as closed and returns its sink, through which the caller gives the answer, if there is one.
+ResponseSink* Dispatcher::Close(RequestId id, Query& query, Figure how) {
+  if (figures_) figures_->Closed(query.incoming.labels.series, how, scheduler_.Now() - query.received_at);
   query.closed = true;
-  query.asked.payload->closed = true;
-  ended_.push_back(id);
-  turn_.Notify();
-  return std::exchange(query.asked.asker, nullptr);
+  query.incoming.payload->closed = true;
+  ended_queries_.push_back(id);
+  wake_event_.Notify();
+  return std::exchange(query.incoming.sink, nullptr);
 }
 
 // ---- The module's actions --------------------------------------------------------------------------------
 
-void Dispatcher::Chose(Record::Choice did, RequestId id, const Query* query, BackendId backend, int attempt,
-                       Micros span) {
+void Dispatcher::CaptureChoice(Record::Choice did, RequestId id, const Query* query, BackendId backend,
+                               int attempt, Micros span) {
   if (!capture_) return;
-  capture_->Chose(did, id, query ? &query->asked.request : nullptr, query ? &query->asked.labels : nullptr,
-                  backend, attempt, span);
+  capture_->Chose(did, id, query ? &query->incoming.request : nullptr,
+                  query ? &query->incoming.labels : nullptr, backend, attempt, span);
 }
 
 void Dispatcher::Send(RequestId id, BackendId backend, Micros timeout) {
-  Query* known = Known(id);
-  if (known == nullptr) return;
-  Query& query = *known;
+  Query* found = FindQuery(id);
+  if (found == nullptr) return;
+  Query& query = *found;
   int n = static_cast<int>(query.attempts.size());
-  Chose(Record::Choice::kSend, id, &query, backend, n, timeout);
+  CaptureChoice(Record::Choice::kSend, id, &query, backend, n, timeout);
   Attempt& attempt = query.attempts.emplace_back();
   attempt.backend = backend;
   attempt.sent_at = scheduler_.Now();
-  ++query.out;
-  Micros until = query.asked.request.give_up_at;
+  ++query.unreported;
+  Micros until = query.incoming.request.give_up_at;
   if (timeout > 0) until = std::min(until, attempt.sent_at + timeout);
-  // Guards the drain rule where this process stood still in the middle of a turn: what discovery has told
-  // meanwhile is heard of before the module hears of this.
-  const Micros longest =
-      std::min(std::max(settings_.drain_grace, kLeastGrace) / 2, settings_.drain_grace + kOnSockets);
-  const bool unheard = attempt.sent_at - scheduler_.heard_at() > longest;
-  // Guards against an attempt for a client whose end was heard in this turn: its link may not have had its
-  // own.
-  const bool gone = query.asked.asker != nullptr && query.asked.asker->Gone();
-  if (query.closed || unheard || gone || !upstream_.Knows(backend) || n >= settings_.max_attempts ||
-      until <= attempt.sent_at) {
+  // If this process was paused, the host list may be outdated, and sending would break the drain rule:
+  // discovery's pending updates must reach the module before the result of this attempt does.
+  const Micros max_pause =
+      std::min(std::max(settings_.drain_grace, kMinDrainGrace) / 2, settings_.drain_grace + kSocketAllowance);
+  const bool list_outdated = attempt.sent_at - scheduler_.heard_at() > max_pause;
+  // The client's end may have been received in this pass of the loop, before its link has handled it.
+  const bool client_gone = query.incoming.sink != nullptr && query.incoming.sink->ClientGone();
+  if (query.closed || list_outdated || client_gone || !upstream_.Knows(backend) ||
+      n >= settings_.max_attempts || until <= attempt.sent_at) {
     attempt.ended = true;
-    return Post(id, n, ServerAnswer());
+    return PostResult(id, n, ServerAnswer());
   }
   ++counters_.sent;
-  if (figures_) figures_->Add(query.asked.labels.series, Figure::kAttempts);
-  attempt.task = Try(id, n, backend, until, WholeBy(query));
+  if (figures_) figures_->Add(query.incoming.labels.series, Figure::kAttempts);
+  attempt.task = RunAttempt(id, n, backend, until, SendDeadline(query));
   attempt.task.Start();
 }
 
-// Servers drop repeats of a keyed query for so long after an attempt that may have run. The module sends none
-// later; this guards the time that a link takes to come up, and a body to be written.
-Micros Dispatcher::WholeBy(const Query& query) const {
-  const int cls = query.asked.request.request_class;
+// Servers recognise repeats of a keyed query only for the dedup window after an attempt that may have run.
+// The module sends none later; this limit also covers the time to connect and to write the body.
+Micros Dispatcher::SendDeadline(const Query& query) const {
+  const int cls = query.incoming.request.request_class;
   if (cls < 0 || static_cast<size_t>(cls) >= settings_.classes.size()) return kNever;
   const meadowslip::RequestClass& c = settings_.classes[static_cast<size_t>(cls)];
   if (c.idempotency != meadowslip::Idempotency::kKeyed) return kNever;
-  const auto last = query.attempts.end() - 1;  // the one that is about to be made
+  const auto last = query.attempts.end() - 1;  // the attempt that is about to start
   const auto ran = std::find_if(query.attempts.begin(), last, [](const Attempt& a) { return !a.never_ran; });
   return ran == last ? kNever : ran->sent_at + c.dedup_window;
 }
 
-Task<> Dispatcher::Try(RequestId id, int n, BackendId backend, Micros until, Micros send_by) {
-  ServerAnswer answer = co_await upstream_.Exchange(backend, *queries_.at(id).asked.payload, until, send_by);
+Task<> Dispatcher::RunAttempt(RequestId id, int n, BackendId backend, Micros until, Micros send_by) {
+  ServerAnswer answer =
+      co_await upstream_.Exchange(backend, *queries_.at(id).incoming.payload, until, send_by);
   queries_.at(id).attempts[static_cast<size_t>(n)].ended = true;
-  Post(id, n, std::move(answer));
+  PostResult(id, n, std::move(answer));
 }
 
 void Dispatcher::Cancel(RequestId id, int n) {
-  Query* query = Known(id);
-  Chose(Record::Choice::kCancel, id, query, 0, n);
+  Query* query = FindQuery(id);
+  CaptureChoice(Record::Choice::kCancel, id, query, 0, n);
   if (query == nullptr || n < 0 || static_cast<size_t>(n) >= query->attempts.size()) return;
   Attempt& attempt = query->attempts[static_cast<size_t>(n)];
   if (attempt.ended) return;  // its own outcome is on its way to the module
@@ -358,37 +362,37 @@
   attempt.task = Task<>();  // closes its link
   ServerAnswer cancelled;
   cancelled.outcome = Outcome::kCancelled;
-  Post(id, n, std::move(cancelled));
+  PostResult(id, n, std::move(cancelled));
 }
 
 void Dispatcher::Refuse(RequestId id, Micros retry_after) {
-  Query* query = Known(id);
-  Chose(Record::Choice::kRefuse, id, query, 0, 0, retry_after);
+  Query* query = FindQuery(id);
+  CaptureChoice(Record::Choice::kRefuse, id, query, 0, 0, retry_after);
   if (query == nullptr || query->closed) return;
   ++counters_.throttled;
   Close(id, *query, Figure::kThrottled)->Throttle(retry_after);
 }
 
 void Dispatcher::Fail(RequestId id) {
-  Query* query = Known(id);
-  Chose(Record::Choice::kFail, id, query);
+  Query* query = FindQuery(id);
+  CaptureChoice(Record::Choice::kFail, id, query);
   if (query == nullptr || query->closed) return;
   ++counters_.failed;
   Close(id, *query, Figure::kFailed)->Fail();
 }
 
 void Dispatcher::Schedule(Micros delay, uint64_t timer) {
-  ModuleTimer set;
-  set.at = scheduler_.Now() + std::max<Micros>(0, delay);
-  set.order = ++timers_set_;
-  set.name = timer;
-  timers_.push(set);
-  if (set.at < wakes_at_) turn_.Notify();
+  ModuleTimer entry;
+  entry.at = scheduler_.Now() + std::max<Micros>(0, delay);
+  entry.order = ++timer_sequence_;
+  entry.timer_id = timer;
+  timers_.push(entry);
+  if (entry.at < next_wakeup_) wake_event_.Notify();
 }
 
 void Dispatcher::Subscribe() {
-  Chose(Record::Choice::kAsk, 0, nullptr);
-  follow_();
+  CaptureChoice(Record::Choice::kAsk, 0, nullptr);
+  request_list_();
 }
 
 void Dispatcher::Count(Outcome outcome) {
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -1,5 +1,5 @@
-// The dispatcher: the queries on their way, and the module's actions carried out. What is sent where, and
-// what is throttled, the module decides; what a query is made of, its front and the upstream know.
+// Holds the open queries and carries out the decision module's actions. The module decides which node gets a
+// query and which queries are throttled; the front and the upstream know the protocol of a query.
 #ifndef BURLFALL_DISPATCH_DISPATCHER_H_
 #define BURLFALL_DISPATCH_DISPATCHER_H_
 
@@ -24,30 +24,31 @@
 
 class Dispatcher final : public meadowslip::ActionSink {
  public:
-  // `follow` asks the host group's source for its list and the later changes.
+  // `request_list` asks the source of the host group for its list and for later changes.
   Dispatcher(Scheduler& scheduler, const meadowslip::Settings& settings, uint64_t seed, Upstream& upstream,
-             std::function<void()> follow, Counters& counters);
+             std::function<void()> request_list, Counters& counters);
 
-  // Either may be nullptr: it is off. Both must outlive the dispatcher's use.
+  // nullptr turns the feature off. Both must outlive the dispatcher.
   void Observe(Figures* figures, Capture* capture);
   void Start();
-  // No more queries than these at a time, nor than the settings allow; further ones are refused as they come.
-  void HoldAtMost(size_t queries) { most_held_ = queries; }
-  // No query is open for longer: what comes gets no more time than that, and what is left then is answered.
-  void EndBy(Micros when);
+  // Limits the open queries to `queries`, and to the settings' limit; further ones are refused at once.
+  void SetMaxOpenQueries(size_t queries) { max_open_queries_ = queries; }
+  // No query stays open after `when`: new ones get no later deadline, and those still open then are answered.
+  void SetShutdownDeadline(Micros when);
 
   void OnList(const meadowslip::BackendList& list);
-  // The asker hears of its end at any time from here on, also before this returns.
-  meadowslip::RequestId Take(Asked asked);
-  // Bytes of it go through its attempt that can't be sent again; and again once the last of them has come.
-  void Went(meadowslip::RequestId id);
-  void Left(meadowslip::RequestId id);  // the asker did, without its answer
+  // The sink may be called at any time from here on, even before this returns.
+  meadowslip::RequestId Submit(IncomingQuery incoming);
+  // To be called when the query's attempt starts to consume body bytes that can't be sent again, and once
+  // more when the last byte of the body has arrived.
+  void OnBodyStreamed(meadowslip::RequestId id);
+  void ClientLeft(meadowslip::RequestId id);  // before its answer
   std::string Save() const { return balancer_.Save(); }
-  Carried Carry() const;
-  // Goes on where the other left off, before Start() and any query. The other's queries are settled for the
-  // module: their answers are not ours to give. False where the state is none that this module can take; it
-  // is then as new.
-  bool TakeOver(const Carried& from);
+  DispatcherState ExportState() const;
+  // Continues from another process's state; to be called before Start() and any query. For the module, that
+  // process's queries end here, since that process answers them. Returns false if the module can't load the
+  // state; it is then as new.
+  bool ImportState(const DispatcherState& saved);
   size_t open() const { return queries_.size(); }
 
   // The module's actions.
@@ -56,23 +57,23 @@
   void Fail(meadowslip::RequestId id) override;
   void Cancel(meadowslip::RequestId id, int attempt) override;
   void Schedule(Micros delay, uint64_t timer) override;
-  void Probe(meadowslip::BackendId) override {}  // the deployment allows none
+  void Probe(meadowslip::BackendId) override {}  // the deployment does not allow probes
   void Subscribe() override;
 
  private:
   struct Attempt {
     meadowslip::BackendId backend = 0;
     Micros sent_at = 0;
-    bool ended = false;      // its outcome is known, though the module may not have heard yet
-    bool heard = false;      // it has
-    bool never_ran = false;  // by its outcome
+    bool ended = false;      // its outcome is known, though perhaps not yet to the module
+    bool reported = false;   // the outcome was reported to the module
+    bool never_ran = false;  // according to its outcome
     Task<> task;
   };
   struct Query {
-    Asked asked;          // the asker is nullptr once nothing is owed
-    bool closed = false;  // answered, or the asker has left
-    Micros taken_at = 0;
-    int out = 0;  // attempts whose results the module has not been told
+    IncomingQuery incoming;  // its sink is nullptr once the query is closed
+    bool closed = false;     // answered, or the client has left
+    Micros received_at = 0;
+    int unreported = 0;  // attempts whose results have not been reported to the module
     std::vector<Attempt> attempts;
   };
   struct Result {
@@ -83,52 +84,52 @@
   struct ModuleTimer {
     Micros at = 0;
     uint64_t order = 0;
-    uint64_t name = 0;
+    uint64_t timer_id = 0;
     bool operator>(const ModuleTimer& other) const {
       return std::pair(at, order) > std::pair(other.at, other.order);
     }
   };
 
-  class Settler;
+  class DiscardingSink;
 
-  Task<> Turns();
-  Task<> Try(meadowslip::RequestId id, int attempt, meadowslip::BackendId backend, Micros until,
-             Micros send_by);
-  Micros WholeBy(const Query& query) const;
-  void Post(meadowslip::RequestId id, int attempt, ServerAnswer answer);
-  void Deliver(Result result);
-  void TellStream(meadowslip::RequestId id, int attempt);
+  Task<> RunLoop();
+  Task<> RunAttempt(meadowslip::RequestId id, int attempt, meadowslip::BackendId backend, Micros until,
+                    Micros send_by);
+  Micros SendDeadline(const Query& query) const;
+  void PostResult(meadowslip::RequestId id, int attempt, ServerAnswer answer);
+  void DeliverResult(Result result);
+  void ReportStreamStarted(meadowslip::RequestId id, int attempt);
   void FireTimers();
-  void AnswerAll();
-  void Bury();
-  Query* Known(meadowslip::RequestId id);
-  Micros ComeBack() const;
-  Asker* Close(meadowslip::RequestId id, Query& query, Figure how);
-  // `query` is nullptr where the choice is about none that is known.
-  void Chose(Record::Choice did, meadowslip::RequestId id, const Query* query,
-             meadowslip::BackendId backend = 0, int attempt = 0, Micros span = 0);
+  void AnswerAllOpen();
+  void EraseEnded();
+  Query* FindQuery(meadowslip::RequestId id);
+  Micros DefaultRetryAfter() const;
+  ResponseSink* Close(meadowslip::RequestId id, Query& query, Figure how);
+  // `query` is nullptr if the choice concerns no known query.
+  void CaptureChoice(Record::Choice did, meadowslip::RequestId id, const Query* query,
+                     meadowslip::BackendId backend = 0, int attempt = 0, Micros span = 0);
   void Count(meadowslip::Outcome outcome);
 
   Scheduler& scheduler_;
   const meadowslip::Settings& settings_;
   const uint64_t seed_;
   Upstream& upstream_;
-  std::function<void()> follow_;
+  std::function<void()> request_list_;
   Counters& counters_;
   Figures* figures_ = nullptr;
   Capture* capture_ = nullptr;
-  size_t most_held_;
-  Event turn_;
-  Micros wakes_at_ = kNever;
-  Micros ends_by_ = kNever;
+  size_t max_open_queries_;
+  Event wake_event_;
+  Micros next_wakeup_ = kNever;
+  Micros shutdown_deadline_ = kNever;
   uint64_t last_id_ = 0;
-  uint64_t timers_set_ = 0;
+  uint64_t timer_sequence_ = 0;
   std::priority_queue<ModuleTimer, std::vector<ModuleTimer>, std::greater<>> timers_;
   std::vector<Result> results_;
-  std::vector<meadowslip::RequestId> ended_;
+  std::vector<meadowslip::RequestId> ended_queries_;
   meadowslip::Balancer balancer_;
   std::unordered_map<meadowslip::RequestId, Query> queries_;
-  Task<> turns_;  // last: what it uses must outlive it
+  Task<> loop_task_;  // last: what it uses must outlive it
 };
 
 }  // namespace burlfall
--- a/src/dispatch/dispatcher_state.h
+++ b/src/dispatch/dispatcher_state.h
@@ -1,4 +1,5 @@
-// What one process's dispatcher leaves to the next one's: all but the queries on their way, which stay.
+// The state that one process's dispatcher hands over to the next process's. The open queries themselves stay
+// with the old process; the state names them so that the new one's module can stop tracking them.
 #ifndef BURLFALL_DISPATCH_DISPATCHER_STATE_H_
 #define BURLFALL_DISPATCH_DISPATCHER_STATE_H_
 
@@ -10,13 +11,14 @@
 
 namespace burlfall {
 
-struct Carried {
+struct DispatcherState {
+  // A timer of the module.
   struct Timer {
     Micros at = 0;
-    uint64_t name = 0;
-    void Fields(auto& a) { a(at, name); }
+    uint64_t timer_id = 0;
+    void Fields(auto& a) { a(at, timer_id); }
   };
-  // An attempt whose result the module has not heard.
+  // An attempt whose result has not been reported to the module.
   struct Attempt {
     int number = 0;
     uint32_t backend = 0;
@@ -25,17 +27,17 @@
   };
   struct Query {
     uint64_t id = 0;
-    int sent = 0;
-    std::vector<Attempt> out;
-    void Fields(auto& a) { a(id, sent, out); }
+    int attempt_count = 0;
+    std::vector<Attempt> unreported;
+    void Fields(auto& a) { a(id, attempt_count, unreported); }
   };
 
-  std::string module;  // what it saved
-  Micros now = 0;      // by the clock of the process that wrote it
+  std::string module_state;  // as written by Balancer::Save()
+  Micros saved_at = 0;       // by the clock of the process that exported it
   uint64_t last_id = 0;
   std::vector<Timer> timers;
   std::vector<Query> queries;
-  void Fields(auto& a) { a(module, now, last_id, timers, queries); }
+  void Fields(auto& a) { a(module_state, saved_at, last_id, timers, queries); }
 };
 
 }  // namespace burlfall
--- a/src/dispatch/query.h
+++ b/src/dispatch/query.h
@@ -1,4 +1,4 @@
-// A query on its way: from its last byte to its final answer and the end of its last attempt.
+// The interface between a front and the dispatcher: incoming queries, and the sinks for their answers.
 #ifndef BURLFALL_DISPATCH_QUERY_H_
 #define BURLFALL_DISPATCH_QUERY_H_
 
@@ -13,26 +13,26 @@
 
 namespace burlfall {
 
-// Who asked, and waits. Told exactly one of these, unless it left first. It must not come back to the
-// dispatcher from inside.
-class Asker {
+// Receives the final answer to a query: exactly one call of Serve(), Throttle() or Fail(), unless the client
+// left first. The calls must not call back into the dispatcher.
+class ResponseSink {
  public:
   virtual void Serve(const Payload& answer) = 0;
-  virtual void Throttle(Micros retry_after) = 0;  // 0: it may come back at any time
+  virtual void Throttle(Micros retry_after) = 0;  // 0: the client may retry at any time
   virtual void Fail() = 0;
-  // Word has come that it left, also where it has not said so yet.
-  virtual bool Gone() const = 0;
+  // Whether the client is known to have left, even if Dispatcher::ClientLeft() has not been called yet.
+  virtual bool ClientGone() const = 0;
 
  protected:
-  ~Asker() = default;
+  ~ResponseSink() = default;
 };
 
-// What a front hands over.
-struct Asked {
-  meadowslip::Request request;  // its id is the dispatcher's to give
+// A query as a front submits it.
+struct IncomingQuery {
+  meadowslip::Request request;  // the dispatcher sets its id
   std::unique_ptr<Payload> payload;
   Labels labels;
-  Asker* asker = nullptr;
+  ResponseSink* sink = nullptr;
 };
 
 }  // namespace burlfall
--- a/src/front/client_link.cpp
+++ b/src/front/client_link.cpp
@@ -218,8 +218,8 @@
     ++front_.parts_.counters.bad;
     Answer(404, "", "");
   } else {
-    Asked query;
-    query.asker = this;
+    IncomingQuery query;
+    query.sink = this;
     query.request.request_class = request_class;
     const std::string* tenant = message.Find(platform::kTenant);
     query.request.tenant = tenant != nullptr ? std::max(0, front_.tenants_.Find(PlainName(*tenant))) : 0;
@@ -250,7 +250,7 @@
     }
     payload->body_rest = upload_;
     query.payload = std::move(payload);
-    const meadowslip::RequestId id = front_.parts_.dispatcher.Take(std::move(query));
+    const meadowslip::RequestId id = front_.parts_.dispatcher.Submit(std::move(query));
     if (upload_) {
       bool owed = co_await Await(id);
       if (!owed) co_return false;
@@ -258,7 +258,7 @@
     for (bool heard = !upload_; !answered_; heard = true) {  // what is behind a large body was not read yet
       if (heard) co_await stream_->Wait();
       if (!answered_ && !Listen()) {
-        front_.parts_.dispatcher.Left(id);
+        front_.parts_.dispatcher.ClientLeft(id);
         co_return false;
       }
     }
@@ -284,15 +284,15 @@
   while (!answered_) {
     if (upload_->began() && !told) {
       told = true;
-      dispatcher.Went(id);
+      dispatcher.OnBodyStreamed(id);
       if (!Continue()) {
-        dispatcher.Left(id);
+        dispatcher.ClientLeft(id);
         co_return false;
       }
     }
     const int wrong = ReadBody();
     if (upload_->whole() && wrong == 0) {
-      if (told) dispatcher.Went(id);
+      if (told) dispatcher.OnBodyStreamed(id);
       co_return true;
     }
     int status = wrong;
@@ -304,7 +304,7 @@
       if (notified || stream_->scheduler().Now() < until) continue;
       status = 408;
     }
-    dispatcher.Left(id);
+    dispatcher.ClientLeft(id);
     if (status > 0) {
       ++front_.parts_.counters.bad;
       last_ = true;
--- a/src/front/client_link.h
+++ b/src/front/client_link.h
@@ -24,7 +24,7 @@
   std::string read;    // those bytes: a piece of its head
 };
 
-class ClientLink final : public Asker {
+class ClientLink final : public ResponseSink {
  public:
   ClientLink(std::unique_ptr<Stream> stream, HttpFront& front, QuietLink from = {});
   ~ClientLink();
@@ -34,7 +34,7 @@
   void Serve(const Payload& answer) override;
   void Throttle(Micros retry_after) override;
   void Fail() override;
-  bool Gone() const override { return stream_->Ended(); }
+  bool ClientGone() const override { return stream_->Ended(); }
 
   // Open, with no query at hand since then or before.
   bool IdleSince(Micros then) const {
--- a/src/handover/estate.h
+++ b/src/handover/estate.h
@@ -48,7 +48,7 @@
   Micros aside_since = 0;
   uint64_t list = 0;  // version of discovery's list
   std::vector<HostRecord> hosts;
-  Carried carried;
+  DispatcherState carried;
   void Fields(auto& a) { a(settings, aside, aside_since, list, hosts, carried); }
 };
 
--- a/src/serve/program.cpp
+++ b/src/serve/program.cpp
@@ -213,7 +213,7 @@
 
 void Program::Allow() {
   budget_.SetDescriptors(descriptors(), other_.descriptors + (control_ ? Calls(descriptors()) + 1 : 0));
-  dispatcher_.HoldAtMost(front_.most_queries());
+  dispatcher_.SetMaxOpenQueries(front_.most_queries());
 }
 
 // ---- The start -------------------------------------------------------------------------------------------
@@ -301,7 +301,7 @@
 void Program::Drain() {
   if (!told_to_end_at_) {
     told_to_end_at_ = machine_.Now();
-    dispatcher_.EndBy(*told_to_end_at_ + AnswersWithin(config_.settings));
+    dispatcher_.SetShutdownDeadline(*told_to_end_at_ + AnswersWithin(config_.settings));
   }
   if (!Serving()) return;
   phase_ = Phase::kDraining;
--- a/src/serve/program_handover.cpp
+++ b/src/serve/program_handover.cpp
@@ -25,9 +25,9 @@
   std::string why;
   if (estate.settings != config_.settings_json) {
     why = "other settings";
-  } else if (std::abs(machine_.Now() - estate.carried.now) > kClocksApart) {
+  } else if (std::abs(machine_.Now() - estate.carried.saved_at) > kClocksApart) {
     why = "a clock that differs";
-  } else if (!dispatcher_.TakeOver(estate.carried)) {
+  } else if (!dispatcher_.ImportState(estate.carried)) {
     why = "a state of another format";
   }
   if (!why.empty()) log_.Tell<"state_refused">(why);
@@ -51,7 +51,7 @@
   estate->aside_since = aside_since_;
   estate->list = hosts_.version();
   estate->hosts = hosts_.Records();
-  estate->carried = dispatcher_.Carry();
+  estate->carried = dispatcher_.ExportState();
   return estate;
 }
 
--- a/tests/attempts/attempts_test.cpp
+++ b/tests/attempts/attempts_test.cpp
@@ -193,11 +193,11 @@
   });
 }
 
-struct Waiting final : Asker {
+struct Waiting final : ResponseSink {
   void Serve(const Payload&) override { ++told; }
   void Throttle(Micros) override { ++told; }
   void Fail() override { ++told; }
-  bool Gone() const override { return gone; }
+  bool ClientGone() const override { return gone; }
   int told = 0;
   bool gone = false;
 };
@@ -214,15 +214,15 @@
   Waiting stays, leaves;
   Play([&]() -> Task<> {
     co_await Until(Now() + kMs);  // the world is heard of
-    const auto ask = [&](Waiting& asker) {
-      Asked asked;
-      asked.request.give_up_at = Now() + 10 * kSecond;
+    const auto ask = [&](Waiting& sink) {
+      IncomingQuery incoming;
+      incoming.request.give_up_at = Now() + 10 * kSecond;
       HttpMessage message;
       message.method = "POST";
       message.target = "/open";
-      asked.payload = std::make_unique<HttpPayload>(std::move(message));
-      asked.asker = &asker;
-      return dispatcher.Take(std::move(asked));
+      incoming.payload = std::make_unique<HttpPayload>(std::move(message));
+      incoming.sink = &sink;
+      return dispatcher.Submit(std::move(incoming));
     };
     const meadowslip::RequestId id = ask(leaves);
     EXPECT_EQ(counters.sent, 0u);
@@ -230,7 +230,7 @@
     List(BackendState::kReady, 0);
     dispatcher.OnList(hosts.AsItStands());
     EXPECT_EQ(counters.sent, 0u);
-    dispatcher.Left(id);
+    dispatcher.ClientLeft(id);
     ask(stays);
     co_await Until(Now() + 10 * kMs);
     EXPECT_EQ(counters.sent, 1u);  // the place is there for others
@@ -246,29 +246,29 @@
       world.scheduler, settings, 1, Up(), [] {}, counters);
   dispatcher.OnList(hosts.AsItStands());
   dispatcher.Start();
-  Waiting asker;
+  Waiting sink;
   Play([&]() -> Task<> {
     co_await Until(Now() + kMs);  // the world is heard of
     FillLine();
     const Micros began = Now();
-    Asked asked;
-    asked.request.give_up_at = began + 10 * kSecond;
+    IncomingQuery incoming;
+    incoming.request.give_up_at = began + 10 * kSecond;
     HttpMessage message;
     message.method = "POST";
     message.target = "/open";
-    asked.payload = std::make_unique<HttpPayload>(std::move(message));
-    asked.asker = &asker;
-    const meadowslip::RequestId id = dispatcher.Take(std::move(asked));
+    incoming.payload = std::make_unique<HttpPayload>(std::move(message));
+    incoming.sink = &sink;
+    const meadowslip::RequestId id = dispatcher.Submit(std::move(incoming));
     co_await Until(began + 300 * kMs);
     Accept();
     EXPECT_EQ(counters.sent, 1u);
-    dispatcher.Left(id);
+    dispatcher.ClientLeft(id);
     co_await Until(began + kUpAgain + kMs);
     const auto link = Accept();
     EXPECT_EQ(link ? Read(*link) : "no connection", "");
     EXPECT_EQ(counters.moot, 1u);
     EXPECT_EQ(dispatcher.open(), 0u);
-    EXPECT_EQ(asker.told, 0);
+    EXPECT_EQ(sink.told, 0);
   });
 }
 
--- a/tests/histories/stall_test.cpp
+++ b/tests/histories/stall_test.cpp
@@ -24,11 +24,11 @@
   std::vector<meadowslip::BackendId> to_;
 };
 
-struct Patient final : Asker {
+struct Patient final : ResponseSink {
   void Serve(const Payload&) override { ++told; }
   void Throttle(Micros) override { ++told; }
   void Fail() override { ++told; }
-  bool Gone() const override { return false; }
+  bool ClientGone() const override { return false; }
   int told = 0;
 };
 
@@ -42,17 +42,17 @@
     settings.drain_grace = drain_grace;
     Counters counters;
     Sent upstream;
-    Patient asker;
+    Patient sink;
     Dispatcher dispatcher(
         world.scheduler, settings, seed, upstream, [] {}, counters);
     dispatcher.OnList({meadowslip::ListKind::kFull, {{.id = 1}, {.id = 2}}});
     dispatcher.Start();
     const auto ask = [&] {
-      Asked query;
+      IncomingQuery query;
       query.request.give_up_at = world.scheduler.Now() + 10 * kSecond;
       query.payload = std::make_unique<Nothing>();
-      query.asker = &asker;
-      dispatcher.Take(std::move(query));
+      query.sink = &sink;
+      dispatcher.Submit(std::move(query));
     };
     const auto story = [&]() -> Task<> {
       Event pause(world.scheduler);
@@ -68,7 +68,7 @@
           {meadowslip::ListKind::kChanges, {{.id = 1, .state = meadowslip::BackendState::kDraining}}});
       co_await pause.Wait(world.scheduler.Now() + 20 * kMs);
       for (meadowslip::BackendId to : upstream.to_) EXPECT_EQ(to, 2u) << seed;
-      EXPECT_EQ(asker.told, 2);
+      EXPECT_EQ(sink.told, 2);
       world.scheduler.Halt();
     };
     Task<> telling = story();
