--- a/src/front/client_link.cpp
+++ b/src/front/client_link.cpp
@@ -15,31 +15,29 @@
 namespace burlfall {
 namespace {
 
-// From a query's first byte to its last: whoever can't send one is owed a word, or the end, within 3 s.
-constexpr Micros kReadPatience = 2500 * kMs;
-// And after that only where it goes on: a body may come slowly.
-constexpr Micros kStallPatience = 1 * kSecond;
-constexpr Micros kWritePatience = 10 * kSecond;
-constexpr Micros kLinger = 1 * kSecond;
-constexpr Micros kLingerUnread = 5 * kSecond;  // where a large query was answered before it had come
-// Where descriptors run short: others wait for this one, and whoever hears of our end closes within a round
-// trip.
-constexpr Micros kLingerTight = 100 * kMs;
-constexpr size_t kMostDropped =
-    kMaxStreamedBody;  // of what comes behind the last answer: a large query's body
-constexpr Micros kMostPatience = 3600 * kSecond;
-
-// A whole number of microseconds within reason; anything else says nothing.
+// From a query's first byte to its last. A client that can't send a query must get an answer, or the end of
+// the link, within 3 s.
+constexpr Micros kReadTimeout = 2500 * kMs;
+// After that a body may still arrive slowly, as long as it makes progress within this time.
+constexpr Micros kStallTimeout = 1 * kSecond;
+constexpr Micros kWriteTimeout = 10 * kSecond;
+constexpr Micros kLingerTimeout = 1 * kSecond;
+constexpr Micros kLingerUnreadTimeout = 5 * kSecond;  // if a large query was answered before it was complete
+// If descriptors run short, other clients wait for this link's; its client closes within a round trip.
+constexpr Micros kLingerTightTimeout = 100 * kMs;
+constexpr size_t kMaxDropped = kMaxStreamedBody;  // bytes read after the last answer: a large query's body
+constexpr Micros kMaxTimeout = 3600 * kSecond;
+
+// Parses a number of microseconds from 1 to kMaxTimeout; returns 0 for anything else.
 Micros ParseSize(const std::string* text) {
   Micros size = 0;
   if (text == nullptr) return 0;
   auto [end, error] = std::from_chars(text->data(), text->data() + text->size(), size);
-  return error == std::errc() && end == text->data() + text->size() && size > 0 && size <= kMostPatience
-             ? size
-             : 0;
+  return error == std::errc() && end == text->data() + text->size() && size > 0 && size <= kMaxTimeout ? size
+                                                                                                       : 0;
 }
 
-// "480m" or "1500u"; anything else says nothing.
+// Parses "480m" (milliseconds) or "1500u" (microseconds); returns `fallback` for anything else.
 Micros ParseExpiry(const std::string* text, Micros fallback) {
   if (text == nullptr) return fallback;
   double number = 0;
@@ -47,35 +45,36 @@
   auto [unit, error] = std::from_chars(text->data(), end, number);
   if (error != std::errc() || end - unit != 1 || !std::isfinite(number) || number < 0) return fallback;
   if (*unit != 'm' && *unit != 'u') return fallback;
-  return static_cast<Micros>(std::min(number * (*unit == 'm' ? kMs : 1), static_cast<double>(kMostPatience)));
+  return static_cast<Micros>(std::min(number * (*unit == 'm' ? kMs : 1), static_cast<double>(kMaxTimeout)));
 }
 
-std::string_view FirstPart(std::string_view target) {
+std::string_view FirstSegment(std::string_view target) {
   target.remove_prefix(1);
   return target.substr(0, target.find_first_of("/?"));
 }
 
-// Of a class by the first part of a path. What a path can't hold as it is stands there escaped.
-int ClassOf(const NameIndex& classes, std::string_view part) {
-  const int plain = classes.Find(PlainName(part));
-  std::string meant;
-  if (plain >= 0 || part.find('%') == std::string_view::npos || !Unescaped(part, meant)) return plain;
-  return classes.Find(PlainName(meant));
+// Returns the index of the class that the first segment of a path names, or -1. Characters that a path can't
+// hold are percent-encoded there.
+int ClassOf(const NameIndex& classes, std::string_view segment) {
+  const int exact = classes.Find(PlainName(segment));
+  std::string decoded;
+  if (exact >= 0 || segment.find('%') == std::string_view::npos || !Unescaped(segment, decoded)) return exact;
+  return classes.Find(PlainName(decoded));
 }
 
 }  // namespace
 
-ClientLink::ClientLink(std::unique_ptr<Stream> stream, HttpFront& front, QuietLink from)
-    : asked(from.asked),
+ClientLink::ClientLink(std::unique_ptr<Stream> stream, HttpFront& front, HandedOverLink from)
+    : had_query(from.had_query),
       front_(front),
       stream_(std::move(stream)),
       parser_(HttpParser::Kind::kRequest, front.parts_.config.in_service ? kMaxStreamedBody : kMaxHeldBody),
       share_(front.bytes()),
-      in_(std::move(from.read)),
-      began_before_(from.began) {}
+      in_(std::move(from.buffered)),
+      inherited_began_at_(from.query_began_at) {}
 
 ClientLink::~ClientLink() {
-  if (upload_) upload_->Leave();
+  if (upload_) upload_->Abandon();
 }
 
 void ClientLink::Start() {
@@ -86,49 +85,50 @@
 
 LinkStatus ClientLink::Status(Micros now) const {
   using Activity = LinkStatus::Activity;
-  if (busy_ || leave_ || cut_ || leaving_) return {Activity::kBusy, 0};
-  if (began_ != 0) return {Activity::kPartialQuery, now - std::max(began_, progress_at_)};
-  return {asked ? Activity::kIdle : Activity::kNoQueryYet, now - idle_since_};
+  if (busy_ || close_when_idle_ || abort_unfinished_ || ended_) return {Activity::kBusy, 0};
+  if (query_began_at_ != 0) return {Activity::kPartialQuery, now - std::max(query_began_at_, progress_at_)};
+  return {had_query ? Activity::kIdle : Activity::kNoQueryYet, now - idle_since_};
 }
 
-void ClientLink::Leave() {
-  leave_ = true;
+void ClientLink::CloseWhenIdle() {
+  close_when_idle_ = true;
   stream_->Notify();
 }
 
-void ClientLink::Cut() {
-  cut_ = true;
+void ClientLink::AbortUnfinished() {
+  abort_unfinished_ = true;
   stream_->Notify();
 }
 
 Task<> ClientLink::Run() {
   while (true) {
-    bool whole = co_await ReadQuery();
-    if (!whole) break;
+    bool received = co_await ReadQuery();
+    if (!received) break;
     busy_ = true;
-    front_.Busy(*this);
-    bool stays = co_await Handle();
+    front_.OnQueryStarted(*this);
+    bool keep_open = co_await HandleQuery();
     busy_ = false;
     share_.Clear();
     idle_since_ = stream_->scheduler().Now();
-    front_.Free(*this);
-    if (!stays) break;
+    front_.OnQueryEnded(*this);
+    if (!keep_open) break;
   }
-  leaving_ = true;
-  if ((told_ || asked) && !passed_) co_await Linger();
-  // Here and now, not when the front buries this link: it was read empty a moment ago, and a query that comes
-  // between that and the close is lost. Guards against the turn that once lay between the two.
-  if (!passed_) stream_->Close();
-  front_.Retire(*this);
+  ended_ = true;
+  if ((final_answer_sent_ || had_query) && !handed_over_) co_await Linger();
+  // Closed here and not when the front erases this link: the socket was read empty a moment ago, and a query
+  // that arrived between that and a later close would be lost.
+  if (!handed_over_) stream_->Close();
+  front_.OnLinkEnded(*this);
 }
 
-// False where the link is to be closed without an answer, or was answered by an error of ours.
+// Reads the next query, of a large one the head. Returns false if the link is to be closed, either without an
+// answer or after an error answer that was written here.
 Task<bool> ClientLink::ReadQuery() {
-  began_ = std::exchange(began_before_, 0);
+  query_began_at_ = std::exchange(inherited_began_at_, 0);
   while (true) {
-    if (began_ == 0 && !in_.empty()) began_ = stream_->scheduler().Now();
+    if (query_began_at_ == 0 && !in_.empty()) query_began_at_ = stream_->scheduler().Now();
     Parsed parsed = in_.empty() ? Parsed::kMore : parser_.Feed(in_);
-    if (parsed == Parsed::kHeadComplete && HoldMore()) continue;
+    if (parsed == Parsed::kHeadComplete && BufferWholeBody()) continue;
     if (parsed == Parsed::kDone || parsed == Parsed::kHeadComplete) {
       if (parsed == Parsed::kHeadComplete) {
         upload_ = std::make_shared<Upload>(stream_->scheduler(), [this] { stream_->Notify(); });
@@ -137,86 +137,86 @@
       co_return true;
     }
     Io io = Io::kSome;
-    if (parsed == Parsed::kMore && Continue()) {
+    if (parsed == Parsed::kMore && SendContinue()) {
       io = stream_->Read(in_);
       if (io == Io::kSome) {
         progress_at_ = stream_->scheduler().Now();
         continue;
       }
       if (io != Io::kLater) co_return false;
-      // Only here, with nothing left to read: what has come whole gets its answer.
-      if (leave_ && began_ == 0) co_return false;
-      if (front_.passes() && !cut_ && parser_.ReadingHead()) {
-        passed_ = front_.Pass(*stream_, {asked, began_, in_}) == Io::kSome;
-        if (passed_) co_return false;
+      // Checked only now, with nothing left to read: a complete query still gets its answer.
+      if (close_when_idle_ && query_began_at_ == 0) co_return false;
+      if (front_.handing_over() && !abort_unfinished_ && parser_.ReadingHead()) {
+        handed_over_ = front_.HandOver(*stream_, {had_query, query_began_at_, in_}) == Io::kSome;
+        if (handed_over_) co_return false;
       }
-      if (!cut_ || began_ == 0) {
-        bool notified = co_await stream_->Wait(began_ == 0 ? kNever : ReadUntil());
+      if (!abort_unfinished_ || query_began_at_ == 0) {
+        bool notified = co_await stream_->Wait(query_began_at_ == 0 ? kNever : ReadDeadline());
         if (notified) continue;
       }
     }
     ++front_.parts_.counters.bad;
-    last_ = true;
-    Answer(parsed == Parsed::kMore ? 408 : parsed == Parsed::kBad ? 400 : 413, "", "");
+    close_after_answer_ = true;
+    PrepareAnswer(parsed == Parsed::kMore ? 408 : parsed == Parsed::kBad ? 400 : 413, "", "");
     co_await WriteAnswer();
     co_return false;
   }
 }
 
-// A head has its time; of a body it counts that it goes on.
-Micros ClientLink::ReadUntil() const {
-  const Micros until = began_ + kReadPatience;
+// The head must be complete within kReadTimeout; a body need only make progress after that.
+Micros ClientLink::ReadDeadline() const {
+  const Micros until = query_began_at_ + kReadTimeout;
   return parser_.ReadingHead() || !front_.parts_.config.in_service
              ? until
-             : std::max(until, progress_at_ + kStallPatience);
+             : std::max(until, progress_at_ + kStallTimeout);
 }
 
-// Room to hold the whole body, while there is some: its server then waits for no slow client, and the module
-// may send it again.
-bool ClientLink::HoldMore() {
+// Reserves memory for the whole body, if the budget allows it: its server then does not wait for a slow
+// client, and the module may send the query again.
+bool ClientLink::BufferWholeBody() {
   const size_t held = kMaxHeldBody + share_.held();
   const size_t wanted = parser_.length().value_or(held + kMaxHeldBody);
   if (!share_.Grow(wanted - held)) return false;
   try {
     if (parser_.length()) parser_.body().reserve(wanted);
-  } catch (const std::bad_alloc&) {  // what the budget allows the system may not have: the body then flows
-    return false;
+  } catch (const std::bad_alloc&) {
+    return false;  // the system has less memory than the budget allows: the body is streamed
   }
   parser_.SetHoldLimit(wanted);
   return true;
 }
 
-// A client that waits for leave to send the body gets it; false where it can't be told.
-bool ClientLink::Continue() {
+// Sends "100 Continue" if the client waits for it. Returns false if it can't be written.
+bool ClientLink::SendContinue() {
   if (!parser_.ExpectsContinue()) return true;
-  std::string_view leave = "HTTP/1.1 100 Continue\r\n\r\n";
-  return stream_->Write(leave) == Io::kSome;
+  std::string_view response = "HTTP/1.1 100 Continue\r\n\r\n";
+  return stream_->Write(response) == Io::kSome;
 }
 
-// Answers one query; false where the link is to be closed.
-Task<bool> ClientLink::Handle() {
+// Answers one query. Returns false if the link is to be closed.
+Task<bool> ClientLink::HandleQuery() {
   HttpMessage message = upload_ ? parser_.TakeHead() : parser_.Take();
-  last_ = !message.keep_alive;
-  old_client_ = message.http_1_0;
+  close_after_answer_ = !message.keep_alive;
+  http_1_0_client_ = message.http_1_0;
   head_only_ = message.method == "HEAD";
   answered_ = false;
   const meadowslip::Settings& settings = front_.parts_.config.settings;
   std::string_view path = std::string_view(message.target).substr(0, message.target.find('?'));
-  int request_class = ClassOf(front_.classes_, FirstPart(message.target));
-  const bool named = message.Find(platform::kTraceId) != nullptr;
-  const bool ours = !named && message.method == "GET";
-  if (ours && path == platform::kUpPath) {
-    Answer(front_.up() ? 200 : 503, "", front_.up() ? "up\n" : "not serving\n");
-  } else if (ours && path == platform::kCountersPath) {
-    Answer(200, "", front_.parts_.counters.Text() + "\n");
-  } else if ((named || request_class >= 0) && TurnedAway(message, request_class)) {
-    // Answered; the module does not hear of it.
-  } else if (!named) {
+  int request_class = ClassOf(front_.classes_, FirstSegment(message.target));
+  const bool has_trace_id = message.Find(platform::kTraceId) != nullptr;
+  const bool may_be_builtin = !has_trace_id && message.method == "GET";
+  if (may_be_builtin && path == platform::kUpPath) {
+    PrepareAnswer(front_.up() ? 200 : 503, "", front_.up() ? "up\n" : "not serving\n");
+  } else if (may_be_builtin && path == platform::kCountersPath) {
+    PrepareAnswer(200, "", front_.parts_.counters.Text() + "\n");
+  } else if ((has_trace_id || request_class >= 0) && RefusedAtAdmission(message, request_class)) {
+    // Answered; the module is not notified.
+  } else if (!has_trace_id) {
     ++front_.parts_.counters.bad;
-    Answer(request_class < 0 ? 404 : 400, "", "");
-  } else if (FirstPart(message.target).empty()) {
+    PrepareAnswer(request_class < 0 ? 404 : 400, "", "");
+  } else if (FirstSegment(message.target).empty()) {
     ++front_.parts_.counters.bad;
-    Answer(404, "", "");
+    PrepareAnswer(404, "", "");
   } else {
     IncomingQuery query;
     query.sink = this;
@@ -227,22 +227,22 @@
       query.labels.series = figures->Of(request_class, tenant);
       figures->Add(query.labels.series, Figure::kRequests);
     }
-    const std::string* second = message.Find(platform::kSecondTry);
-    query.request.client_retry = second != nullptr && *second == "1";
+    const std::string* second_try = message.Find(platform::kSecondTry);
+    query.request.client_retry = second_try != nullptr && *second_try == "1";
     query.request.estimate = ParseSize(message.Find(platform::kSizeHint));
-    Micros patience = request_class < 0 ? 0 : settings.classes[static_cast<size_t>(request_class)].deadline;
-    // The client counts from its sending. The first bytes are the nearest to that, but for a query that was
-    // written slowly: there it is the last.
-    const Micros sent_at = front_.parts_.config.in_service ? stream_->scheduler().Now() : began_;
-    upload_patience_ = ParseExpiry(message.Find(platform::kExpiresIn), patience);
-    query.request.give_up_at = sent_at + upload_patience_;
+    Micros timeout = request_class < 0 ? 0 : settings.classes[static_cast<size_t>(request_class)].deadline;
+    // The client's timeout starts when it sends. The first bytes are the closest to that, unless the query
+    // was written slowly: then it is the last byte.
+    const Micros sent_at = front_.parts_.config.in_service ? stream_->scheduler().Now() : query_began_at_;
+    answer_timeout_ = ParseExpiry(message.Find(platform::kExpiresIn), timeout);
+    query.request.give_up_at = sent_at + answer_timeout_;
     auto payload = std::make_unique<HttpPayload>(std::move(message));
     query.labels.trace = payload->Find(platform::kTraceId);
     query.labels.tenant = payload->Find(platform::kTenant);
-    if (request_class < 0) query.labels.odd_class = FirstPart(payload->target);
-    // Guards against an attempt for a client that is gone: where its end came in one batch with the request,
-    // or behind pipelined ones, no further notice tells of it.
-    if (upload_ ? stream_->Ended() : !Listen()) {
+    if (request_class < 0) query.labels.odd_class = FirstSegment(payload->target);
+    // Starts no attempt for a client that has left: if its end arrived in one batch with the query, or behind
+    // pipelined ones, there is no further notification of it.
+    if (upload_ ? stream_->Ended() : !ReadAhead()) {
       ++front_.parts_.counters.taken;
       ++front_.parts_.counters.left;
       if (Figures* figures = front_.parts_.figures) figures->Add(query.labels.series, Figure::kLeft);
@@ -252,54 +252,55 @@
     query.payload = std::move(payload);
     const meadowslip::RequestId id = front_.parts_.dispatcher.Submit(std::move(query));
     if (upload_) {
-      bool owed = co_await Await(id);
-      if (!owed) co_return false;
+      bool still_open = co_await AwaitUpload(id);
+      if (!still_open) co_return false;
     }
-    for (bool heard = !upload_; !answered_; heard = true) {  // what is behind a large body was not read yet
-      if (heard) co_await stream_->Wait();
-      if (!answered_ && !Listen()) {
+    // Bytes behind a large body have not been read yet: in that case reads before it waits.
+    for (bool wait_first = !upload_; !answered_; wait_first = true) {
+      if (wait_first) co_await stream_->Wait();
+      if (!answered_ && !ReadAhead()) {
         front_.parts_.dispatcher.ClientLeft(id);
         co_return false;
       }
     }
   }
   bool written = co_await WriteAnswer();
-  const bool to_end = body_rest_ && !body_rest_->length && old_client_;
+  const bool ends_with_link = body_rest_ && !body_rest_->length && http_1_0_client_;
   if (written && body_rest_) written = co_await WriteRest();
-  // Guards an old client, to whom the end of the link says that the answer is whole.
-  if (!written && to_end) stream_->Reset();
+  // For an HTTP/1.0 client an orderly end of the link would mean that the answer is complete.
+  if (!written && ends_with_link) stream_->Reset();
   body_rest_.reset();
   if (upload_) {
-    upload_->Leave();
-    if (upload_->whole()) upload_.reset();
+    upload_->Abandon();
+    if (upload_->complete()) upload_.reset();
   }
-  co_return written && !last_;
+  co_return written && !close_after_answer_;
 }
 
-// Until the rest of a large query has come, or it is answered before. False where the link ends: the client
-// left, or was told what is wrong with the rest.
-Task<bool> ClientLink::Await(meadowslip::RequestId id) {
+// Reads the rest of a large query until it is complete or answered. Returns false if the link is to be
+// closed: the client has left, or got an error answer.
+Task<bool> ClientLink::AwaitUpload(meadowslip::RequestId id) {
   Dispatcher& dispatcher = front_.parts_.dispatcher;
-  bool told = false;
+  bool stream_reported = false;
   while (!answered_) {
-    if (upload_->began() && !told) {
-      told = true;
+    if (upload_->started() && !stream_reported) {
+      stream_reported = true;
       dispatcher.OnBodyStreamed(id);
-      if (!Continue()) {
+      if (!SendContinue()) {
         dispatcher.ClientLeft(id);
         co_return false;
       }
     }
-    const int wrong = ReadBody();
-    if (upload_->whole() && wrong == 0) {
-      if (told) dispatcher.OnBodyStreamed(id);
+    const int error_status = ReadBody();
+    if (upload_->complete() && error_status == 0) {
+      if (stream_reported) dispatcher.OnBodyStreamed(id);
       co_return true;
     }
-    int status = wrong;
-    if (wrong == 0) {
-      // While nobody takes what has come, the client is not to blame.
-      const bool waits = upload_->began() && upload_->held() == 0;
-      const Micros until = waits ? ReadUntil() : kNever;
+    int status = error_status;
+    if (error_status == 0) {
+      // While the attempt has not taken what was received, the client need not make progress.
+      const bool server_waits = upload_->started() && upload_->held() == 0;
+      const Micros until = server_waits ? ReadDeadline() : kNever;
       bool notified = co_await stream_->Wait(until);
       if (notified || stream_->scheduler().Now() < until) continue;
       status = 408;
@@ -307,8 +308,8 @@
     dispatcher.ClientLeft(id);
     if (status > 0) {
       ++front_.parts_.counters.bad;
-      last_ = true;
-      Answer(status, "", "");
+      close_after_answer_ = true;
+      PrepareAnswer(status, "", "");
       co_await WriteAnswer();
     }
     co_return false;
@@ -316,18 +317,18 @@
   co_return true;
 }
 
-// Reads on, as far as there is room. 0: all is well; a status: what is wrong with it; below 0: the client has
-// closed the link.
+// Reads more of the body, as far as the buffer has space. Returns 0 on success, an HTTP status if the body is
+// invalid, and a negative number if the client has closed the link.
 int ClientLink::ReadBody() {
-  const size_t most = front_.most_held();
-  bool fresh = !in_.empty();
-  while (upload_->held() < most) {
-    if (fresh) {
+  const size_t max_buffered = front_.max_buffered_upload();
+  bool has_input = !in_.empty();
+  while (upload_->held() < max_buffered) {
+    if (has_input) {
       const Parsed parsed = parser_.Feed(in_);
-      upload_->Put(parser_.body());
+      upload_->Append(parser_.body());
       if (parsed == Parsed::kDone) {
         parser_.Take();
-        upload_->Finish(stream_->scheduler().Now() + upload_patience_);
+        upload_->SetComplete(stream_->scheduler().Now() + answer_timeout_);
         return 0;
       }
       if (parsed == Parsed::kBad) return 400;
@@ -336,17 +337,18 @@
     const Io io = stream_->Read(in_);
     if (io == Io::kLater) return 0;
     if (io != Io::kSome) return -1;
-    fresh = true;
+    has_input = true;
     progress_at_ = stream_->scheduler().Now();
   }
-  return stream_->Ended() ? -1 : 0;  // behind what there is no room for
+  return stream_->Ended() ? -1 : 0;  // the end is behind bytes that the buffer has no space for
 }
 
-// The rest of a large answer, as it comes. False where it can't be whole: the link then closes short of it.
+// Writes the rest of a large answer as it arrives. Returns false if it can't be completed: the link is then
+// closed before its end.
 Task<bool> ClientLink::WriteRest() {
   using Next = BodySource::Next;
   std::string piece, out;
-  Micros until = stream_->scheduler().Now() + kWritePatience;
+  Micros until = stream_->scheduler().Now() + kWriteTimeout;
   while (true) {
     piece.clear();
     const Next next = body_rest_->Take(piece);
@@ -356,9 +358,9 @@
       if (!notified && stream_->scheduler().Now() >= until) co_return false;
       continue;
     }
-    if (chunks_) {
+    if (chunked_) {
       out.clear();
-      AppendChunk(out, piece);  // with the last one, which is empty
+      AppendChunk(out, piece);  // the last chunk is empty
       piece.swap(out);
     }
     std::string_view rest = piece;
@@ -366,18 +368,19 @@
       const size_t before = rest.size();
       const Io io = stream_->Write(rest);
       if (io == Io::kBroken) co_return false;
-      if (rest.size() < before) until = stream_->scheduler().Now() + kWritePatience;
+      if (rest.size() < before) until = stream_->scheduler().Now() + kWriteTimeout;
       if (rest.empty()) break;
       bool notified = co_await stream_->Wait(until);
       if (!notified && stream_->scheduler().Now() >= until) co_return false;
     }
-    until = stream_->scheduler().Now() + kWritePatience;
+    until = stream_->scheduler().Now() + kWriteTimeout;
     if (next == Next::kDone) co_return true;
   }
 }
 
-// The gates that the operators set, before anything else hears of the query. True where it was answered here.
-bool ClientLink::TurnedAway(const HttpMessage& message, int request_class) {
+// Applies the operators' admission rules before the query reaches the dispatcher: tokens, readiness and rate
+// limits. Returns true if the query was refused, and thereby answered, here.
+bool ClientLink::RefusedAtAdmission(const HttpMessage& message, int request_class) {
   const std::string* tenant = message.Find(platform::kTenant);
   auto count = [&](Figure why) {
     if (Figures* figures = front_.parts_.figures) {
@@ -389,19 +392,19 @@
   // Tokens first: forged queries must not use up a caller's bucket.
   if (front_.parts_.tokens.enabled()) {
     const std::string* token = nullptr;
-    bool twice = false;
+    bool duplicated = false;
     for (const Header& header : message.headers) {
       if (!EqualsIgnoreCase(header.name, platform::kToken)) continue;
-      twice = twice || token != nullptr;
+      duplicated = duplicated || token != nullptr;
       token = &header.value;
     }
     std::string_view cls;
     if (request_class >= 0)
       cls = front_.parts_.config.settings.classes[static_cast<size_t>(request_class)].name;
     const Tokens::Verdict verdict =
-        twice ? Tokens::Verdict::kForged  // one of them may have been added on the way
-              : front_.parts_.tokens.Check(token != nullptr ? std::string_view(*token) : "", cls,
-                                           front_.parts_.machine.WallClock());
+        duplicated ? Tokens::Verdict::kForged  // one of them may have been added in transit
+                   : front_.parts_.tokens.Check(token != nullptr ? std::string_view(*token) : "", cls,
+                                                front_.parts_.machine.WallClock());
     if (verdict != Tokens::Verdict::kPass) {
       const TokenResponse answer = ResponseFor(verdict);
       std::string headers;
@@ -409,21 +412,21 @@
       if (answer.status == 401) AppendHeader(headers, platform::kChallenge, platform::kToken);
       ++front_.parts_.counters.denied;
       count(Figure::kDenied);
-      Answer(answer.status, headers, answer.body);
+      PrepareAnswer(answer.status, headers, answer.body);
       return true;
     }
   }
   if (front_.parts_.not_ready && request_class >= 0) {
     const meadowslip::Settings& settings = front_.parts_.config.settings;
-    const Micros patience = settings.classes[static_cast<size_t>(request_class)].deadline;
-    if (const std::optional<Micros> wait = front_.parts_.not_ready(patience)) {
+    const Micros timeout = settings.classes[static_cast<size_t>(request_class)].deadline;
+    if (const std::optional<Micros> wait = front_.parts_.not_ready(timeout)) {
       ++front_.parts_.counters.not_ready;
       count(Figure::kThrottled);
       std::string headers;
-      const Micros told = std::min(*wait, settings.max_retry_after);
-      if (settings.retry_after && told > 0)
-        AppendHeader(headers, platform::kRetryAfter, RateLimiter::FormatSeconds(told));
-      Answer(503, headers, "");
+      const Micros capped_wait = std::min(*wait, settings.max_retry_after);
+      if (settings.retry_after && capped_wait > 0)
+        AppendHeader(headers, platform::kRetryAfter, RateLimiter::FormatSeconds(capped_wait));
+      PrepareAnswer(503, headers, "");
       return true;
     }
   }
@@ -442,13 +445,13 @@
   count(Figure::kLimited);
   std::string headers;
   if (*wait != kNever) AppendHeader(headers, platform::kRetryAfter, RateLimiter::FormatSeconds(*wait));
-  Answer(429, headers, "");
+  PrepareAnswer(429, headers, "");
   return true;
 }
 
-// What comes while a query runs belongs to the next one; false where the client has closed the link.
-bool ClientLink::Listen() {
-  while (in_.size() < kMaxHead + kMaxHeldBody) {  // beyond that the client waits
+// Reads bytes of the next query while one is open. Returns false if the client has closed the link.
+bool ClientLink::ReadAhead() {
+  while (in_.size() < kMaxHead + kMaxHeldBody) {  // the client has to wait with more
     Io io = stream_->Read(in_);
     if (io == Io::kLater) return true;
     if (io != Io::kSome) return false;
@@ -462,11 +465,12 @@
   AppendEndToEnd(headers, answer);
   body_rest_ = answer.body_rest;
   if (head_only_) {
-    // What the body would be, in its place.
+    // The length that the body would have.
     const std::string* length = answer.Find("Content-Length");
-    Answer(200, length ? headers.append("Content-Length: ").append(*length).append("\r\n") : headers, "");
+    PrepareAnswer(200, length ? headers.append("Content-Length: ").append(*length).append("\r\n") : headers,
+                  "");
   } else {
-    Answer(200, headers, answer.body, body_rest_.get());
+    PrepareAnswer(200, headers, answer.body, body_rest_.get());
   }
 }
 
@@ -477,30 +481,32 @@
     std::snprintf(seconds, sizeof seconds, "%.3f", static_cast<double>(retry_after) / kSecond);
     AppendHeader(headers, platform::kRetryAfter, seconds);
   }
-  Answer(503, headers, "");
+  PrepareAnswer(503, headers, "");
 }
 
-void ClientLink::Fail() { Answer(502, "", ""); }
-
-void ClientLink::Answer(int status, const std::string& headers, std::string_view body,
-                        const BodySource* body_rest) {
-  // Where descriptors run short the client is told with its answer. Guards the query that would cross the
-  // close of a link that looked idle: it is lost.
-  last_ = last_ || leave_ || front_.leaving() || front_.tight() || (upload_ && !upload_->whole());
-  chunks_ = body_rest && !body_rest->length && !old_client_;
-  if (body_rest && !body_rest->length && old_client_) last_ = true;  // its end is the link's
+void ClientLink::Fail() { PrepareAnswer(502, "", ""); }
+
+void ClientLink::PrepareAnswer(int status, const std::string& headers, std::string_view body,
+                               const BodySource* body_rest) {
+  // If descriptors run short, the client is asked to close the link with its answer. Closing it later while
+  // it is idle could cross the client's next query, which would be lost.
+  close_after_answer_ = close_after_answer_ || close_when_idle_ || front_.leaving() || front_.tight() ||
+                        (upload_ && !upload_->complete());
+  chunked_ = body_rest && !body_rest->length && !http_1_0_client_;
+  if (body_rest && !body_rest->length && http_1_0_client_)
+    close_after_answer_ = true;  // the end of the link marks the end of the body
   out_ = "HTTP/1.1 " + std::to_string(status) + " ";
   out_.append(ReasonPhrase(status)).append("\r\n").append(headers);
-  if (chunks_) {
+  if (chunked_) {
     AppendHeader(out_, "Transfer-Encoding", "chunked");
   } else if (!body_rest || body_rest->length) {
     if (!head_only_ || status != 200)
       AppendHeader(out_, "Content-Length", std::to_string(body_rest ? *body_rest->length : body.size()));
   }
-  if (last_) AppendHeader(out_, "Connection", "close");
-  if (old_client_ && !last_) AppendHeader(out_, "Connection", "keep-alive");
+  if (close_after_answer_) AppendHeader(out_, "Connection", "close");
+  if (http_1_0_client_ && !close_after_answer_) AppendHeader(out_, "Connection", "keep-alive");
   out_.append("\r\n");
-  if (chunks_) {
+  if (chunked_) {
     if (!body.empty()) AppendChunk(out_, body);
   } else if (!head_only_) {
     out_.append(body);
@@ -510,36 +516,38 @@
 }
 
 Task<bool> ClientLink::WriteAnswer() {
-  // At once as a rule; only what finds no room costs a coroutine of its own.
+  // Usually written at once; a coroutine is needed only if the socket is full.
   std::string_view rest = out_;
   bool written = stream_->Write(rest) == Io::kSome;
   if (!rest.empty()) {
-    written = co_await WriteAll(*stream_, rest, stream_->scheduler().Now() + kWritePatience);
+    written = co_await WriteAll(*stream_, rest, stream_->scheduler().Now() + kWriteTimeout);
   }
   if (!written) co_return false;
   out_.clear();
-  told_ = last_;
+  final_answer_sent_ = close_after_answer_;
   co_return true;
 }
 
-// Waits for the client's end after ours. Guards the answers that it has not read yet: closing over bytes that
-// were not read, or into which some come, would reset the link. A query among them is dropped, never sent on:
-// its client sends it again.
+// Ends the sending side and waits for the client to close. Closing a link with unread bytes, or receiving
+// some after the close, would reset it and destroy answers that the client has not read yet. A query among
+// the bytes is dropped and never forwarded: its client sends it again.
 Task<> ClientLink::Linger() {
-  const bool last = told_ && !cut_;
-  const Micros span = upload_ ? kLingerUnread : last || !front_.tight() ? kLinger : kLingerTight;
-  const Micros until = stream_->scheduler().Now() + span;
+  const bool final_answer = final_answer_sent_ && !abort_unfinished_;
+  const Micros linger_time = upload_                           ? kLingerUnreadTimeout
+                             : final_answer || !front_.tight() ? kLingerTimeout
+                                                               : kLingerTightTimeout;
+  const Micros until = stream_->scheduler().Now() + linger_time;
   size_t dropped = 0;
   stream_->Finish();
-  front_.Finished();
+  front_.OnSendingEnded();
   while (true) {
     in_.clear();
     Io io = stream_->Read(in_);
     if (io != Io::kSome && io != Io::kLater) co_return;
     dropped += in_.size();
     const Micros now = stream_->scheduler().Now();
-    if (now >= until || dropped > kMostDropped) co_return;
-    // A piece a turn. Guards the others, and the end of this one, against a client that pours on.
+    if (now >= until || dropped > kMaxDropped) co_return;
+    // Reads one piece per turn: a client that sends without pause must not starve others or outlast `until`.
     co_await stream_->Wait(io == Io::kSome ? now : until);
   }
 }
--- a/src/front/client_link.h
+++ b/src/front/client_link.h
@@ -1,4 +1,4 @@
-// A client link: reads one query after the other, hands it on, and writes its answer.
+// A client's connection: reads queries one at a time, submits each to the dispatcher, and writes its answer.
 #ifndef BURLFALL_FRONT_CLIENT_LINK_H_
 #define BURLFALL_FRONT_CLIENT_LINK_H_
 
@@ -17,88 +17,88 @@
 
 class HttpFront;
 
-// A link without a query at hand, as it goes from one process to the next.
-struct QuietLink {
-  bool asked = false;  // has had a query
-  Micros began = 0;    // when the first bytes of the query that was begun came; 0: none has
-  std::string read;    // those bytes: a piece of its head
+// A client link without an open query, as it is handed over to the next process.
+struct HandedOverLink {
+  bool had_query = false;     // has carried a query
+  Micros query_began_at = 0;  // when the first bytes of an incomplete query were received; 0: there is none
+  std::string buffered;       // those bytes: part of its head
 };
 
 class ClientLink final : public ResponseSink {
  public:
-  ClientLink(std::unique_ptr<Stream> stream, HttpFront& front, QuietLink from = {});
+  ClientLink(std::unique_ptr<Stream> stream, HttpFront& front, HandedOverLink from = {});
   ~ClientLink();
   void Start();
 
-  // The final answer to the query at hand; exactly one of these.
+  // The final answer to the open query.
   void Serve(const Payload& answer) override;
   void Throttle(Micros retry_after) override;
   void Fail() override;
   bool ClientGone() const override { return stream_->Ended(); }
 
-  // Open, with no query at hand since then or before.
+  // Whether the link is open and has had no query, complete or not, since `then`.
   bool IdleSince(Micros then) const {
-    return !busy_ && !leave_ && !leaving_ && began_ == 0 && idle_since_ <= then;
+    return !busy_ && !close_when_idle_ && !ended_ && query_began_at_ == 0 && idle_since_ <= then;
   }
-  // A query that began by then is still not whole.
+  // Whether a query that began by `then` is still incomplete.
   bool UnfinishedSince(Micros then) const {
-    return !busy_ && !cut_ && !leaving_ && began_ != 0 && began_ <= then;
+    return !busy_ && !abort_unfinished_ && !ended_ && query_began_at_ != 0 && query_began_at_ <= then;
   }
-  // Of such a query nothing has come since then.
+  // Whether, in addition, nothing has been received since `then`.
   bool StalledSince(Micros then) const { return UnfinishedSince(then) && progress_at_ <= then; }
   LinkStatus Status(Micros now) const;
-  bool Ended() const { return leaving_; }  // our side of it
-  bool Ending() const { return leaving_ || (!busy_ && (leave_ || cut_)); }
-  void Stir() { stream_->Notify(); }  // looks anew at what it is to do
-  void Leave();                       // closes as soon as it is idle
-  void Cut();                         // gives up on a query that is not whole
+  bool Ended() const { return ended_; }  // this side of the link has ended
+  bool Ending() const { return ended_ || (!busy_ && (close_when_idle_ || abort_unfinished_)); }
+  void WakeUp() { stream_->Notify(); }  // makes the link check its state again
+  void CloseWhenIdle();                 // closes the link as soon as it is idle
+  void AbortUnfinished();               // answers an incomplete query with an error and closes the link
 
-  // Among the front's links.
-  std::list<std::unique_ptr<ClientLink>>::iterator place;
-  bool asked = false;  // has had a query
+  // The link's position in the front's list.
+  std::list<std::unique_ptr<ClientLink>>::iterator position;
+  bool had_query = false;  // has carried a query
 
  private:
   Task<> Run();
   Task<bool> ReadQuery();
-  Task<bool> Handle();
-  Task<bool> Await(meadowslip::RequestId id);
+  Task<bool> HandleQuery();
+  Task<bool> AwaitUpload(meadowslip::RequestId id);
   int ReadBody();
   Task<bool> WriteAnswer();
   Task<bool> WriteRest();
-  bool TurnedAway(const HttpMessage& message, int request_class);
+  bool RefusedAtAdmission(const HttpMessage& message, int request_class);
   Task<> Linger();
-  Micros ReadUntil() const;
-  bool Continue();
-  bool HoldMore();
-  bool Listen();
-  void Answer(int status, const std::string& headers, std::string_view body,
-              const BodySource* body_rest = nullptr);
+  Micros ReadDeadline() const;
+  bool SendContinue();
+  bool BufferWholeBody();
+  bool ReadAhead();
+  void PrepareAnswer(int status, const std::string& headers, std::string_view body,
+                     const BodySource* body_rest = nullptr);
 
   HttpFront& front_;
   std::unique_ptr<Stream> stream_;
   HttpParser parser_;
-  ByteBudget::Share share_;  // what the query at hand holds beyond kMostBody
+  ByteBudget::Share share_;  // the bytes that the open query holds beyond kMaxHeldBody
   std::string in_;
   std::string out_;
-  std::shared_ptr<Upload> upload_;         // of the query at hand, where it is large
-  Micros upload_patience_ = 0;             // its asker's, from its last byte on
-  std::shared_ptr<BodySource> body_rest_;  // of the answer
-  bool chunks_ = false;                    // in which that goes out
-  bool old_client_ = false;                // of HTTP/1.0
-  bool head_only_ = false;                 // it asked for no body
-  Micros began_before_ = 0;                // in the process that had the link before
-  Micros began_ = 0;                       // when the first bytes of the query came
-  Micros progress_at_ = 0;                 // when bytes came last
+  std::shared_ptr<Upload> upload_;         // of the open query, if it is large
+  Micros answer_timeout_ = 0;              // of its client, from its last byte on
+  std::shared_ptr<BodySource> body_rest_;  // the rest of the answer's body
+  bool chunked_ = false;                   // that rest is sent with chunked encoding
+  bool http_1_0_client_ = false;           // an HTTP/1.0 client can't read chunked encoding
+  bool head_only_ = false;                 // the query is a HEAD request
+  Micros inherited_began_at_ = 0;          // the query's begin in the process that handed the link over
+  Micros query_began_at_ = 0;              // when the first bytes of the query were received; 0: none
+  Micros progress_at_ = 0;                 // when bytes were last received
   Micros idle_since_ = 0;
   bool busy_ = false;
   bool answered_ = false;
-  bool last_ = false;  // the link closes after this answer
-  bool leave_ = false;
-  bool cut_ = false;
-  bool leaving_ = false;
-  bool passed_ = false;  // it is another process's
-  bool told_ = false;    // an error of ours, or the last answer: the client may not have read it yet
-  Task<> task_;          // last: what it uses must outlive it
+  bool close_after_answer_ = false;  // the link closes after this answer
+  bool close_when_idle_ = false;
+  bool abort_unfinished_ = false;
+  bool ended_ = false;
+  bool handed_over_ = false;        // to another process
+  bool final_answer_sent_ = false;  // the last answer was written; the client may not have read it yet
+  Task<> task_;                     // last: what it uses must outlive it
 };
 
 }  // namespace burlfall
--- a/src/front/http_front.cpp
+++ b/src/front/http_front.cpp
@@ -11,21 +11,22 @@
 namespace {
 
 constexpr Micros kIdleForClosing = 200 * kMs;
-constexpr Micros kFinishedFor = 100 * kMs;  // a round trip, at the end of the process
-constexpr Micros kSweepEvery = 500 * kMs;
-constexpr Micros kAcceptPause = 10 * kMs;
+constexpr Micros kFinishGrace = 100 * kMs;  // a round trip, before the process ends
+constexpr Micros kSweepInterval = 500 * kMs;
+constexpr Micros kAcceptRetryDelay = 10 * kMs;
 constexpr Micros kIdleForShedding = 1 * kSecond;
-constexpr Micros kUnaskedForShedding = 250 * kMs;  // who has a query sends it once connected
-constexpr Micros kUnaskedFor = 2 * kSecond;        // with room to spare, too
-constexpr Micros kIdleWhereCrowded = 2 * kSecond;  // no link need stay for longer without a query
-constexpr size_t kShedAtOnce = 64;
-constexpr size_t kServersPart = 4;  // of what links may use, at least, is left to server links
-constexpr size_t kSparePart = 8;    // of clients' links, that wait for no answer
-constexpr size_t kLeastHeld = 4096;
-constexpr size_t kHeldPart = 8;  // of the memory, by whole bodies; and as much by pieces of those that stream
-
-// Where clients connect: passed on by whoever holds it, or our own.
-std::unique_ptr<Listener> DoorOf(const HttpFront::Parts& parts) {
+constexpr Micros kNewLinkIdleForShedding = 250 * kMs;  // a client with a query sends it once connected
+constexpr Micros kNewLinkTimeout = 2 * kSecond;        // even if descriptors are plentiful
+constexpr Micros kIdleTimeoutCrowded = 2 * kSecond;    // links need not stay open for longer without a query
+constexpr size_t kMaxShedAtOnce = 64;
+constexpr size_t kServerLinksDivisor = 4;  // at least a quarter of the link budget is left to server links
+constexpr size_t kSpareLinksDivisor = 8;   // an eighth of the client links is kept free of open queries
+constexpr size_t kMinBufferedUpload = 4096;
+constexpr size_t kBodyMemoryDivisor =
+    8;  // an eighth of the memory for held bodies, and as much for streamed ones
+
+// Adopts the listener that was passed to the process, or opens one.
+std::unique_ptr<Listener> OpenListener(const HttpFront::Parts& parts) {
   Network& network = parts.machine.network();
   if (parts.config.passed < 0) return network.Listen(parts.config.listen);
   try {
@@ -41,10 +42,10 @@
     : parts_(parts),
       classes_(parts.config.settings.classes),
       tenants_(parts.config.settings.tenants),
-      listener_(DoorOf(parts)),
-      bytes_(static_cast<size_t>(parts.config.memory_mb) * 1024 * 1024 / kHeldPart),
-      sweep_(parts.machine.scheduler()),
-      bury_(parts.machine.scheduler()) {}
+      listener_(OpenListener(parts)),
+      bytes_(static_cast<size_t>(parts.config.memory_mb) * 1024 * 1024 / kBodyMemoryDivisor),
+      sweep_event_(parts.machine.scheduler()),
+      erase_event_(parts.machine.scheduler()) {}
 
 HttpFront::~HttpFront() = default;
 
@@ -54,73 +55,73 @@
 
 void HttpFront::Open() {
   state_ = State::kOpen;
-  burier_ = Bury();
-  burier_.Start();
-  sweeper_ = Sweep();
-  sweeper_.Start();
-  Reopen();
+  erase_task_ = EraseEnded();
+  erase_task_.Start();
+  sweep_task_ = Sweep();
+  sweep_task_.Start();
+  StartAccepting();
 }
 
-void HttpFront::Shut() {
-  accept_ = Task<>();
-  shut_ = true;
+void HttpFront::StopAccepting() {
+  accept_task_ = Task<>();
+  not_accepting_ = true;
 }
 
-bool HttpFront::Reopen() {
-  if (!std::exchange(shut_, false)) return false;
-  accept_ = Accept();
-  accept_.Start();
+bool HttpFront::StartAccepting() {
+  if (!std::exchange(not_accepting_, false)) return false;
+  accept_task_ = Accept();
+  accept_task_.Start();
   return true;
 }
 
-void HttpFront::PassOn(Passing pass) {
-  pass_ = std::move(pass);
-  Stir();
+void HttpFront::HandOverLinks(HandOverLink hand_over) {
+  hand_over_link_ = std::move(hand_over);
+  WakeLinks();
 }
 
-void HttpFront::Stir() {
-  for (auto& link : unasked_) link->Stir();
-  for (auto& link : clients_) link->Stir();
+void HttpFront::WakeLinks() {
+  for (auto& link : new_links_) link->WakeUp();
+  for (auto& link : used_links_) link->WakeUp();
 }
 
-void HttpFront::Take(std::unique_ptr<Stream> stream, QuietLink link) {
-  Links& links = link.asked ? clients_ : unasked_;
+void HttpFront::AdoptLink(std::unique_ptr<Stream> stream, HandedOverLink link) {
+  Links& links = link.had_query ? used_links_ : new_links_;
   links.push_back(std::make_unique<ClientLink>(std::move(stream), *this, std::move(link)));
-  links.back()->place = std::prev(links.end());
+  links.back()->position = std::prev(links.end());
   links.back()->Start();
 }
 
-void HttpFront::StandAside() { state_ = State::kAside; }
+void HttpFront::DrainManually() { state_ = State::kDrainedManually; }
 
-// Links that were idle for a while: those that are in use are told with their next answer.
-void HttpFront::ThinOut() {
-  ShedUnasked(kIdleForClosing, kUnaskedFor, unasked_.size());  // a query that comes slowly may come
-  ShedIdle(kIdleForClosing);
+// Closes links that have been idle for a while; those in use are closed after their next answer.
+void HttpFront::CloseIdleLinks() {
+  ShedNewLinks(kIdleForClosing, kNewLinkTimeout, new_links_.size());  // a slow query may still complete
+  ShedIdleLinks(kIdleForClosing);
 }
 
-void HttpFront::ComeBack() { state_ = State::kOpen; }
+void HttpFront::EndManualDrain() { state_ = State::kOpen; }
 
-void HttpFront::Leave() { state_ = State::kLeaving; }
+void HttpFront::StartLeaving() { state_ = State::kLeaving; }
 
 void HttpFront::Close() {
   state_ = State::kClosing;
-  if (!shut_) {
-    Shut();
+  if (!not_accepting_) {
+    StopAccepting();
     AcceptWaiting();
   }
   listener_.reset();
 }
 
-bool HttpFront::Closed(bool hurry) {
-  // One accepted a moment ago may have its first query on the way: it would be lost.
-  ShedUnasked(kIdleForClosing, kIdleForClosing, unasked_.size());
-  ShedIdle(kIdleForClosing);
-  // Guards the last answers: what came behind them is read and dropped first, or the end of the process would
-  // reset their links.
-  const bool told = parts_.machine.Now() >= finished_at_ + kFinishedFor;
+bool HttpFront::TryFinishClosing(bool hurry) {
+  // A link accepted a moment ago may have its first query on the way, which would be lost.
+  ShedNewLinks(kIdleForClosing, kIdleForClosing, new_links_.size());
+  ShedIdleLinks(kIdleForClosing);
+  // Bytes behind the last answers are read and dropped first: otherwise the end of the process would reset
+  // the links before the clients have read their answers.
+  const bool linger_over = parts_.machine.Now() >= finished_at_ + kFinishGrace;
   const auto ended = [](const auto& link) { return link->Ended(); };
-  const bool all = std::ranges::all_of(unasked_, ended) && std::ranges::all_of(clients_, ended);
-  return owed_ == 0 && (open() == 0 || (told && (hurry || all)));
+  const bool all = std::ranges::all_of(new_links_, ended) && std::ranges::all_of(used_links_, ended);
+  return open_queries_ == 0 && (open() == 0 || (linger_over && (hurry || all)));
 }
 
 // ---- Client links ----------------------------------------------------------------------------------------
@@ -128,24 +129,25 @@
 Task<> HttpFront::Accept() {
   while (true) {
     bool all = AcceptWaiting();
-    // Without the pause for want of descriptors the listener would never be tried again: no edge tells of the
-    // connections that wait already.
-    co_await listener_->Wait(all ? kNever : parts_.machine.Now() + kAcceptPause);
+    // When descriptors are short, accepting is retried after a pause: the edge-triggered listener does not
+    // report connections that already wait.
+    co_await listener_->Wait(all ? kNever : parts_.machine.Now() + kAcceptRetryDelay);
   }
 }
 
-// False where connections are left waiting for want of descriptors or memory.
+// Accepts waiting connections. Returns false if some are left for lack of descriptors or memory.
 bool HttpFront::AcceptWaiting() {
   while (true) {
-    // Room is made only as the links shed close. Guards the limit in a burst of connections: a process that
-    // holds more than it may is stopped.
-    const size_t most = parts_.budget.max_links();
-    const bool over = parts_.config.in_service && open() >= most - most / kServersPart;
-    if (over || parts_.budget.open() >= most + parts_.budget.spare() / 2) {
-      // Beside those that end already. Guards the links that may stay: one that waits for its client's end is
-      // still counted, and each look for room would shed as many more.
-      const size_t wanted = kShedAtOnce - std::min(Ending(), kShedAtOnce);
-      if (wanted > 0) over ? ReleaseIdle(wanted) : parts_.budget.EnsureCapacity(wanted);
+    // Descriptors become free only as shed links close. In a burst of connections the limit must hold all the
+    // same: a process that exceeds it is stopped.
+    const size_t capacity = parts_.budget.max_links();
+    const bool over_client_share =
+        parts_.config.in_service && open() >= capacity - capacity / kServerLinksDivisor;
+    if (over_client_share || parts_.budget.open() >= capacity + parts_.budget.spare() / 2) {
+      // Links that are already ending still count, so they are subtracted: otherwise each pass would shed as
+      // many more, and close links that may stay.
+      const size_t wanted = kMaxShedAtOnce - std::min(Ending(), kMaxShedAtOnce);
+      if (wanted > 0) over_client_share ? ReleaseIdle(wanted) : parts_.budget.EnsureCapacity(wanted);
       return false;
     }
     std::unique_ptr<Stream> stream;
@@ -158,30 +160,30 @@
       case Listener::Accepted::kOne:
         break;
     }
-    // Without room the link is taken all the same, while the spare descriptors last: its query is ours from
-    // the moment the machine has taken it, and waits no longer here than in the machine's backlog.
+    // At the limit the link is accepted all the same while spare descriptors last: the operating system has
+    // already accepted its query, which waits no longer here than in the backlog.
     parts_.budget.EnsureCapacity();
     ++parts_.counters.client_links;
-    unasked_.push_back(std::make_unique<ClientLink>(std::move(stream), *this));
-    unasked_.back()->place = std::prev(unasked_.end());
-    unasked_.back()->Start();
+    new_links_.push_back(std::make_unique<ClientLink>(std::move(stream), *this));
+    new_links_.back()->position = std::prev(new_links_.end());
+    new_links_.back()->Start();
   }
 }
 
-// Links that end, and wait for their client's end at most.
+// Counts the links that are ending, or only wait for their client to close.
 size_t HttpFront::Ending() const {
   const auto ends = [](const auto& link) { return link->Ending(); };
-  return static_cast<size_t>(std::count_if(unasked_.begin(), unasked_.end(), ends) +
-                             std::count_if(clients_.begin(), clients_.end(), ends));
+  return static_cast<size_t>(std::count_if(new_links_.begin(), new_links_.end(), ends) +
+                             std::count_if(used_links_.begin(), used_links_.end(), ends));
 }
 
-// Clients come back at little cost. What has come on a link by then is still read and answered.
+// Closes client links: reconnecting costs clients little. Queries already received are still answered.
 bool HttpFront::ReleaseIdle(size_t wanted) {
   if (!parts_.config.in_service) return MakeRoomByAge(wanted);
   const Micros now = parts_.machine.Now();
   std::vector<ClientLink*> links;
   std::vector<LinkStatus> statuses;
-  for (const Links* some : {&unasked_, &clients_}) {
+  for (const Links* some : {&new_links_, &used_links_}) {
     for (const auto& link : *some) {
       links.push_back(link.get());
       statuses.push_back(link->Status(now));
@@ -189,93 +191,94 @@
   }
   const std::vector<size_t> first = ChooseLinksToClose(statuses, wanted);
   for (size_t i : first) {
-    statuses[i].activity == LinkStatus::Activity::kPartialQuery ? links[i]->Cut() : links[i]->Leave();
+    statuses[i].activity == LinkStatus::Activity::kPartialQuery ? links[i]->AbortUnfinished()
+                                                                : links[i]->CloseWhenIdle();
   }
   return !first.empty();
 }
 
-// The client link that has been idle longest makes room. One that was busy, or was accepted, a moment ago is
-// no idle one: its next query may be on its way, and is lost if the link closes now.
+// Closes the client link that has been idle longest. A link that was busy or accepted a moment ago does not
+// count as idle: its next query may be on its way, and would be lost.
 bool HttpFront::MakeRoomByAge(size_t wanted) {
-  ShedUnasked(kUnaskedForShedding, kUnaskedForShedding, wanted);
-  for (auto& link : clients_) {
+  ShedNewLinks(kNewLinkIdleForShedding, kNewLinkIdleForShedding, wanted);
+  for (auto& link : used_links_) {
     if (!link->IdleSince(parts_.machine.Now() - kIdleForShedding)) continue;
-    link->Leave();
+    link->CloseWhenIdle();
     return true;
   }
   return false;
 }
 
-// Links that have said nothing go first, many at once and soon: clients that open them by hundreds would
-// else keep the usual ones, who wait behind them to be accepted, out for seconds. What has come on a link by
-// then is still read and answered.
-void HttpFront::ShedUnasked(Micros idle_for, Micros unfinished_for, size_t most) {
+// Closes links that never carried a query, many at once and early: clients that open them by the hundred
+// would otherwise block ordinary clients, which wait behind them to be accepted, for seconds. Queries already
+// received are still answered.
+void HttpFront::ShedNewLinks(Micros idle_for, Micros unfinished_for, size_t limit) {
   const Micros now = parts_.machine.Now(), then = now - idle_for;
-  for (auto link = unasked_.begin(); link != unasked_.end() && most > 0; ++link) {
+  for (auto link = new_links_.begin(); link != new_links_.end() && limit > 0; ++link) {
     if ((*link)->IdleSince(then)) {
-      (*link)->Leave();
+      (*link)->CloseWhenIdle();
     } else if (parts_.config.in_service ? (*link)->StalledSince(now - unfinished_for)
                                         : (*link)->UnfinishedSince(now - unfinished_for)) {
-      (*link)->Cut();
+      (*link)->AbortUnfinished();
     } else {
       continue;
     }
-    --most;
+    --limit;
   }
 }
 
-void HttpFront::ShedIdle(Micros idle_for) {
+void HttpFront::ShedIdleLinks(Micros idle_for) {
   const Micros then = parts_.machine.Now() - idle_for;
-  for (auto& link : clients_) {
-    if (link->IdleSince(then)) link->Leave();
+  for (auto& link : used_links_) {
+    if (link->IdleSince(then)) link->CloseWhenIdle();
   }
 }
 
 Task<> HttpFront::Sweep() {
   while (true) {
-    co_await sweep_.Wait(parts_.machine.Now() + kSweepEvery);
-    if (crowded()) ShedIdle(kIdleWhereCrowded);
-    ShedUnasked(kUnaskedFor, kUnaskedFor, unasked_.size());  // each is owed an end within 3 s
+    co_await sweep_event_.Wait(parts_.machine.Now() + kSweepInterval);
+    if (crowded()) ShedIdleLinks(kIdleTimeoutCrowded);
+    ShedNewLinks(kNewLinkTimeout, kNewLinkTimeout, new_links_.size());  // each must end within 3 s
   }
 }
 
-// Of the links that clients may have an eighth stays for those that come meanwhile, to be told when to come
-// back. Guards the queries behind them: they would wait in the machine's line until their clients give up,
-// since each link that is there waits for an answer.
-size_t HttpFront::most_queries() const {
-  const size_t most = parts_.budget.max_links();
-  const size_t links = parts_.config.in_service ? most - most / kServersPart : most;
-  return links - std::max<size_t>(1, links / kSparePart);
+// An eighth of the client links is kept free of open queries, so that further clients can be accepted and
+// told when to retry. If every link waited for an answer, new connections would wait in the listen backlog
+// until their clients give up.
+size_t HttpFront::max_open_queries() const {
+  const size_t capacity = parts_.budget.max_links();
+  const size_t links = parts_.config.in_service ? capacity - capacity / kServerLinksDivisor : capacity;
+  return links - std::max<size_t>(1, links / kSpareLinksDivisor);
 }
 
-// All of them together stay within an eighth of the memory, however many links there are.
-size_t HttpFront::most_held() const {
+// Sized so that all links together stay within an eighth of the memory.
+size_t HttpFront::max_buffered_upload() const {
   const size_t links = static_cast<size_t>(parts_.config.sockets) / 2;
-  const size_t all = static_cast<size_t>(parts_.config.memory_mb) * 1024 * 1024 / kHeldPart;
-  return std::clamp(all / links, kLeastHeld, kMaxHeldBody);
+  const size_t all = static_cast<size_t>(parts_.config.memory_mb) * 1024 * 1024 / kBodyMemoryDivisor;
+  return std::clamp(all / links, kMinBufferedUpload, kMaxHeldBody);
 }
 
-void HttpFront::Busy(ClientLink& link) {
-  ++owed_;
-  if (!std::exchange(link.asked, true)) clients_.splice(clients_.end(), unasked_, link.place);
+void HttpFront::OnQueryStarted(ClientLink& link) {
+  ++open_queries_;
+  if (!std::exchange(link.had_query, true)) used_links_.splice(used_links_.end(), new_links_, link.position);
 }
 
-void HttpFront::Free(ClientLink& link) {
-  clients_.splice(clients_.end(), clients_, link.place);
-  if (--owed_ == 0 && state_ == State::kClosing) nothing_owed_();
+void HttpFront::OnQueryEnded(ClientLink& link) {
+  used_links_.splice(used_links_.end(), used_links_, link.position);
+  if (--open_queries_ == 0 && state_ == State::kClosing) all_answered_();
 }
 
-void HttpFront::Retire(ClientLink& link) {
-  retired_.push_back(&link);
-  bury_.Notify();
+void HttpFront::OnLinkEnded(ClientLink& link) {
+  ended_links_.push_back(&link);
+  erase_event_.Notify();
 }
 
-// Not at once: a link that retires is still running.
-Task<> HttpFront::Bury() {
+// Erases ended links later, because a link that reports its end is still running.
+Task<> HttpFront::EraseEnded() {
   while (true) {
-    co_await bury_.Wait();
-    for (ClientLink* link : retired_) (link->asked ? clients_ : unasked_).erase(link->place);
-    retired_.clear();
+    co_await erase_event_.Wait();
+    for (ClientLink* link : ended_links_) (link->had_query ? used_links_ : new_links_).erase(link->position);
+    ended_links_.clear();
   }
 }
 
--- a/src/front/http_front.h
+++ b/src/front/http_front.h
@@ -1,5 +1,5 @@
-// The HTTP/1.1 front: the listener, and the client links. What a query is allowed to ask the gates say, and
-// what becomes of it the dispatcher.
+// The HTTP/1.1 front: the listener and the client links. The gates decide which queries are admitted; the
+// dispatcher handles the admitted ones.
 #ifndef BURLFALL_FRONT_HTTP_FRONT_H_
 #define BURLFALL_FRONT_HTTP_FRONT_H_
 
@@ -27,11 +27,11 @@
 class HttpFront final : public LinkHolder {
  public:
   enum class State {
-    kShut,     // nothing is accepted yet
-    kOpen,     // and says so, to whoever asks at /up
-    kAside,    // as leaving, but may be open again
-    kLeaving,  // still accepts and answers, and asks clients to go elsewhere
-    kClosing,  // accepts nothing more, answers what it owes
+    kNotOpen,          // nothing is accepted yet
+    kOpen,             // accepts queries, and /up says so
+    kDrainedManually,  // as kLeaving, but the front may be opened again
+    kLeaving,          // still accepts and answers, and asks clients to go elsewhere
+    kClosing,          // accepts nothing more, answers the open queries
   };
   struct Parts {
     Machine& machine;
@@ -42,41 +42,42 @@
     RateLimiter& rate_limiter;
     Figures* figures;  // nullptr: off
     Counters& counters;
-    // For a query with so much time: when to come back, where this balancer can't be of use before; nothing
-    // where it may pass. Empty: all may.
-    std::function<std::optional<Micros>(Micros patience)> not_ready = {};
+    // For a query with this timeout: nothing if it may pass, or the time after which to retry if this
+    // balancer can't serve it before. Empty: all may pass.
+    std::function<std::optional<Micros>(Micros timeout)> not_ready = {};
   };
 
-  // Binds the address; throws std::system_error where that can't be done.
+  // Binds the address, or throws std::system_error.
   explicit HttpFront(const Parts& parts);
   ~HttpFront();
 
   void Open();
-  // Says no at /up, and asks clients to go elsewhere; ThinOut() is then to be called now and then.
-  void StandAside();
-  void ThinOut();
-  void ComeBack();
-  // The door: connections wait in the machine's line meanwhile.
-  void Shut();
-  bool Reopen();  // false: it was open
-  // Links go over to another process as they become quiet, each with one call of `pass`. Stir() tries those
-  // anew that found no room. nullptr: no more.
-  using Passing = std::function<Io(Stream&, const QuietLink&)>;
-  void PassOn(Passing pass);
-  void Stir();
-  void Take(std::unique_ptr<Stream> stream, QuietLink link);  // one that another process passed on
-  void Leave();
-  // What has connected before the listener closes is served too.
+  // Answers "not serving" at /up and asks clients to go elsewhere. Needs regular calls of CloseIdleLinks().
+  void DrainManually();
+  void CloseIdleLinks();
+  void EndManualDrain();
+  // Stops accepting; connections wait in the listen backlog.
+  void StopAccepting();
+  bool StartAccepting();  // false: it already accepts
+  // Hands the links over to another process as they become idle, each with one call of `hand_over`.
+  // WakeLinks() retries those for which it returned Io::kLater. nullptr ends the hand-over.
+  using HandOverLink = std::function<Io(Stream&, const HandedOverLink&)>;
+  void HandOverLinks(HandOverLink hand_over);
+  void WakeLinks();
+  void AdoptLink(std::unique_ptr<Stream> stream, HandedOverLink link);  // handed over by another process
+  void StartLeaving();
+  // Closes the listener; connections already made are still served.
   void Close();
-  // One step of closing; true once nothing is owed and no link is left, or none is owed and `hurry`.
-  bool Closed(bool hurry);
-  // Called when the last query that was owed has been answered while it closes.
-  void OnNothingOwed(std::function<void()> told) { nothing_owed_ = std::move(told); }
+  // One step of closing. Returns true once no query is open and all links have ended; with `hurry`, once no
+  // query is open and the last answers have had time to be read.
+  bool TryFinishClosing(bool hurry);
+  // `callback` is called when the last open query has been answered while the front closes.
+  void OnAllAnswered(std::function<void()> callback) { all_answered_ = std::move(callback); }
   uint16_t port() const;
-  // That may be at hand at a time.
-  size_t most_queries() const;
+  // The number of queries that may be open at a time.
+  size_t max_open_queries() const;
 
-  size_t open() const override { return unasked_.size() + clients_.size(); }
+  size_t open() const override { return new_links_.size() + used_links_.size(); }
   bool ReleaseIdle(size_t wanted) override;
 
  private:
@@ -86,46 +87,46 @@
   Task<> Accept();
   bool AcceptWaiting();
   Task<> Sweep();
-  Task<> Bury();
+  Task<> EraseEnded();
   size_t Ending() const;
   bool MakeRoomByAge(size_t wanted);
-  void ShedUnasked(Micros idle_for, Micros unfinished_for, size_t most);
-  void ShedIdle(Micros idle_for);
+  void ShedNewLinks(Micros idle_for, Micros unfinished_for, size_t limit);
+  void ShedIdleLinks(Micros idle_for);
   bool crowded() const { return open() * 6 >= static_cast<size_t>(parts_.config.sockets); }
 
   // For the client links.
   bool up() const { return state_ == State::kOpen; }
   bool leaving() const { return state_ > State::kOpen; }
-  // Descriptors run short, or clients do: they may hold a third of them, and some keep for good what they
-  // asked on once, which shuts the others out.
+  // Whether descriptors run short, or client links hold more than their third of them: some clients keep a
+  // link open for good after one query, which would shut others out.
   bool tight() const { return parts_.budget.tight() || crowded(); }
   ByteBudget& bytes() { return bytes_; }
-  size_t most_held() const;  // of a large query, between client and server
-  bool passes() const { return static_cast<bool>(pass_); }
-  Io Pass(Stream& stream, const QuietLink& as) { return pass_(stream, as); }
-  void Busy(ClientLink& link);
-  void Free(ClientLink& link);
-  void Finished() { finished_at_ = parts_.machine.Now(); }
-  void Retire(ClientLink& link);
+  size_t max_buffered_upload() const;  // bytes of a streamed query between client and server
+  bool handing_over() const { return static_cast<bool>(hand_over_link_); }
+  Io HandOver(Stream& stream, const HandedOverLink& as) { return hand_over_link_(stream, as); }
+  void OnQueryStarted(ClientLink& link);
+  void OnQueryEnded(ClientLink& link);
+  void OnSendingEnded() { finished_at_ = parts_.machine.Now(); }
+  void OnLinkEnded(ClientLink& link);
 
   Parts parts_;
-  const NameIndex classes_, tenants_;  // of the settings, which stay as they are
-  State state_ = State::kShut;
+  const NameIndex classes_, tenants_;  // of the settings, which don't change
+  State state_ = State::kNotOpen;
   std::unique_ptr<Listener> listener_;
-  bool shut_ = true;
-  Passing pass_;
-  int owed_ = 0;            // links with a query at hand
-  Micros finished_at_ = 0;  // when the sending side of one was last ended
-  std::function<void()> nothing_owed_ = [] {};
-  ByteBudget bytes_;  // that whole bodies may hold
-  Event sweep_;
-  Event bury_;
-  std::vector<ClientLink*> retired_;
-  Links unasked_;  // without a query so far, the oldest first
-  Links clients_;  // the one that answered least lately first
-  Task<> accept_;  // the tasks last: what they use must outlive them
-  Task<> sweeper_;
-  Task<> burier_;
+  bool not_accepting_ = true;
+  HandOverLink hand_over_link_;
+  int open_queries_ = 0;    // links with an open query
+  Micros finished_at_ = 0;  // when the sending side of a link was last ended
+  std::function<void()> all_answered_ = [] {};
+  ByteBudget bytes_;  // for bodies that are held completely
+  Event sweep_event_;
+  Event erase_event_;
+  std::vector<ClientLink*> ended_links_;
+  Links new_links_;     // without a query so far, oldest first
+  Links used_links_;    // least recently answered first
+  Task<> accept_task_;  // the tasks last: what they use must outlive them
+  Task<> sweep_task_;
+  Task<> erase_task_;
 };
 
 }  // namespace burlfall
--- a/src/front/upload.h
+++ b/src/front/upload.h
@@ -1,4 +1,4 @@
-// The rest of a large query, between the client's link that reads it and the attempt that sends it.
+// The body of a large query, as it passes from the client link that reads it to the attempt that sends it.
 #ifndef BURLFALL_FRONT_UPLOAD_H_
 #define BURLFALL_FRONT_UPLOAD_H_
 
@@ -10,51 +10,52 @@
 
 namespace burlfall {
 
-// Both hold it: the attempt may outlive the link, and the link the attempt.
+// Shared by the client link and the attempt: each may outlive the other.
 class Upload final : public BodySource {
  public:
-  // `wanted` is called with each piece that is taken: there is room for the next.
-  Upload(Scheduler& scheduler, std::function<void()> wanted) : wanted_(std::move(wanted)), come_(scheduler) {}
+  // `on_taken` is called whenever the attempt takes bytes, so that the link reads on.
+  Upload(Scheduler& scheduler, std::function<void()> on_taken)
+      : on_taken_(std::move(on_taken)), arrived_(scheduler) {}
 
-  // The attempt's side.
+  // For the attempt.
   Next Take(std::string& into) override {
-    began_ = true;
+    started_ = true;
     const bool some = !ready_.empty();
     into.append(ready_);
     ready_.clear();
-    if (wanted_ && !whole_) wanted_();
-    return some ? Next::kSome : whole_ ? Next::kDone : wanted_ ? Next::kLater : Next::kBroken;
+    if (on_taken_ && !complete_) on_taken_();
+    return some ? Next::kSome : complete_ ? Next::kDone : on_taken_ ? Next::kLater : Next::kBroken;
   }
-  Signal& signal() override { return come_; }
-  Micros Patience() const override { return patience_; }
+  Signal& signal() override { return arrived_; }
+  Micros Patience() const override { return answer_deadline_; }
 
-  // The link's side.
-  bool began() const { return began_; }  // something was asked for: it can't be sent anew
-  bool whole() const { return whole_; }
+  // For the client link.
+  bool started() const { return started_; }  // the attempt takes bytes: the query can't be sent again
+  bool complete() const { return complete_; }
   size_t held() const { return ready_.size(); }
-  void Put(std::string& bytes) {
+  void Append(std::string& bytes) {
     if (bytes.empty()) return;
     ready_.append(bytes);
     bytes.clear();
-    come_.Notify();
+    arrived_.Notify();
   }
-  void Finish(Micros patience) {
-    whole_ = true;
-    patience_ = patience;
-    come_.Notify();
+  void SetComplete(Micros answer_deadline) {
+    complete_ = true;
+    answer_deadline_ = answer_deadline;
+    arrived_.Notify();
   }
-  void Leave() {  // the link ends; what has not come never will
-    wanted_ = nullptr;
-    come_.Notify();
+  void Abandon() {  // the link ends: no more bytes will come
+    on_taken_ = nullptr;
+    arrived_.Notify();
   }
 
  private:
-  std::function<void()> wanted_;
-  Event come_;
+  std::function<void()> on_taken_;
+  Event arrived_;
   std::string ready_;
-  Micros patience_ = kNever;
-  bool began_ = false;
-  bool whole_ = false;
+  Micros answer_deadline_ = kNever;
+  bool started_ = false;
+  bool complete_ = false;
 };
 
 }  // namespace burlfall
--- a/src/serve/program.cpp
+++ b/src/serve/program.cpp
@@ -110,7 +110,7 @@
         machine, properties.capture, config_, hosts_, [this] { return dispatcher_.Save(); }, log, counters_);
   }
   dispatcher_.Observe(figures_.get(), capture_.get());
-  front_.OnNothingOwed([this] {
+  front_.OnAllAnswered([this] {
     nothing_owed_at_ = machine_.Now();
     moved_.Notify();
   });
@@ -213,7 +213,7 @@
 
 void Program::Allow() {
   budget_.SetDescriptors(descriptors(), other_.descriptors + (control_ ? Calls(descriptors()) + 1 : 0));
-  dispatcher_.SetMaxOpenQueries(front_.most_queries());
+  dispatcher_.SetMaxOpenQueries(front_.max_open_queries());
 }
 
 // ---- The start -------------------------------------------------------------------------------------------
@@ -306,7 +306,7 @@
   if (!Serving()) return;
   phase_ = Phase::kDraining;
   log_.Tell<"draining">(front_.open());
-  front_.Leave();
+  front_.StartLeaving();
   moved_.Notify();
 }
 
@@ -346,7 +346,7 @@
   while (phase_ != Phase::kClosing) {
     switch (phase_) {
       case Phase::kAside:
-        if (machine_.Now() >= aside_since_ + kAsideThinAfter) front_.ThinOut();
+        if (machine_.Now() >= aside_since_ + kAsideThinAfter) front_.CloseIdleLinks();
         co_await moved_.Wait(machine_.Now() + kAsideStep);
         break;
       case Phase::kDraining:
@@ -386,7 +386,7 @@
       phase_ = Phase::kClosing;
       break;
     }
-    front_.Stir();
+    front_.WakeLinks();
     if (machine_.Now() >= tell_at) {
       TellUse();
       tell_at = machine_.Now() + kTellUseEvery;
@@ -402,7 +402,7 @@
   // bytes that were not read would reset its link.
   nothing_owed_at_ = machine_.Now();
   const Micros latest = told_to_end_at_ ? *told_to_end_at_ + AnswersWithin(config_.settings) : kNever;
-  while (!front_.Closed(machine_.Now() >= std::min(nothing_owed_at_ + kCloseFor, latest))) {
+  while (!front_.TryFinishClosing(machine_.Now() >= std::min(nothing_owed_at_ + kCloseFor, latest))) {
     co_await moved_.Wait(machine_.Now() + kCloseStep);
   }
 }
--- a/src/serve/program_handover.cpp
+++ b/src/serve/program_handover.cpp
@@ -44,7 +44,7 @@
     why = "a claim to a process that does not serve";
     return estate;
   }
-  front_.Shut();
+  front_.StopAccepting();
   estate.emplace();
   estate->settings = config_.settings_json;
   estate->aside = phase_ == Phase::kAside;
@@ -57,7 +57,7 @@
 
 void Program::KeepDoor() {
   if (!Serving() && phase_ != Phase::kDraining) return;
-  if (front_.Reopen()) log_.Tell<"door_kept">();  // an heir that came no further may be told of twice
+  if (front_.StartAccepting()) log_.Tell<"door_kept">();  // an heir that came no further may be told of twice
 }
 
 void Program::HandOn() {
@@ -67,7 +67,7 @@
     phase_ = Phase::kHandedOver;
   }
   log_.Tell<"handed_over">(front_.open(), dispatcher_.open());
-  front_.Shut();
+  front_.StopAccepting();
   member_.reset();  // without a word: the heir goes on in its place, and nobody misses it
   if (council_) {   // likewise; its disk and its address are the heir's
     council_->Shut();
@@ -77,8 +77,8 @@
   HostsChanged();
   upstream_.CloseAllIdle();
   TellUse();
-  front_.PassOn([this](Stream& stream, const QuietLink& link) {
-    const Io passed = handover_->Pass(stream, {link.asked, link.began, link.read});
+  front_.HandOverLinks([this](Stream& stream, const HandedOverLink& link) {
+    const Io passed = handover_->Pass(stream, {link.had_query, link.query_began_at, link.buffered});
     heir_takes_ = passed != Io::kLater;
     return passed;
   });
@@ -91,8 +91,8 @@
   if (phase_ != Phase::kHandedOver) return;
   log_.Tell<"taken_back">(handover_->links_lost());
   phase_ = before_hand_on_;
-  front_.PassOn(nullptr);
-  front_.Reopen();
+  front_.HandOverLinks(nullptr);
+  front_.StartAccepting();
   Join();
   hosts_.LeaveCold(false, machine_.Now());
   HostsChanged();
@@ -103,12 +103,12 @@
 void Program::LastOwner() {
   if (phase_ != Phase::kHandedOver) return;
   phase_ = Phase::kClosing;
-  front_.PassOn(nullptr);
+  front_.HandOverLinks(nullptr);
   moved_.Notify();
 }
 
 void Program::TakeLink(std::unique_ptr<Stream> stream, PassedLink link) {
-  front_.Take(std::move(stream), {link.asked, link.began, std::move(link.read)});
+  front_.AdoptLink(std::move(stream), {link.asked, link.began, std::move(link.read)});
 }
 
 void Program::OtherUses(const Use& use) {
--- a/src/serve/program_operations.cpp
+++ b/src/serve/program_operations.cpp
@@ -152,10 +152,10 @@
   if (aside) {
     aside_since_ = machine_.Now();
     log_.Tell<"drained">(front_.open());
-    front_.StandAside();
+    front_.DrainManually();
   } else {
     log_.Tell<"back_to_work">((machine_.Now() - aside_since_) / kMs);
-    front_.ComeBack();
+    front_.EndManualDrain();
   }
   moved_.Notify();
 }
