--- a/src/front/http_front.cpp
+++ b/src/front/http_front.cpp
@@ -179,7 +179,7 @@
 
 // Closes client links: reconnecting costs clients little. Queries already received are still answered.
 bool HttpFront::ReleaseIdle(size_t wanted) {
-  if (!parts_.config.in_service) return MakeRoomByAge(wanted);
+  if (!parts_.config.in_service) return ReleaseIdleByAge(wanted);
   const Micros now = parts_.machine.Now();
   std::vector<ClientLink*> links;
   std::vector<LinkStatus> statuses;
@@ -199,7 +199,7 @@
 
 // Closes the client link that has been idle longest. A link that was busy or accepted a moment ago does not
 // count as idle: its next query may be on its way, and would be lost.
-bool HttpFront::MakeRoomByAge(size_t wanted) {
+bool HttpFront::ReleaseIdleByAge(size_t wanted) {
   ShedNewLinks(kNewLinkIdleForShedding, kNewLinkIdleForShedding, wanted);
   for (auto& link : used_links_) {
     if (!link->IdleSince(parts_.machine.Now() - kIdleForShedding)) continue;
--- a/src/front/http_front.h
+++ b/src/front/http_front.h
@@ -89,7 +89,7 @@
   Task<> Sweep();
   Task<> EraseEnded();
   size_t Ending() const;
-  bool MakeRoomByAge(size_t wanted);
+  bool ReleaseIdleByAge(size_t wanted);
   void ShedNewLinks(Micros idle_for, Micros unfinished_for, size_t limit);
   void ShedIdleLinks(Micros idle_for);
   bool crowded() const { return open() * 6 >= static_cast<size_t>(parts_.config.sockets); }
--- a/src/upstream/http_upstream.cpp
+++ b/src/upstream/http_upstream.cpp
@@ -27,7 +27,7 @@
 // sent one are not reused for kQuietPeriod after each answer, until it has sent none for kUnsolicitedMemory.
 constexpr Micros kQuietPeriod = 50 * kMs;
 constexpr Micros kUnsolicitedMemory = 600 * kSecond;
-// A server that accepts no byte of a query for this long is given up.
+// A server that does not accept the next piece of a large query within this time is given up.
 constexpr Micros kStreamStallTimeout = 10 * kSecond;
 
 // Reads in a row before other tasks get their turn; more than a well-formed answer that is held needs.
