--- a/fuzz/http_fuzz.cpp
+++ b/fuzz/http_fuzz.cpp
@@ -1,5 +1,6 @@
-// Any bytes as HTTP messages, in any pieces: reading them never crashes, what is held stays bounded, and the
-// pieces in which they come change nothing. The first byte says what is read and how it is cut.
+// Parses arbitrary bytes as HTTP messages, split into pieces: parsing must not crash, the buffer must stay
+// bounded, and the result must not depend on the split. The first byte selects the message kind and the piece
+// size.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
@@ -13,46 +14,46 @@
 using namespace burlfall;
 
 std::string Head(const HttpMessage& m) {
-  std::string said = m.method + m.target + std::to_string(m.status);
-  for (const Header& h : m.headers) said += ";" + h.name + ":" + h.value;
-  return said + "/";
+  std::string transcript = m.method + m.target + std::to_string(m.status);
+  for (const Header& h : m.headers) transcript += ";" + h.name + ":" + h.value;
+  return transcript + "/";
 }
 
-// All messages in the bytes, as one text; how the last one ended is its last word.
+// Returns all messages in the bytes as one text, followed by the parser's last result.
 std::string Read(HttpParser::Kind kind, std::string_view bytes, size_t piece) {
   HttpParser parser(kind, 1 << 20, 256);
-  std::string said, buffer;
+  std::string transcript, buffer;
   Parsed parsed = Parsed::kMore;
-  bool parted = false;
+  bool streamed = false;
   while (parsed == Parsed::kMore && (!bytes.empty() || !buffer.empty())) {
     const size_t before = buffer.size();
     buffer += bytes.substr(0, piece);
-    const bool came = !bytes.empty();
+    const bool had_input = !bytes.empty();
     bytes.remove_prefix(std::min(piece, bytes.size()));
     parsed = parser.Feed(buffer);
     if (parsed == Parsed::kHeadComplete) {
-      parted = true;
+      streamed = true;
       const HttpMessage head = parser.TakeHead();
-      said += Head(head) + head.body;
+      transcript += Head(head) + head.body;
       parsed = parser.Feed(buffer);
-      if (parsed == Parsed::kHeadComplete) std::abort();  // it is said once
+      if (parsed == Parsed::kHeadComplete) std::abort();  // reported only once per message
     }
-    if (parted) {
-      said += parser.body();
+    if (streamed) {
+      transcript += parser.body();
       parser.body().clear();
     }
     if (buffer.size() > kMaxHead + piece + 512) std::abort();
     if (parsed == Parsed::kDone) {
       const HttpMessage whole = parser.Take();
-      if (!parted) said += Head(whole) + whole.body;
-      said += "|";
-      parted = false;
+      if (!streamed) transcript += Head(whole) + whole.body;
+      transcript += "|";
+      streamed = false;
       parsed = Parsed::kMore;
-    } else if (!came && buffer.size() == before) {
+    } else if (!had_input && buffer.size() == before) {
       break;
     }
   }
-  return said + std::to_string(static_cast<int>(parsed));
+  return transcript + std::to_string(static_cast<int>(parsed));
 }
 
 }  // namespace
--- a/tests/features/rate_limiter_test.cpp
+++ b/tests/features/rate_limiter_test.cpp
@@ -1,4 +1,4 @@
-// Door limits: the buckets, their bounds, and what a client is told.
+// Rate limits at admission: the token buckets, the table's bound, and the answers to clients.
 #include "gates/rate_limiter.h"
 
 #include "stories/peers.h"
@@ -20,11 +20,13 @@
   return answer.substr(at, answer.find("\r\n", at) - at);
 }
 
-std::string By(const std::string& tenant) { return tenant.empty() ? "" : "X-Customer: " + tenant + "\r\n"; }
+std::string TenantHeader(const std::string& tenant) {
+  return tenant.empty() ? "" : "X-Customer: " + tenant + "\r\n";
+}
 
 }  // namespace
 
-TEST_CASE("a caller may send its burst, then its rate, and is told when the next token is back") {
+TEST_CASE("a caller may send its burst, then its rate, and gets the time until the next token") {
   RateLimiter limiter;
   CHECK_FALSE(limiter.CheckLimit("a", 0));  // off
   limiter.Configure(Limits(50, 3));
@@ -32,16 +34,16 @@
   for (int i = 0; i < 3; ++i) CHECK_FALSE(limiter.CheckLimit("a", now));
   CHECK(limiter.CheckLimit("a", now) == 20000);
   CHECK(limiter.CheckLimit("a", now + 5000) == 15000);
-  CHECK_FALSE(limiter.CheckLimit("b", now));  // each for itself
+  CHECK_FALSE(limiter.CheckLimit("b", now));  // each caller has its own bucket
   CHECK_FALSE(limiter.CheckLimit("a", now + 20000));
   CHECK(limiter.CheckLimit("a", now + 20000) == 20000);
   now += 3600 * kSecond;  // no more than the burst is saved up
   for (int i = 0; i < 3; ++i) CHECK_FALSE(limiter.CheckLimit("a", now));
   CHECK(limiter.CheckLimit("a", now));
-  CHECK(limiter.CheckLimit("a", now - kSecond));  // a clock that steps back gives nothing, and takes nothing
+  CHECK(limiter.CheckLimit("a", now - kSecond));  // a clock that steps back neither adds nor removes tokens
 }
 
-TEST_CASE("at any rate the time that a caller is told is enough") {
+TEST_CASE("at any rate the announced wait is long enough") {
   for (double rate : {0.3, 1.0, 3.0, 7.0, 33.3, 999.0, 100000.0}) {
     CAPTURE(rate);
     RateLimiter limiter;
@@ -57,7 +59,7 @@
   }
 }
 
-TEST_CASE("a rate that is next to nothing is told as a time that can be written") {
+TEST_CASE("a tiny rate yields a wait that can be formatted") {
   RateLimiter limiter;
   limiter.Configure(Limits(5e-324, 1));
   CHECK_FALSE(limiter.CheckLimit("a", kSecond));
@@ -66,7 +68,7 @@
   CHECK(RateLimiter::FormatSeconds(*wait) == "1000000000");
 }
 
-TEST_CASE("seconds are rounded up and written as short as they go") {
+TEST_CASE("seconds are rounded up and formatted as short as possible") {
   CHECK(RateLimiter::FormatSeconds(20000) == "0.02");
   CHECK(RateLimiter::FormatSeconds(20001) == "0.021");
   CHECK(RateLimiter::FormatSeconds(1) == "0.001");
@@ -77,7 +79,7 @@
   CHECK(RateLimiter::FormatSeconds(1050 * kMs) == "1.05");
 }
 
-TEST_CASE("a rate of nothing refuses everything, for good") {
+TEST_CASE("a rate of 0 refuses everything permanently") {
   DoorSettings settings = Limits(20, 40);
   settings.own["shut"] = {0, 40};
   RateLimiter limiter;
@@ -87,7 +89,7 @@
   CHECK_FALSE(limiter.CheckLimit("open", kSecond));
 }
 
-TEST_CASE("the table stays bounded and forgets the caller seen least lately") {
+TEST_CASE("the table stays bounded and evicts the least recently seen caller") {
   DoorSettings settings = Limits(0.001, 1);
   settings.max_keys = 3;
   RateLimiter limiter;
@@ -103,7 +105,7 @@
   CHECK(limiter.caller_count() == 3);
 }
 
-TEST_CASE("new rates hold at once, and callers keep what they have used") {
+TEST_CASE("new rates apply at once, and callers keep the state of their buckets") {
   RateLimiter limiter;
   limiter.Configure(Limits(1, 10));
   for (int i = 0; i < 10; ++i) CHECK_FALSE(limiter.CheckLimit("a", kSecond));
@@ -116,7 +118,7 @@
   CHECK(limiter.caller_count() == 0);
 }
 
-TEST_CASE("an excess query is answered 429 at the door, reaches no server, and its link stays usable") {
+TEST_CASE("an excess query is answered 429 at admission, reaches no server, and its link stays usable") {
   Peer server;
   TextFile file(
       "door.rate.wechselstrom-aare = 50\ndoor.burst.wechselstrom-aare = 2\ndoor.rate.shut = 0\n"
@@ -125,14 +127,16 @@
   Link client = Link::To(program.port);
   std::optional<Link> link;
   auto served = [&](const std::string& tenant) {
-    client.Write("POST /open HTTP/1.1\r\nX-Trace-Id: t\r\n" + By(tenant) + "Content-Length: 4\r\n\r\nbody");
+    client.Write("POST /open HTTP/1.1\r\nX-Trace-Id: t\r\n" + TenantHeader(tenant) +
+                 "Content-Length: 4\r\n\r\nbody");
     if (!link) link.emplace(server.Accept());
     CHECK(link->Read().ends_with("body"));
     link->Write(Ok("fine"));
     CHECK(client.Read().ends_with("fine"));
   };
   auto refused = [&](const std::string& tenant) {
-    client.Write("POST /open HTTP/1.1\r\nX-Trace-Id: t\r\n" + By(tenant) + "Content-Length: 4\r\n\r\nbody");
+    client.Write("POST /open HTTP/1.1\r\nX-Trace-Id: t\r\n" + TenantHeader(tenant) +
+                 "Content-Length: 4\r\n\r\nbody");
     std::string answer = client.Read();
     CHECK(answer.starts_with("HTTP/1.1 429 Too Many Requests\r\n"));
     return Header(answer, "Retry-After");
@@ -145,19 +149,20 @@
   CHECK(std::stod(refused("-")) > 900);  // the same key
   served("akku-punkt-lu");
   refused("akku-punkt-lu");
-  // As often as it takes to be too fast: at 50 a second a slow machine may earn tokens meanwhile.
-  std::string told;
-  for (int i = 0; i < 500 && told.empty(); ++i) {
+  // Repeated until a query exceeds the rate: at 50 per second a slow machine may earn tokens in between.
+  std::string retry_after;
+  for (int i = 0; i < 500 && retry_after.empty(); ++i) {
     std::string burst;
-    for (int k = 0; k < 4; ++k) burst += "GET /look HTTP/1.1\r\n" + By("wechselstrom-aare") + "\r\n";
-    client.Write(burst);  // names a class, but has no trace id: 400 once it is through the door
+    for (int k = 0; k < 4; ++k)
+      burst += "GET /look HTTP/1.1\r\n" + TenantHeader("wechselstrom-aare") + "\r\n";
+    client.Write(burst);  // names a class, but has no trace id: 400 once it is admitted
     for (int k = 0; k < 4; ++k) {
       std::string answer = client.Read();
-      if (answer.starts_with("HTTP/1.1 429 ")) told = Header(answer, "Retry-After");
+      if (answer.starts_with("HTTP/1.1 429 ")) retry_after = Header(answer, "Retry-After");
     }
   }
-  CHECK(std::stod(told) > 0);
-  CHECK(std::stod(told) <= 0.02);
+  CHECK(std::stod(retry_after) > 0);
+  CHECK(std::stod(retry_after) <= 0.02);
   client.Write("GET /up HTTP/1.1\r\n\r\n");
   CHECK(client.Read().starts_with("HTTP/1.1 200 "));
 
@@ -171,13 +176,14 @@
   CHECK(program.output.find(" sent=3 ") != std::string::npos);
 }
 
-TEST_CASE("callers may be told apart by their address") {
+TEST_CASE("callers may be identified by their address") {
   Peer server;
   TextFile file("door.key = address\ndoor.rate.127.0.0.1 = 0.001\ndoor.burst.127.0.0.1 = 1\n");
   Program program(ConfigText({.known = Entry("s-1", server.port)}), {"serve", "--config", file.path});
   for (int i = 0; i < 2; ++i) {
     Link client = Link::To(program.port);  // from another port each time
-    client.Write("GET /look HTTP/1.1\r\n" + By(std::string("t").append(std::to_string(i))) + "\r\n");
+    client.Write("GET /look HTTP/1.1\r\n" + TenantHeader(std::string("t").append(std::to_string(i))) +
+                 "\r\n");
     CHECK(client.Read().starts_with(i == 0 ? "HTTP/1.1 400 " : "HTTP/1.1 429 "));
   }
 }
--- a/tests/features/tokens_test.cpp
+++ b/tests/features/tokens_test.cpp
@@ -1,4 +1,4 @@
-// Tokens: their text, their verdicts, and what clients are told.
+// Access tokens: their text format, the verdicts, and the answers to clients.
 #include "gates/tokens.h"
 
 #include <array>
@@ -11,14 +11,14 @@
 
 const std::string kHex1 = "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f";
 const std::string kHex2 = "ffeeddccbbaa99887766554433221100FFEEDDCCBBAA99887766554433221100";
-constexpr int64_t kThen = 1717000000;
+constexpr int64_t kExpiry = 1717000000;
 
 TokensSettings Keys(const std::string& text) {
   TextFile file(text);
   return LoadProperties(file.path, *MakeRealFiles()).tokens;
 }
 
-Tokens Both() {
+Tokens TwoKeyTokens() {
   Tokens tokens;
   tokens.Configure(Keys("tokens.key.k1 = " + kHex1 + "\ntokens.key.k2 = " + kHex2 + "\n"));
   return tokens;
@@ -40,36 +40,37 @@
   }
 }
 
-// The signature was made with another program: openssl dgst -sha256 -mac HMAC -macopt hexkey:KEY.
-TEST_CASE("a token is signed as others sign it") {
-  const std::string token = Both().Issue("k1", "wechselstrom-aare", "stock-query+slot-release", kThen);
+// The expected signature was made with: openssl dgst -sha256 -mac HMAC -macopt hexkey:KEY.
+TEST_CASE("a token's signature is the one that openssl makes") {
+  const std::string token =
+      TwoKeyTokens().Issue("k1", "wechselstrom-aare", "stock-query+slot-release", kExpiry);
   CHECK(token ==
         "v1.k1.d2VjaHNlbHN0cm9tLWFhcmU.stock-query+slot-release.1717000000."
         "fnPfAcnbyleZi6LI9BPCVLKFsSNQgjAbKMLzO6Vih0s");
 }
 
 TEST_CASE("the verdicts, and their order") {
-  const Tokens tokens = Both();
-  const Micros now = kThen * kSecond;
-  const std::string good = tokens.Issue("k2", "wechselstrom-aare", "swap-charge+slot-release", kThen + 10);
+  const Tokens tokens = TwoKeyTokens();
+  const Micros now = kExpiry * kSecond;
+  const std::string good = tokens.Issue("k2", "wechselstrom-aare", "swap-charge+slot-release", kExpiry + 10);
   CHECK(tokens.Check(good, "swap-charge", now) == Verdict::kPass);
   CHECK(tokens.Check(good, "slot-release", now) == Verdict::kPass);
   for (std::string cls : {"stock-query", "swap", "swap-charge+slot-release", "charge", ""}) {
     CAPTURE(cls);
     CHECK(tokens.Check(good, cls, now) == Verdict::kLacksClass);
   }
-  CHECK(tokens.Check(good, "swap-charge", (kThen + 15) * kSecond) == Verdict::kPass);  // the leeway
-  CHECK(tokens.Check(good, "swap-charge", (kThen + 15) * kSecond + 1) == Verdict::kExpired);
-  CHECK(tokens.Check(good, "stock-query", (kThen + 16) * kSecond) == Verdict::kExpired);
-  CHECK(tokens.Check("", "swap-charge", now) == Verdict::kPass);  // none is required
+  CHECK(tokens.Check(good, "swap-charge", (kExpiry + 15) * kSecond) == Verdict::kPass);  // the leeway
+  CHECK(tokens.Check(good, "swap-charge", (kExpiry + 15) * kSecond + 1) == Verdict::kExpired);
+  CHECK(tokens.Check(good, "stock-query", (kExpiry + 16) * kSecond) == Verdict::kExpired);
+  CHECK(tokens.Check("", "swap-charge", now) == Verdict::kPass);  // no token is required
 
-  // Any byte changed, anything cut off or added is forged, and that goes before expired.
+  // A token with a changed, missing or added byte is forged, even if it has also expired.
   for (size_t i = 0; i < good.size(); ++i) {
-    std::string bent = good;
-    bent[i] = bent[i] == 'A' ? 'B' : 'A';
-    CAPTURE(bent);
-    CHECK(tokens.Check(bent, "swap-charge", now) == Verdict::kForged);
-    CHECK(tokens.Check(bent, "swap-charge", now * 2) == Verdict::kForged);
+    std::string altered = good;
+    altered[i] = altered[i] == 'A' ? 'B' : 'A';
+    CAPTURE(altered);
+    CHECK(tokens.Check(altered, "swap-charge", now) == Verdict::kForged);
+    CHECK(tokens.Check(altered, "swap-charge", now * 2) == Verdict::kForged);
     CHECK(tokens.Check(good.substr(0, i), "swap-charge", now) ==
           (i == 0 ? Verdict::kPass : Verdict::kForged));
   }
@@ -80,35 +81,35 @@
   Tokens other;
   other.Configure(Keys("tokens.key.k2 = " + kHex1));
   CHECK(other.Check(good, "swap-charge", now) == Verdict::kForged);
-  other.Configure(Keys("tokens.key.k1 = " + kHex2));  // the right key by another id
+  other.Configure(Keys("tokens.key.k1 = " + kHex2));  // the right key under another id
   CHECK(other.Check(good, "swap-charge", now) == Verdict::kForged);
   other.Configure(Keys("tokens.enabled = true"));
   CHECK(other.Check(good, "swap-charge", now) == Verdict::kForged);
   other.Configure(Keys("tokens.required = true\ntokens.leeway_s = 0\ntokens.key.k2 = " + kHex2));
   CHECK(other.Check("", "swap-charge", now) == Verdict::kMissing);
-  CHECK(other.Check(good, "swap-charge", (kThen + 10) * kSecond) == Verdict::kPass);
-  CHECK(other.Check(good, "swap-charge", (kThen + 10) * kSecond + 1) == Verdict::kExpired);
+  CHECK(other.Check(good, "swap-charge", (kExpiry + 10) * kSecond) == Verdict::kPass);
+  CHECK(other.Check(good, "swap-charge", (kExpiry + 10) * kSecond + 1) == Verdict::kExpired);
 }
 
-TEST_CASE("a token is only made of what can be read again") {
-  const Tokens tokens = Both();
+TEST_CASE("a token is only issued with parts that can be parsed again") {
+  const Tokens tokens = TwoKeyTokens();
   for (std::string classes : {"", "+", "a+", "+a", "a++b", "a.b", "a b", "a,b"}) {
     CAPTURE(classes);
-    CHECK_THROWS_AS(tokens.Issue("k1", "x", classes, kThen), BadConfig);
+    CHECK_THROWS_AS(tokens.Issue("k1", "x", classes, kExpiry), BadConfig);
   }
-  CHECK_THROWS_AS(tokens.Issue("k3", "x", "a", kThen), BadConfig);
-  CHECK_THROWS_AS(tokens.Issue("k1", "", "a", kThen), BadConfig);
-  const std::string odd = tokens.Issue("k1", "a.b\n\xff", "a", kThen + 1);
-  CHECK(tokens.Check(odd, "a", kThen * kSecond) == Verdict::kPass);
+  CHECK_THROWS_AS(tokens.Issue("k3", "x", "a", kExpiry), BadConfig);
+  CHECK_THROWS_AS(tokens.Issue("k1", "", "a", kExpiry), BadConfig);
+  const std::string odd = tokens.Issue("k1", "a.b\n\xff", "a", kExpiry + 1);
+  CHECK(tokens.Check(odd, "a", kExpiry * kSecond) == Verdict::kPass);
 }
 
-TEST_CASE("a key that can't be used is told without showing it") {
+TEST_CASE("an invalid key is reported without showing it") {
   const std::string config = ConfigText({.known = Entry("s-1", 1)});
-  const std::string cut = kHex1.substr(0, 63);
+  const std::string truncated = kHex1.substr(0, 63);
   for (std::string text :
-       {"tokens.key.k1 = " + cut, "tokens.key.k1 = " + cut + "g", "tokens.key.k1 = " + kHex1 + "00",
-        "tokens.key.k1 " + kHex1, "tokens.key." + kHex1 + " = k1", "tokens.kay.k1 = " + kHex1,
-        kHex1 + " = k1", "tokens.key.k.1 = " + kHex1,
+       {"tokens.key.k1 = " + truncated, "tokens.key.k1 = " + truncated + "g",
+        "tokens.key.k1 = " + kHex1 + "00", "tokens.key.k1 " + kHex1, "tokens.key." + kHex1 + " = k1",
+        "tokens.kay.k1 = " + kHex1, kHex1 + " = k1", "tokens.key.k.1 = " + kHex1,
         "tokens.key.k1 = " + kHex1 + "\ntokens.key.k1 = " + kHex1, "tokens.leeway_s = " + kHex1,
         std::string("tokens.required = true")}) {
     CAPTURE(text);
@@ -155,7 +156,7 @@
   };
   auto header = [](const std::string& token) { return "X-Swap-Token: " + token + "\r\n"; };
   const std::string token = issue("k1", "pay+open");
-  for (int i = 0; i < 5; ++i) {  // more than the door's burst: it does not hear of them
+  for (int i = 0; i < 5; ++i) {  // more than the rate limiter's burst: denied queries don't count there
     denied("", "401", "token missing");
     denied(header(""), "401", "token missing");
     denied(header(token + "x"), "403", "token forged");
@@ -166,7 +167,8 @@
   own.Configure(Keys("tokens.key.k1 = " + kHex1));
   denied(header(own.Issue("k1", "x", "open", std::time(nullptr) - 60)), "401", "token expired");
   served(header(token));
-  client.Write("GET /look HTTP/1.1\r\n\r\n");  // names a class: the gate is before what is wrong with it
+  client.Write(
+      "GET /look HTTP/1.1\r\n\r\n");  // names a class: the token is checked before the malformed request is
   CHECK(client.Read().ends_with("token missing"));
   client.Write("GET /up HTTP/1.1\r\n\r\n");
   CHECK(client.Read().starts_with("HTTP/1.1 200 "));
@@ -199,7 +201,7 @@
   }
 }
 
-TEST_CASE("what the command line of tokens does not take") {
+TEST_CASE("invalid arguments of the token command are rejected") {
   const std::string config = ConfigText({.known = Entry("s-1", 1)});
   TextFile file("tokens.key.k1 = " + kHex1);
   auto code = [&](std::vector<std::string> words) { return Program(config, std::move(words)).Wait(); };
--- a/tests/service/budget_test.cpp
+++ b/tests/service/budget_test.cpp
@@ -1,3 +1,4 @@
+// The link budget: how many links a descriptor limit allows.
 #include "links/budget.h"
 
 #include <gtest/gtest.h>
@@ -5,8 +6,8 @@
 namespace burlfall {
 namespace {
 
-// Guards the limit of a small deployment: links were counted as if there were 64 descriptors.
-TEST(LinkBudget, FewDescriptorsAreCountedAsTheyAre) {
+// Small limits were once treated as 64 descriptors, so that links exceeded the limit of a small deployment.
+TEST(LinkBudget, LimitsBelow64DescriptorsAreRespected) {
   LinkBudget budget;
   for (const size_t descriptors : {16, 24, 48, 63}) {
     budget.SetDescriptors(descriptors);
@@ -15,7 +16,7 @@
   }
 }
 
-TEST(LinkBudget, WhatIsReservedIsNoLinks) {
+TEST(LinkBudget, ReservedDescriptorsAreNotForLinks) {
   LinkBudget budget;
   budget.SetDescriptors(1024, 100);
   EXPECT_EQ(budget.max_links(), 1024 - 100 - LinkBudget::kSpareDescriptors);
--- a/tests/service/byte_budget_test.cpp
+++ b/tests/service/byte_budget_test.cpp
@@ -1,3 +1,4 @@
+// The byte budget: the limits for one message and for all messages together.
 #include "links/byte_budget.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +9,7 @@
 namespace burlfall {
 namespace {
 
-TEST(ByteBudget, OneTakesAnEighthAtMostAndAllTogetherNoMoreThanThereIs) {
+TEST(ByteBudget, OneMessageHoldsAtMostAnEighthAndAllNoMoreThanTheTotal) {
   ByteBudget budget(800);
   ByteBudget::Share one(budget);
   EXPECT_TRUE(one.Grow(60));
--- a/tests/service/http_parser_test.cpp
+++ b/tests/service/http_parser_test.cpp
@@ -1,4 +1,4 @@
-// The parser, cut at every byte: a message says the same in whatever pieces it comes.
+// The HTTP parser with input split at every byte: the result must not depend on how a message is split.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -11,14 +11,14 @@
 
 using Kind = HttpParser::Kind;
 
-// What a reader hears of a message that comes in these pieces.
-struct Heard {
+// The result of parsing a message that arrives in pieces.
+struct ParseResult {
   Parsed last = Parsed::kMore;
-  bool parted = false;
+  bool streamed = false;
   std::string head;
   std::string body;
-  std::string left;  // behind the message
-  bool operator==(const Heard&) const = default;
+  std::string remaining;  // bytes behind the message
+  bool operator==(const ParseResult&) const = default;
 };
 
 std::string HeadOf(const HttpMessage& m) {
@@ -28,63 +28,63 @@
   return head;
 }
 
-Heard Hear(Kind kind, const std::vector<std::string>& pieces, bool closed, bool no_body = false) {
+ParseResult Parse(Kind kind, const std::vector<std::string>& pieces, bool closed, bool no_body = false) {
   HttpParser parser(kind, kMaxStreamedBody);
   if (no_body) parser.ExpectNoBody();
-  Heard heard;
+  ParseResult result;
   std::string buffer;
   auto take = [&] {
-    if (heard.parted) {
-      heard.body += parser.body();
+    if (result.streamed) {
+      result.body += parser.body();
       parser.body().clear();
     }
-    if (heard.last == Parsed::kHeadComplete) {
-      heard.parted = true;
+    if (result.last == Parsed::kHeadComplete) {
+      result.streamed = true;
       HttpMessage head = parser.TakeHead();
-      heard.head = HeadOf(head);
-      heard.body = head.body;
-      heard.last = parser.Feed(buffer);
-      heard.body += parser.body();
+      result.head = HeadOf(head);
+      result.body = head.body;
+      result.last = parser.Feed(buffer);
+      result.body += parser.body();
       parser.body().clear();
     }
-    if (heard.last == Parsed::kDone) {
+    if (result.last == Parsed::kDone) {
       HttpMessage whole = parser.Take();
-      if (!heard.parted) {
-        heard.head = HeadOf(whole);
-        heard.body = whole.body;
+      if (!result.streamed) {
+        result.head = HeadOf(whole);
+        result.body = whole.body;
       }
     }
   };
   for (const std::string& piece : pieces) {
     buffer += piece;
-    if (heard.last != Parsed::kMore) continue;
-    heard.last = parser.Feed(buffer);
+    if (result.last != Parsed::kMore) continue;
+    result.last = parser.Feed(buffer);
     take();
   }
-  if (closed && heard.last == Parsed::kMore) {
-    heard.last = parser.OnPeerClosed();
+  if (closed && result.last == Parsed::kMore) {
+    result.last = parser.OnPeerClosed();
     take();
   }
-  heard.left = heard.last == Parsed::kDone ? buffer : "";
-  return heard;
+  result.remaining = result.last == Parsed::kDone ? buffer : "";
+  return result;
 }
 
-void SameInAnyPieces(Kind kind, const std::string& bytes, bool closed = false, bool no_body = false) {
-  const Heard whole = Hear(kind, {bytes}, closed, no_body);
+void ExpectSameInAnyPieces(Kind kind, const std::string& bytes, bool closed = false, bool no_body = false) {
+  const ParseResult whole = Parse(kind, {bytes}, closed, no_body);
   const size_t step = std::max<size_t>(1, bytes.size() / 1500);
   for (size_t at = 1; at < bytes.size(); at += step) {
-    const Heard cut = Hear(kind, {bytes.substr(0, at), bytes.substr(at)}, closed, no_body);
+    const ParseResult cut = Parse(kind, {bytes.substr(0, at), bytes.substr(at)}, closed, no_body);
     ASSERT_EQ(cut.last, whole.last) << bytes.substr(0, 200) << " cut at " << at;
     ASSERT_EQ(cut.head, whole.head) << at;
     ASSERT_EQ(cut.body, whole.body) << at;
-    ASSERT_EQ(cut.left, whole.left) << at;
+    ASSERT_EQ(cut.remaining, whole.remaining) << at;
   }
   std::vector<std::string> bits;
   for (size_t at = 0; at < bytes.size(); at += step) bits.push_back(bytes.substr(at, step));
-  const Heard bit = Hear(kind, bits, closed, no_body);
+  const ParseResult bit = Parse(kind, bits, closed, no_body);
   EXPECT_EQ(bit.body, whole.body);
   EXPECT_EQ(bit.last, whole.last);
-  EXPECT_EQ(bit.left, whole.left);
+  EXPECT_EQ(bit.remaining, whole.remaining);
 }
 
 std::string Chunked(const std::string& body, size_t each, const std::string& extension = "") {
@@ -99,30 +99,32 @@
 
 const std::string kLong(70000, 'l');
 
-TEST(HttpParser, SaysTheSameInWhateverPiecesItComes) {
+TEST(HttpParser, ResultDoesNotDependOnHowTheInputIsSplit) {
   const std::string post = "POST /open?x=1 HTTP/1.1\r\nX-Trace-Id: t\r\n";
-  SameInAnyPieces(Kind::kRequest,
-                  "GET /look HTTP/1.1\r\nHost: x\r\nFolded: a\r\n  b\r\n\tc\r\n\r\nGET /next");
-  SameInAnyPieces(Kind::kRequest, "GET /look HTTP/1.0\r\nCONNECTION: Keep-Alive\r\n\r\n");
-  SameInAnyPieces(Kind::kRequest, post + "Content-Length: 5\r\n\r\nhello" + post);
-  SameInAnyPieces(Kind::kRequest, post + "Content-Length: 70000\r\n\r\n" + kLong + post);
-  SameInAnyPieces(Kind::kRequest, post + "transfer-encoding: Chunked\r\n\r\n" +
-                                      Chunked("hello world", 3, ";a=b") + "Sum: 1\r\nMore: 2\r\n\r\nGET /");
-  SameInAnyPieces(Kind::kRequest, post + "Transfer-Encoding: chunked\r\n\r\n" +
-                                      Chunked(kLong, 4096, " ;q=\"x\"") + "\r\n" + post);
-  SameInAnyPieces(Kind::kResponse,
-                  "HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-  SameInAnyPieces(Kind::kResponse, "HTTP/1.1 200 OK\r\n\r\nuntil the end", true);
-  SameInAnyPieces(Kind::kResponse, "HTTP/1.1 200 OK\r\n\r\n" + kLong, true);
-  SameInAnyPieces(Kind::kResponse, "HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1");
-  SameInAnyPieces(Kind::kResponse, "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\nHTTP/1.1", false, true);
-  SameInAnyPieces(Kind::kResponse,
-                  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Chunked(kLong, 70000) + "\r\n");
+  ExpectSameInAnyPieces(Kind::kRequest,
+                        "GET /look HTTP/1.1\r\nHost: x\r\nFolded: a\r\n  b\r\n\tc\r\n\r\nGET /next");
+  ExpectSameInAnyPieces(Kind::kRequest, "GET /look HTTP/1.0\r\nCONNECTION: Keep-Alive\r\n\r\n");
+  ExpectSameInAnyPieces(Kind::kRequest, post + "Content-Length: 5\r\n\r\nhello" + post);
+  ExpectSameInAnyPieces(Kind::kRequest, post + "Content-Length: 70000\r\n\r\n" + kLong + post);
+  ExpectSameInAnyPieces(Kind::kRequest, post + "transfer-encoding: Chunked\r\n\r\n" +
+                                            Chunked("hello world", 3, ";a=b") +
+                                            "Sum: 1\r\nMore: 2\r\n\r\nGET /");
+  ExpectSameInAnyPieces(Kind::kRequest, post + "Transfer-Encoding: chunked\r\n\r\n" +
+                                            Chunked(kLong, 4096, " ;q=\"x\"") + "\r\n" + post);
+  ExpectSameInAnyPieces(
+      Kind::kResponse, "HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+  ExpectSameInAnyPieces(Kind::kResponse, "HTTP/1.1 200 OK\r\n\r\nuntil the end", true);
+  ExpectSameInAnyPieces(Kind::kResponse, "HTTP/1.1 200 OK\r\n\r\n" + kLong, true);
+  ExpectSameInAnyPieces(Kind::kResponse, "HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1");
+  ExpectSameInAnyPieces(Kind::kResponse, "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\nHTTP/1.1", false,
+                        true);
+  ExpectSameInAnyPieces(Kind::kResponse, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
+                                             Chunked(kLong, 70000) + "\r\n");
 }
 
-// Of a body that is longer than what is held, and broken further on, the head is told first, also where all
-// of it is there: F21 of docs/review-findings.md.
-TEST(HttpParser, ALargeBodyThatBreaksIsWrongInAnyPieces) {
+// If a body exceeds the hold limit and is malformed further on, the head is reported first, even if all bytes
+// are there: F21 of docs/review-findings.md.
+TEST(HttpParser, MalformedLargeBodyFailsInAnyPieces) {
   const std::string text = "POST /open HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n100\r\n" +
                            std::string(256, 'x') + "\r\nnone\r\n";
   HttpParser whole(Kind::kRequest, 1000, 100), pieces(Kind::kRequest, 1000, 100);
@@ -137,7 +139,7 @@
   }
 }
 
-TEST(HttpParser, EveryConnectionLineCounts) {
+TEST(HttpParser, EveryConnectionHeaderCounts) {
   HttpParser parser(Kind::kResponse);
   std::string in =
       "HTTP/1.1 200 OK\r\nConnection: X-Own\r\nX-Own: 1\r\nX-Hop: 2\r\nX-End: 3\r\n"
@@ -150,7 +152,7 @@
   EXPECT_EQ(out, "X-End: 3\r\n");
 }
 
-TEST(HttpParser, WhatIsWrongIsWrongInAnyPieces) {
+TEST(HttpParser, MalformedMessagesFailInAnyPieces) {
   const std::string post = "POST /open HTTP/1.1\r\n";
   for (const std::string& bad :
        {post + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n", post + "Content-Length: -1\r\n\r\n",
@@ -158,33 +160,34 @@
         post + "Transfer-Encoding: gzip\r\n\r\n", post + "Transfer-Encoding: chunked\r\n\r\nxyz\r\n",
         post + "Transfer-Encoding: chunked\r\n\r\n3\r\nabcd\r\n",
         post + "Content-Length: 5\r\n, 6\r\n\r\n"}) {
-    EXPECT_EQ(Hear(Kind::kRequest, {bad}, false).last, Parsed::kBad) << bad;
-    SameInAnyPieces(Kind::kRequest, bad);
+    EXPECT_EQ(Parse(Kind::kRequest, {bad}, false).last, Parsed::kBad) << bad;
+    ExpectSameInAnyPieces(Kind::kRequest, bad);
   }
-  // Found by the fuzzer: a long line was bad where it came in pieces, and good where it came whole.
+  // Found by the fuzzer: a long line was rejected in pieces, but accepted as a whole.
   const std::string chunk = post + "Transfer-Encoding: chunked\r\n\r\n3;";
-  SameInAnyPieces(Kind::kRequest, chunk + std::string(1000, 'e') + "\r\nabc\r\n0\r\n\r\n");
-  SameInAnyPieces(Kind::kRequest, chunk + std::string(5000, 'e') + "\r\nabc\r\n0\r\n\r\n");
-  // A length that is folded into the next line is one, too.
+  ExpectSameInAnyPieces(Kind::kRequest, chunk + std::string(1000, 'e') + "\r\nabc\r\n0\r\n\r\n");
+  ExpectSameInAnyPieces(Kind::kRequest, chunk + std::string(5000, 'e') + "\r\nabc\r\n0\r\n\r\n");
+  // A folded Transfer-Encoding header counts as well.
   EXPECT_EQ(
-      Hear(Kind::kRequest, {post + "Transfer-Encoding:\r\n chunked\r\nContent-Length: 3\r\n\r\n"}, false)
+      Parse(Kind::kRequest, {post + "Transfer-Encoding:\r\n chunked\r\nContent-Length: 3\r\n\r\n"}, false)
           .last,
       Parsed::kBad);
 }
 
-TEST(HttpParser, WhatIsTooLongIsRefusedAsSoonAsThatShows) {
+TEST(HttpParser, OversizedMessagesAreRejectedEarly) {
   const std::string post = "POST /open HTTP/1.1\r\n";
-  EXPECT_EQ(Hear(Kind::kRequest, {post + "Content-Length: 33554433\r\n\r\n"}, false).last, Parsed::kTooLarge);
-  EXPECT_EQ(Hear(Kind::kRequest, {post + "Transfer-Encoding: chunked\r\n\r\n2000001\r\n"}, false).last,
+  EXPECT_EQ(Parse(Kind::kRequest, {post + "Content-Length: 33554433\r\n\r\n"}, false).last,
             Parsed::kTooLarge);
-  EXPECT_EQ(Hear(Kind::kRequest, {post + "Transfer-Encoding: chunked\r\n\r\nffffffffff\r\n"}, false).last,
+  EXPECT_EQ(Parse(Kind::kRequest, {post + "Transfer-Encoding: chunked\r\n\r\n2000001\r\n"}, false).last,
+            Parsed::kTooLarge);
+  EXPECT_EQ(Parse(Kind::kRequest, {post + "Transfer-Encoding: chunked\r\n\r\nffffffffff\r\n"}, false).last,
             Parsed::kBad);
   HttpParser small(Kind::kRequest);
   std::string bytes = post + "Content-Length: 65537\r\n\r\n";
-  EXPECT_EQ(small.Feed(bytes), Parsed::kTooLarge);  // where large messages are not in service
+  EXPECT_EQ(small.Feed(bytes), Parsed::kTooLarge);  // if large messages are not enabled
 }
 
-TEST(HttpParser, HoldsWhatItIsToldToHold) {
+TEST(HttpParser, HoldLimitAppliesToTheCurrentMessageOnly) {
   HttpParser parser(Kind::kRequest, kMaxStreamedBody);
   std::string bytes = "POST /open HTTP/1.1\r\nContent-Length: 70000\r\n\r\n";
   ASSERT_EQ(parser.Feed(bytes), Parsed::kHeadComplete);
@@ -193,10 +196,10 @@
   EXPECT_EQ(parser.Feed(bytes), Parsed::kDone);
   EXPECT_EQ(parser.Take().body.size(), 70000u);
   bytes = "POST /open HTTP/1.1\r\nContent-Length: 70000\r\n\r\n";
-  EXPECT_EQ(parser.Feed(bytes), Parsed::kHeadComplete);  // the next is held as the first was
+  EXPECT_EQ(parser.Feed(bytes), Parsed::kHeadComplete);  // the next message has the default limit again
 }
 
-TEST(HttpParser, ALeaveIsAskedForOnceAndOnlyForWhatIsOutstanding) {
+TEST(HttpParser, ContinueIsExpectedOnceAndOnlyForAnOutstandingBody) {
   HttpParser parser(Kind::kRequest);
   std::string bytes = "POST /open HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n";
   EXPECT_EQ(parser.Feed(bytes), Parsed::kMore);
