--- a/src/serve/program.cpp
+++ b/src/serve/program.cpp
@@ -110,7 +110,7 @@
         machine, properties.capture, config_, hosts_, [this] { return dispatcher_.Save(); }, log, counters_);
   }
   dispatcher_.Observe(figures_.get(), capture_.get());
-  front_.OnNothingOwed([this] {
+  front_.OnAllAnswered([this] {
     nothing_owed_at_ = machine_.Now();
     moved_.Notify();
   });
@@ -181,7 +181,7 @@
   facts.list_version = hosts_.version();
   const Micros wall = machine_.WallClock();
   facts.list_age_ms = heard_at_ == 0 ? 0 : static_cast<uint64_t>(std::max<Micros>(0, wall - heard_at_) / kMs);
-  const size_t most = budget_.most();
+  const size_t most = budget_.max_links();
   facts.used_percent =
       most == 0 ? 0 : static_cast<uint8_t>(std::min<size_t>(100, 100 * budget_.open() / most));
   return facts;
@@ -212,8 +212,8 @@
 }
 
 void Program::Allow() {
-  budget_.Allow(descriptors(), other_.descriptors + (control_ ? Calls(descriptors()) + 1 : 0));
-  dispatcher_.HoldAtMost(front_.most_queries());
+  budget_.SetDescriptors(descriptors(), other_.descriptors + (control_ ? Calls(descriptors()) + 1 : 0));
+  dispatcher_.SetMaxOpenQueries(front_.max_open_queries());
 }
 
 // ---- The start -------------------------------------------------------------------------------------------
@@ -289,7 +289,7 @@
     heard_at_ = machine_.WallClock();
     if (keeper_) keeper_->Heard(changed);
     told = hosts_.Take(*list, machine_.Now());
-    upstream_.Retire();
+    upstream_.CloseStaleIdle();
     list_log_->Heard();
   } else {
     list_log_->Failed(why);
@@ -301,12 +301,12 @@
 void Program::Drain() {
   if (!told_to_end_at_) {
     told_to_end_at_ = machine_.Now();
-    dispatcher_.EndBy(*told_to_end_at_ + AnswersWithin(config_.settings));
+    dispatcher_.SetShutdownDeadline(*told_to_end_at_ + AnswersWithin(config_.settings));
   }
   if (!Serving()) return;
   phase_ = Phase::kDraining;
   log_.Tell<"draining">(front_.open());
-  front_.Leave();
+  front_.StartLeaving();
   moved_.Notify();
 }
 
@@ -346,7 +346,7 @@
   while (phase_ != Phase::kClosing) {
     switch (phase_) {
       case Phase::kAside:
-        if (machine_.Now() >= aside_since_ + kAsideThinAfter) front_.ThinOut();
+        if (machine_.Now() >= aside_since_ + kAsideThinAfter) front_.CloseIdleLinks();
         co_await moved_.Wait(machine_.Now() + kAsideStep);
         break;
       case Phase::kDraining:
@@ -386,7 +386,7 @@
       phase_ = Phase::kClosing;
       break;
     }
-    front_.Stir();
+    front_.WakeLinks();
     if (machine_.Now() >= tell_at) {
       TellUse();
       tell_at = machine_.Now() + kTellUseEvery;
@@ -402,7 +402,7 @@
   // bytes that were not read would reset its link.
   nothing_owed_at_ = machine_.Now();
   const Micros latest = told_to_end_at_ ? *told_to_end_at_ + AnswersWithin(config_.settings) : kNever;
-  while (!front_.Closed(machine_.Now() >= std::min(nothing_owed_at_ + kCloseFor, latest))) {
+  while (!front_.TryFinishClosing(machine_.Now() >= std::min(nothing_owed_at_ + kCloseFor, latest))) {
     co_await moved_.Wait(machine_.Now() + kCloseStep);
   }
 }
@@ -410,7 +410,7 @@
 Task<> Program::Sweep() {
   while (true) {
     co_await sweep_.Wait(machine_.Now() + kSweepEvery);
-    upstream_.Retire();
+    upstream_.CloseStaleIdle();
     list_log_->Tell();
     TellDescriptors();
     KeepOutLate();
@@ -430,7 +430,7 @@
 
 // At the edges alone, and far apart, so that a budget that is nearly used up makes few lines.
 void Program::TellDescriptors() {
-  const size_t open = budget_.open(), most = budget_.most();
+  const size_t open = budget_.open(), most = budget_.max_links();
   if (!descriptors_tight_ && budget_.tight()) {
     descriptors_tight_ = true;
     log_.Tell<"descriptors_tight">(open, most);
--- a/src/serve/program_handover.cpp
+++ b/src/serve/program_handover.cpp
@@ -25,9 +25,9 @@
   std::string why;
   if (estate.settings != config_.settings_json) {
     why = "other settings";
-  } else if (std::abs(machine_.Now() - estate.carried.now) > kClocksApart) {
+  } else if (std::abs(machine_.Now() - estate.carried.saved_at) > kClocksApart) {
     why = "a clock that differs";
-  } else if (!dispatcher_.TakeOver(estate.carried)) {
+  } else if (!dispatcher_.ImportState(estate.carried)) {
     why = "a state of another format";
   }
   if (!why.empty()) log_.Tell<"state_refused">(why);
@@ -44,20 +44,20 @@
     why = "a claim to a process that does not serve";
     return estate;
   }
-  front_.Shut();
+  front_.StopAccepting();
   estate.emplace();
   estate->settings = config_.settings_json;
   estate->aside = phase_ == Phase::kAside;
   estate->aside_since = aside_since_;
   estate->list = hosts_.version();
   estate->hosts = hosts_.Records();
-  estate->carried = dispatcher_.Carry();
+  estate->carried = dispatcher_.ExportState();
   return estate;
 }
 
 void Program::KeepDoor() {
   if (!Serving() && phase_ != Phase::kDraining) return;
-  if (front_.Reopen()) log_.Tell<"door_kept">();  // an heir that came no further may be told of twice
+  if (front_.StartAccepting()) log_.Tell<"door_kept">();  // an heir that came no further may be told of twice
 }
 
 void Program::HandOn() {
@@ -67,7 +67,7 @@
     phase_ = Phase::kHandedOver;
   }
   log_.Tell<"handed_over">(front_.open(), dispatcher_.open());
-  front_.Shut();
+  front_.StopAccepting();
   member_.reset();  // without a word: the heir goes on in its place, and nobody misses it
   if (council_) {   // likewise; its disk and its address are the heir's
     council_->Shut();
@@ -75,10 +75,10 @@
   }
   hosts_.LeaveCold(true, machine_.Now());
   HostsChanged();
-  upstream_.RetireAll();
+  upstream_.CloseAllIdle();
   TellUse();
-  front_.PassOn([this](Stream& stream, const QuietLink& link) {
-    const Io passed = handover_->Pass(stream, {link.asked, link.began, link.read});
+  front_.HandOverLinks([this](Stream& stream, const HandedOverLink& link) {
+    const Io passed = handover_->Pass(stream, {link.had_query, link.query_began_at, link.buffered});
     heir_takes_ = passed != Io::kLater;
     return passed;
   });
@@ -91,8 +91,8 @@
   if (phase_ != Phase::kHandedOver) return;
   log_.Tell<"taken_back">(handover_->links_lost());
   phase_ = before_hand_on_;
-  front_.PassOn(nullptr);
-  front_.Reopen();
+  front_.HandOverLinks(nullptr);
+  front_.StartAccepting();
   Join();
   hosts_.LeaveCold(false, machine_.Now());
   HostsChanged();
@@ -103,12 +103,12 @@
 void Program::LastOwner() {
   if (phase_ != Phase::kHandedOver) return;
   phase_ = Phase::kClosing;
-  front_.PassOn(nullptr);
+  front_.HandOverLinks(nullptr);
   moved_.Notify();
 }
 
 void Program::TakeLink(std::unique_ptr<Stream> stream, PassedLink link) {
-  front_.Take(std::move(stream), {link.asked, link.began, std::move(link.read)});
+  front_.AdoptLink(std::move(stream), {link.asked, link.began, std::move(link.read)});
 }
 
 void Program::OtherUses(const Use& use) {
@@ -116,12 +116,12 @@
   other_ = use;
   Allow();
   if (!first) return;
-  log_.Tell<"two_processes">(use.descriptors, use.memory_kb, budget_.open() + LinkBudget::kSpare,
+  log_.Tell<"two_processes">(use.descriptors, use.memory_kb, budget_.open() + LinkBudget::kSpareDescriptors,
                              machine_.ResidentBytes() / 1024, descriptors());
 }
 
 void Program::TellUse() {
-  handover_->TellUse({budget_.open() + LinkBudget::kSpare, machine_.ResidentBytes() / 1024});
+  handover_->TellUse({budget_.open() + LinkBudget::kSpareDescriptors, machine_.ResidentBytes() / 1024});
 }
 
 // Said on: a third process may be about. It ends where it is known.
--- a/tests/service/budget_test.cpp
+++ b/tests/service/budget_test.cpp
@@ -1,3 +1,4 @@
+// The link budget: how many links a descriptor limit allows.
 #include "links/budget.h"
 
 #include <gtest/gtest.h>
@@ -5,24 +6,24 @@
 namespace burlfall {
 namespace {
 
-// Guards the limit of a small deployment: links were counted as if there were 64 descriptors.
-TEST(LinkBudget, FewDescriptorsAreCountedAsTheyAre) {
+// Small limits were once treated as 64 descriptors, so that links exceeded the limit of a small deployment.
+TEST(LinkBudget, LimitsBelow64DescriptorsAreRespected) {
   LinkBudget budget;
   for (const size_t descriptors : {16, 24, 48, 63}) {
-    budget.Allow(descriptors);
-    EXPECT_LE(budget.most() + budget.spare(), descriptors);
-    EXPECT_GE(budget.most(), descriptors / 2);
+    budget.SetDescriptors(descriptors);
+    EXPECT_LE(budget.max_links() + budget.spare(), descriptors);
+    EXPECT_GE(budget.max_links(), descriptors / 2);
   }
 }
 
-TEST(LinkBudget, WhatIsReservedIsNoLinks) {
+TEST(LinkBudget, ReservedDescriptorsAreNotForLinks) {
   LinkBudget budget;
-  budget.Allow(1024, 100);
-  EXPECT_EQ(budget.most(), 1024 - 100 - LinkBudget::kSpare);
-  budget.Allow(48, 40);
-  EXPECT_EQ(budget.most(), 4u);
-  budget.Allow(16, 40);
-  EXPECT_EQ(budget.most(), 0u);
+  budget.SetDescriptors(1024, 100);
+  EXPECT_EQ(budget.max_links(), 1024 - 100 - LinkBudget::kSpareDescriptors);
+  budget.SetDescriptors(48, 40);
+  EXPECT_EQ(budget.max_links(), 4u);
+  budget.SetDescriptors(16, 40);
+  EXPECT_EQ(budget.max_links(), 0u);
 }
 
 }  // namespace
--- a/tests/service/byte_budget_test.cpp
+++ b/tests/service/byte_budget_test.cpp
@@ -1,3 +1,4 @@
+// The byte budget: the limits for one message and for all messages together.
 #include "links/byte_budget.h"
 
 #include <gtest/gtest.h>
@@ -8,13 +9,13 @@
 namespace burlfall {
 namespace {
 
-TEST(ByteBudget, OneTakesAnEighthAtMostAndAllTogetherNoMoreThanThereIs) {
+TEST(ByteBudget, OneMessageHoldsAtMostAnEighthAndAllNoMoreThanTheTotal) {
   ByteBudget budget(800);
   ByteBudget::Share one(budget);
   EXPECT_TRUE(one.Grow(60));
   EXPECT_FALSE(one.Grow(41));
   EXPECT_TRUE(one.Grow(40));
-  EXPECT_EQ(budget.left(), 700u);
+  EXPECT_EQ(budget.available(), 700u);
   {
     std::vector<std::unique_ptr<ByteBudget::Share>> others;
     for (int i = 0; i < 7; ++i) {
@@ -27,7 +28,7 @@
     one.Clear();
     EXPECT_TRUE(last.Grow(100));
   }
-  EXPECT_EQ(budget.left(), 800u);
+  EXPECT_EQ(budget.available(), 800u);
 }
 
 }  // namespace
