--- a/fuzz/http_fuzz.cpp
+++ b/fuzz/http_fuzz.cpp
@@ -1,6 +1,5 @@
 // Parses arbitrary bytes as HTTP messages, split into pieces: parsing must not crash, the buffer must stay
-// bounded, and the result must not depend on the split. The first byte selects the message kind and the piece
-// size.
+// bounded, and the result must not depend on the split. The first byte selects the kind and the piece size.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
--- a/src/lab/site/stand_in.cpp
+++ b/src/lab/site/stand_in.cpp
@@ -268,7 +268,11 @@
 
 void StandIn::Answer(Link& link, int status, std::string_view headers, std::string_view body) {
   std::string& out = link.out;
-  out.assign("HTTP/1.1 ").append(std::to_string(status)).append(" ").append(ReasonPhrase(status)).append("\r\n");
+  out.assign("HTTP/1.1 ")
+      .append(std::to_string(status))
+      .append(" ")
+      .append(ReasonPhrase(status))
+      .append("\r\n");
   out.append(headers);
   AppendHeader(out, "Content-Length", std::to_string(body.size()));
   if (link.last) AppendHeader(out, "Connection", "close");
--- a/src/upstream/http_upstream.h
+++ b/src/upstream/http_upstream.h
@@ -72,8 +72,8 @@
   const bool large_;
   size_t open_ = 0;
   std::unordered_map<meadowslip::BackendId, IdleLinks> idle_links_;
-  std::unordered_map<meadowslip::BackendId, Micros>
-      unsolicited_at_;  // when a server last sent an unsolicited answer
+  // When a server last sent an unsolicited answer.
+  std::unordered_map<meadowslip::BackendId, Micros> unsolicited_at_;
 };
 
 }  // namespace burlfall
--- a/tests/attempts/answers_test.cpp
+++ b/tests/attempts/answers_test.cpp
@@ -8,8 +8,7 @@
 namespace burlfall {
 namespace {
 
-// The parser's last result for a response that arrives in pieces of `piece` bytes, and the bytes left behind
-// it.
+// The parser's last result for a response in pieces of `piece` bytes, and the bytes left behind it.
 struct ParseResult {
   Parsed last = Parsed::kMore;
   HttpMessage message;
--- a/tests/races/client_links_test.cpp
+++ b/tests/races/client_links_test.cpp
@@ -45,8 +45,7 @@
   how == End::kReset ? link.Reset() : how == End::kClose ? link.Close() : void(shutdown(link.fd(), SHUT_WR));
 }
 
-// Whether the peer answered the last write with a reset. On loopback the reset has arrived once the write
-// returns.
+// Whether the peer answered the last write with a reset. On loopback the reset is there once write() returns.
 bool WasReset(const Link& link) {
   int error = 0;
   socklen_t length = sizeof error;
@@ -170,7 +169,7 @@
   client.Write(Post("open", "t1", "x"));
   Link link = server.Accept();
   CHECK_FALSE(link.Read().empty());
-  client.Write(std::string(160 * 1024, 'x'));  // more than is read in advance
+  client.Write(std::string(160 * 1024, 'x'));  // more than is read ahead
   program.Signal(SIGTERM);
   std::string line = program.Line();
   while (line.find("closing") == std::string::npos && !line.empty()) line = program.Line();
