--- a/src/consensus/core.cpp
+++ b/src/consensus/core.cpp
@@ -208,19 +208,20 @@
   configurations_.push_back({snapshot_->index, snapshot_->voters});
   commit_ = snapshot_->index;
   log_first_ = stored.log.empty() ? snapshot_->index + 1 : stored.log.front().index;
-  // The entries must be in order and without gaps, as the host has checked; otherwise none of them is used.
+  // The entries must be in order, without gaps and of no later term than the stored one, as the host has
+  // checked. Otherwise none of them is used, and this voter does not vote.
   uint64_t next = log_first_;
-  bool gapless = log_first_ <= snapshot_->index + 1;
-  for (const Entry& entry : stored.log) gapless = gapless && entry.index == next++ && entry.term <= term_;
+  bool log_valid = log_first_ <= snapshot_->index + 1;
+  for (const Entry& entry : stored.log) log_valid = log_valid && entry.index == next++ && entry.term <= term_;
   // A snapshot from the leader is written before the log is truncated. A power cut between the two leaves a
   // log that ends before the snapshot or has another entry at its index. The snapshot replaces such a log.
   bool replaced = !stored.log.empty() && next <= snapshot_->index;
   for (const Entry& entry : stored.log) {
     replaced = replaced || (entry.index == snapshot_->index && entry.term != snapshot_->term);
   }
-  if (!gapless || replaced) {
+  if (!log_valid || replaced) {
     log_first_ = snapshot_->index + 1;
-    may_vote_ = may_vote_ && gapless;
+    may_vote_ = may_vote_ && log_valid;
   } else {
     for (Entry& entry : stored.log) {
       if (entry.index <= snapshot_->index && entry.kind == Entry::Kind::kVoters) {
@@ -248,7 +249,7 @@
   }
   if (!may_vote_) {
     AddNotice(Notice::Kind::kDiskLost, setup_.self,
-              gapless ? "disk unusable at the start" : "gap in the stored log");
+              log_valid ? "disk unusable at the start" : "gap or wrong term in the stored log");
   }
   ResetElectionTimer();
   // A single voter need not wait for a leader.
@@ -454,8 +455,7 @@
     request.log_term = LastTerm();
     request.handed_over = !pre_vote && handed_over_;
     // Waits until the own vote, and with it the log that the request describes, are durable. Otherwise a
-    // power cut could remove the end of the log, and the responses would elect this voter without those
-    // entries.
+    // power cut could remove the end of the log, and this voter would be elected without those entries.
     Send(voter.address, std::move(request), !pre_vote && rules_.votes_wait_for_flush);
   }
 }
