--- a/tests/lab/peers_test.cpp
+++ b/tests/lab/peers_test.cpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <utility>
 
-#include "../module/bench.h"
+#include "../module/node_harness.h"
 
 namespace meadowslip {
 namespace {
--- a/tests/module/cold_test.cpp
+++ b/tests/module/cold_test.cpp
@@ -4,7 +4,7 @@
 
 #include <ostream>
 
-#include "cold_fleet.h"
+#include "fleet_simulation.h"
 
 namespace meadowslip {
 namespace {
--- a/tests/module/fairness_test.cpp
+++ b/tests/module/fairness_test.cpp
@@ -4,7 +4,7 @@
 
 #include <numeric>
 
-#include "site.h"
+#include "simulated_servers.h"
 
 namespace meadowslip {
 namespace {
--- a/tests/module/cold_fleet.h
+++ b/tests/module/fleet_simulation.h
@@ -1,7 +1,7 @@
 // Many balancers and their nodes on one clock, one of the nodes cold. Nothing is shared between the balancers
 // but the settings; what all of them send to the cold node is counted as the platform counts it.
-#ifndef MEADOWSLIP_TESTS_COLD_FLEET_H_
-#define MEADOWSLIP_TESTS_COLD_FLEET_H_
+#ifndef MEADOWSLIP_TESTS_FLEET_SIMULATION_H_
+#define MEADOWSLIP_TESTS_FLEET_SIMULATION_H_
 
 #include <array>
 #include <cmath>
@@ -11,7 +11,7 @@
 #include <queue>
 #include <random>
 
-#include "bench.h"
+#include "node_harness.h"
 
 namespace meadowslip {
 
@@ -300,4 +300,4 @@
 
 }  // namespace meadowslip
 
-#endif  // MEADOWSLIP_TESTS_COLD_FLEET_H_
+#endif  // MEADOWSLIP_TESTS_FLEET_SIMULATION_H_
--- a/tests/module/floors_test.cpp
+++ b/tests/module/floors_test.cpp
@@ -3,7 +3,7 @@
 // aim.
 #include <gtest/gtest.h>
 
-#include "cold_fleet.h"
+#include "fleet_simulation.h"
 
 namespace meadowslip {
 namespace {
--- a/tests/module/hard_cases_test.cpp
+++ b/tests/module/hard_cases_test.cpp
@@ -3,7 +3,7 @@
 
 #include <set>
 
-#include "site.h"
+#include "simulated_servers.h"
 
 namespace meadowslip {
 namespace {
--- a/tests/module/model_test.cpp
+++ b/tests/module/model_test.cpp
@@ -8,7 +8,7 @@
 #include <map>
 #include <set>
 
-#include "bench.h"
+#include "node_harness.h"
 
 namespace meadowslip {
 namespace {
--- a/tests/module/bench.h
+++ b/tests/module/node_harness.h
@@ -1,6 +1,6 @@
 // A node under test: feeds it events, keeps what it does and runs its timers.
-#ifndef MEADOWSLIP_TESTS_BENCH_H_
-#define MEADOWSLIP_TESTS_BENCH_H_
+#ifndef MEADOWSLIP_TESTS_NODE_HARNESS_H_
+#define MEADOWSLIP_TESTS_NODE_HARNESS_H_
 
 #include <map>
 #include <string>
@@ -171,4 +171,4 @@
 
 }  // namespace meadowslip
 
-#endif  // MEADOWSLIP_TESTS_BENCH_H_
+#endif  // MEADOWSLIP_TESTS_NODE_HARNESS_H_
--- a/tests/module/policy_test.cpp
+++ b/tests/module/policy_test.cpp
@@ -3,7 +3,7 @@
 
 #include <set>
 
-#include "bench.h"
+#include "node_harness.h"
 
 namespace meadowslip {
 namespace {
--- a/tests/module/rules_test.cpp
+++ b/tests/module/rules_test.cpp
@@ -3,7 +3,7 @@
 
 #include <map>
 
-#include "bench.h"
+#include "node_harness.h"
 
 namespace meadowslip {
 namespace {
--- a/tests/module/site.h
+++ b/tests/module/simulated_servers.h
@@ -1,6 +1,6 @@
 // Servers in virtual time behind a node under test: cores, how long they take, what they fail.
-#ifndef MEADOWSLIP_TESTS_SITE_H_
-#define MEADOWSLIP_TESTS_SITE_H_
+#ifndef MEADOWSLIP_TESTS_SIMULATED_SERVERS_H_
+#define MEADOWSLIP_TESTS_SIMULATED_SERVERS_H_
 
 #include <algorithm>
 #include <map>
@@ -8,7 +8,7 @@
 #include <random>
 #include <vector>
 
-#include "bench.h"
+#include "node_harness.h"
 
 namespace meadowslip {
 
@@ -114,4 +114,4 @@
 
 }  // namespace meadowslip
 
-#endif  // MEADOWSLIP_TESTS_SITE_H_
+#endif  // MEADOWSLIP_TESTS_SIMULATED_SERVERS_H_
--- a/tests/module/sparse_test.cpp
+++ b/tests/module/sparse_test.cpp
@@ -4,7 +4,7 @@
 #include <memory>
 #include <set>
 
-#include "bench.h"
+#include "node_harness.h"
 
 namespace meadowslip {
 namespace {
--- a/tests/module/state_test.cpp
+++ b/tests/module/state_test.cpp
@@ -4,7 +4,7 @@
 #include <random>
 #include <utility>
 
-#include "bench.h"
+#include "node_harness.h"
 
 namespace meadowslip {
 namespace {
--- a/tests/module/steps_test.cpp
+++ b/tests/module/steps_test.cpp
@@ -4,7 +4,7 @@
 
 #include <cmath>
 
-#include "bench.h"
+#include "node_harness.h"
 
 namespace {
 uint64_t steps = 0;
