--- a/tests/lab/peers_test.cpp
+++ b/tests/lab/peers_test.cpp
@@ -24,11 +24,11 @@
   return ids;
 }
 
-class Peer : public Bench {
+class Peer : public NodeHarness {
  public:
   explicit Peer(std::string_view name, BackendId hosts = 0, const Settings& settings = PlainSettings(),
                 uint64_t seed = 1)
-      : Bench((UsePeer(name), settings), seed) {
+      : NodeHarness((UsePeer(name), settings), seed) {
     if (hosts > 0) Ready(Hosts(hosts));
   }
 
@@ -107,15 +107,15 @@
   for (Micros span : {30 * kSecond, 60 * kSecond}) {
     b.Spoil(4, 5, Outcome::kFull);
     EXPECT_FALSE(b.InService(4));
-    b.Pass(span - kMs);
+    b.AdvanceTime(span - kMs);
     EXPECT_FALSE(b.InService(4));
-    b.Pass(kEnvoySweep);
+    b.AdvanceTime(kEnvoySweep);
     EXPECT_TRUE(b.InService(4));
   }
-  b.Pass(2 * kEnvoySweep);  // in service at two sweeps: the next is the first again
+  b.AdvanceTime(2 * kEnvoySweep);  // in service at two sweeps: the next is the first again
   b.Spoil(4, 5, Outcome::kReset);
   EXPECT_FALSE(b.InService(4));
-  b.Pass(30 * kSecond + kEnvoySweep);
+  b.AdvanceTime(30 * kSecond + kEnvoySweep);
   EXPECT_TRUE(b.InService(4));
 }
 
@@ -139,7 +139,7 @@
   Peer b("two_choices", 10);
   for (int i = 0, n = 0; i < 2000; ++i) n += b.Ask(n % 2 == 0 ? 4 : 0) == 4;
   EXPECT_TRUE(b.InService(4));
-  b.Pass(kEnvoySweep);
+  b.AdvanceTime(kEnvoySweep);
   EXPECT_FALSE(b.InService(4));
 }
 
@@ -148,7 +148,7 @@
   std::vector<RequestId> ids;
   for (int i = 0; i < 8; ++i) ids.push_back(b.Request(kSafe));
   for (RequestId id : ids) b.Result(id, 0, Outcome::kError);
-  b.Pass(25 * kMs);
+  b.AdvanceTime(25 * kMs);
   int again = 0, failed = 0;
   for (RequestId id : ids) {
     again += b.Count(Act::kSend, id) == 2;
@@ -162,9 +162,9 @@
   for (Outcome failure : {Outcome::kConnectFailed, Outcome::kReset, Outcome::kTimeout}) {
     Peer b("failure_count", 5);
     b.Spoil(4, 1, failure);
-    b.Pass(10 * kSecond);
+    b.AdvanceTime(10 * kSecond);
     EXPECT_FALSE(b.InService(4));
-    b.Pass(kMs);
+    b.AdvanceTime(kMs);
     b.actions.clear();
     RequestId trial = 0;
     for (int i = 0; i < 50; ++i) {
@@ -173,7 +173,7 @@
     }
     EXPECT_EQ(b.SendsTo(4), 1);
     b.Result(trial, 0, failure);  // out for as long again
-    b.Pass(10 * kSecond + kMs);
+    b.AdvanceTime(10 * kSecond + kMs);
     b.Spoil(4, 1, Outcome::kOk);
     EXPECT_GT(b.Spread(50)[4], 5);
   }
@@ -219,7 +219,7 @@
     const BackendId first = b.SentTo(id);
     b.Request();  // busies the other
     b.Result(id, 0, Outcome::kConnectFailed);
-    b.Pass(25 * kMs);
+    b.AdvanceTime(25 * kMs);
     EXPECT_EQ(b.Count(Act::kSend, id), 2);
     if (GetParam() != "two_choices") {  // which draws anew a few times only
       EXPECT_NE(b.SentTo(id), first);
@@ -244,7 +244,7 @@
   Peer b(GetParam(), 0, s);
   b.Ready({1}, ListKind::kCached);
   Micros last = b.now, longest = 0;
-  for (size_t seen = 0, steps = 0; steps < 600; ++steps, b.Pass(100 * kMs)) {
+  for (size_t seen = 0, steps = 0; steps < 600; ++steps, b.AdvanceTime(100 * kMs)) {
     for (; seen < b.actions.size(); ++seen) {
       longest = std::max(longest, b.actions[seen].at - last);
       last = b.actions[seen].at;
@@ -256,7 +256,7 @@
   EXPECT_LT(longest, 4 * kSecond);
   b.Ready({1});
   const size_t asked = b.actions.size();
-  b.Pass(60 * kSecond);
+  b.AdvanceTime(60 * kSecond);
   EXPECT_EQ(b.actions.size(), asked);
   b.List(ListKind::kFailed, {});
   EXPECT_EQ(b.actions.size(), asked + 1);
@@ -304,7 +304,7 @@
         again += q.tries == 2;
         ASSERT_TRUE(q.cls == kSafe || !q.may_have_run) << "an effect twice";
         q.out = true;
-        q.until = a.span > 0 ? std::min(q.give_up_at, a.at + a.span) : q.give_up_at;
+        q.until = a.duration > 0 ? std::min(q.give_up_at, a.at + a.duration) : q.give_up_at;
       } else {
         ASSERT_LE(a.at, q.give_up_at + s.answer_slack);
         ASSERT_TRUE(a.act == Act::kFail || q.cls == kSafe || !q.may_have_run) << "a refusal that lies";
@@ -358,7 +358,7 @@
       ASSERT_TRUE(q.over || b.now <= q.give_up_at + s.answer_slack) << "request " << id << " was lost";
     }
     std::erase_if(queries, [](const auto& q) { return q.second.over && !q.second.out; });
-    b.Pass(static_cast<Micros>(below(8)) * kMs);
+    b.AdvanceTime(static_cast<Micros>(below(8)) * kMs);
     look();
   }
   EXPECT_GT(again, 20);
--- a/tests/module/hard_cases_test.cpp
+++ b/tests/module/hard_cases_test.cpp
@@ -1,4 +1,4 @@
-// Where a decision is hardest to make, and where cost or memory once grew: every case by name.
+// Situations in which a decision is difficult, and in which cost or memory used to grow.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -19,12 +19,12 @@
 }
 
 TEST(HardCases, AllAsleepButOne) {
-  Bench b(PlainSettings());
+  NodeHarness b(PlainSettings());
   b.List(ListKind::kFull, Servers(10));
-  b.Pass(4 * kSecond);
-  for (int i = 0; i < 300; ++i) {  // 1 to 5 fail until they sleep
+  b.AdvanceTime(4 * kSecond);
+  for (int i = 0; i < 300; ++i) {  // backends 1 to 5 fail until they sleep
     const RequestId id = b.Request(2);
-    b.Pass(kMs);
+    b.AdvanceTime(kMs);
     b.Result(id, 0, b.SentTo(id) <= 5 ? Outcome::kError : Outcome::kOk, true);
   }
   for (BackendId id = 6; id <= 9; ++id) b.Change(id, BackendState::kDraining);
@@ -32,7 +32,7 @@
 }
 
 TEST(HardCases, AllFullButOneOfTenThousand) {
-  Bench b(PlainSettings());
+  NodeHarness b(PlainSettings());
   b.List(ListKind::kFull, Servers(10'000));
   for (int i = 0; i < 3 * 10'000 - 1; ++i) b.Request(2, 100 * kSecond);
   ASSERT_EQ(b.actions.size(), 29'999u);
@@ -40,19 +40,19 @@
   for (const Action& a : b.actions) ++held[a.backend];
   const RequestId last = b.Request(2, 100 * kSecond);
   ASSERT_EQ(b.actions.back().id, last);
-  EXPECT_EQ(held[b.actions.back().backend], 2);  // the others have three, their most
+  EXPECT_EQ(held[b.actions.back().backend], 2);  // the others have three, their limit
   EXPECT_EQ(b.Count(Act::kSend, b.Request(2, 100 * kSecond)), 0);
 }
 
-TEST(HardCases, OneAllowedByTheGroupOfTenThousand) {
-  Bench b(PlainSettings());
+TEST(HardCases, OnlyOneOfTenThousandIsAllowedByTheGroup) {
+  NodeHarness b(PlainSettings());
   std::vector<BackendEntry> all = Servers(10'000);
-  for (BackendEntry& e : all) e.cell = static_cast<int>(e.id / 2);  // cells of two
+  for (BackendEntry& e : all) e.cell = static_cast<int>(e.id / 2);  // two backends a cell
   b.List(ListKind::kFull, all);
-  for (int i = 0; i < 20; ++i) {  // as many further tries as there are for nothing
+  for (int i = 0; i < 20; ++i) {  // as many retries as the initial budget allows
     const RequestId id = b.Request(1);
     const BackendId first = b.SentTo(id);
-    if (first == 1 || first == 10'000) continue;  // alone in their cells
+    if (first == 1 || first == 10'000) continue;  // alone in its cell
     b.Result(id, 0, Outcome::kError);
     EXPECT_EQ(b.SentTo(id), first ^ 1u);
   }
@@ -62,7 +62,7 @@
   Settings s = PlainSettings();
   s.start_capacity = 0.2;
   s.nodes = 3;
-  Bench b(s);
+  NodeHarness b(s);
   std::vector<BackendEntry> all = Servers(200);
   for (BackendEntry& e : all) e.started_at = b.now;
   b.List(ListKind::kFull, all);
@@ -70,16 +70,16 @@
   std::map<BackendId, std::vector<Micros>> sent;
   for (int i = 0; i < 6000; ++i) {
     b.Request();
-    b.Pass(kMs);
-    std::vector<RequestId> out;  // all of them are answered, also those that had to wait before
+    b.AdvanceTime(kMs);
+    std::vector<RequestId> in_flight;  // all are answered, including those that had to wait
     for (const Action& action : std::exchange(b.actions, {})) {
       if (action.act != Act::kSend) continue;
       sent[action.backend].push_back(action.at);
-      out.push_back(action.id);
+      in_flight.push_back(action.id);
     }
-    for (const RequestId id : out) b.Result(id, 0, Outcome::kOk);
+    for (const RequestId id : in_flight) b.Result(id, 0, Outcome::kOk);
   }
-  EXPECT_GT(sent.size(), 150u);  // all take part, and the budget of each holds in every window
+  EXPECT_GT(sent.size(), 150u);  // all are used, and each one's budget holds in every window
   for (const auto& [id, times] : sent) {
     for (size_t i = 0; i < times.size(); ++i) {
       double work = 0;
@@ -90,23 +90,23 @@
   }
 }
 
-TEST(HardCases, EveryQueryKeyedByAnAttemptThatMayHaveRun) {
+TEST(HardCases, EveryRetryIsBoundToItsGroup) {
   Settings s = PlainSettings();
   for (RequestClass& c : s.classes) c.aim = c.deadline = 20 * kSecond;
   s.classes[1].dedup_window = 60 * kSecond;
   s.max_attempts = 2;
-  Bench b(s);
+  NodeHarness b(s);
   std::vector<BackendEntry> all = Servers(20);
   for (BackendEntry& e : all) e.cell = static_cast<int>(e.id % 10);
   b.List(ListKind::kFull, all);
-  b.Pass(4 * kSecond);
+  b.AdvanceTime(4 * kSecond);
   std::map<RequestId, BackendId> first;
   std::vector<RequestId> again;
   int misplaced = 0;
   size_t seen = 0;
   for (int i = 0; i < 4000; ++i) {
     const RequestId id = b.Request(1, 20 * kSecond);
-    b.Pass(2 * kMs);
+    b.AdvanceTime(2 * kMs);
     for (; seen < b.actions.size(); ++seen) {
       const Action a = b.actions[seen];
       if (a.act != Act::kSend) continue;
@@ -126,10 +126,10 @@
 }
 
 TEST(HardCases, TwentyThousandWaitAndTheirAimsPassWithinOneTick) {
-  Bench b(PlainSettings());  // no server at all
+  NodeHarness b(PlainSettings());  // no backend
   std::vector<RequestId> ids;
   for (int i = 0; i < 20'000; ++i) ids.push_back(b.Request(i % 3, 2 * kSecond));
-  b.Pass(3 * kSecond);
+  b.AdvanceTime(3 * kSecond);
   std::map<RequestId, int> finals;
   for (const Action& a : b.actions) finals[a.id] += a.act == Act::kRefuse || a.act == Act::kFail;
   for (RequestId id : ids) ASSERT_EQ(finals[id], 1);
@@ -138,12 +138,12 @@
 TEST(HardCases, TwentyThousandWaitAndEveryServerComesBackAtOnce) {
   Settings s = PlainSettings();
   for (RequestClass& c : s.classes) c.aim = c.deadline = 100 * kSecond;
-  Bench b(s);
+  NodeHarness b(s);
   b.List(ListKind::kFull, Servers(1000));
-  // At a rate of service for which so many may wait.
+  // Serves at a rate at which so many requests may wait.
   for (int i = 0; i < 2000; ++i) {
     const RequestId id = b.Request(0, 100 * kSecond);
-    b.Pass(100);
+    b.AdvanceTime(100);
     b.Result(id, 0, Outcome::kOk);
   }
   std::vector<BackendEntry> all = Servers(1000);
@@ -151,7 +151,7 @@
   b.List(ListKind::kFull, all);
   for (int i = 0; i < 20'000; ++i) b.Request(0, 100 * kSecond);
   b.actions.clear();
-  b.Pass(kSecond);
+  b.AdvanceTime(kSecond);
   b.List(ListKind::kFull, Servers(1000));
   std::set<RequestId> sent;
   for (const Action& a : b.actions) {
@@ -159,11 +159,11 @@
     EXPECT_TRUE(sent.insert(a.id).second);
   }
   EXPECT_GE(sent.size(), 3000u);
-  EXPECT_LE(sent.size(), 4500u);  // limits that have grown a little
+  EXPECT_LE(sent.size(), 4500u);  // limits have grown a little
 }
 
 TEST(HardCases, FiveThousandServersReplacedInOneList) {
-  Bench b(PlainSettings());
+  NodeHarness b(PlainSettings());
   b.List(ListKind::kFull, Servers(5000));
   for (int i = 0; i < 100; ++i) b.Request(2);
   b.List(ListKind::kFull, Servers(5000, 10'001));
@@ -175,7 +175,7 @@
 }
 
 TEST(HardCases, AListEachTenMilliseconds) {
-  Bench b(PlainSettings());
+  NodeHarness b(PlainSettings());
   std::vector<BackendEntry> all = Servers(300);
   b.List(ListKind::kFull, all);
   long served = 0;
@@ -187,7 +187,7 @@
     const BackendId to = b.SentTo(id);
     ASSERT_NE(to, 0u);
     ASSERT_EQ(all[to - 1].state, BackendState::kReady);
-    b.Pass(10 * kMs);
+    b.AdvanceTime(10 * kMs);
     b.Result(id, 0, Outcome::kOk);
     b.actions.clear();
     ++served;
@@ -196,24 +196,24 @@
 }
 
 TEST(Forgetting, AHundredThousandServersComeAndGoAndTheStateStaysFlat) {
-  Bench b(PlainSettings());
-  size_t most = 0, first = 0;
+  NodeHarness b(PlainSettings());
+  size_t allowed = 0, first = 0;
   for (BackendId from = 0; from < 100'000; from += 100) {
     b.List(ListKind::kFull, Servers(100, from + 1));
     for (int i = 0; i < 20; ++i) {
       const RequestId id = b.Request(i % 3);
-      b.Pass(kMs);
+      b.AdvanceTime(kMs);
       b.Result(id, 0, i % 5 == 0 ? Outcome::kReset : Outcome::kOk, true);
     }
     b.actions.clear();
-    most = std::max(most, b.Saved().size());
-    if (from == 1000) first = most;
+    allowed = std::max(allowed, b.Saved().size());
+    if (from == 1000) first = allowed;
   }
-  EXPECT_LT(static_cast<double>(most), 1.3 * static_cast<double>(first));
+  EXPECT_LT(static_cast<double>(allowed), 1.3 * static_cast<double>(first));
 }
 
 TEST(Forgetting, TheSameServerGoneAndBackAThousandTimes) {
-  Bench b(PlainSettings());
+  NodeHarness b(PlainSettings());
   b.Ready({1, 2, 3});
   const size_t before = b.Saved().size();
   for (int i = 0; i < 1000; ++i) {
@@ -225,36 +225,35 @@
   }
   EXPECT_LT(b.Saved().size(), before + 100);
   for (int i = 0; i < 30; ++i) b.Request();
-  EXPECT_EQ(b.SendsTo(2), 3);  // a new server's share
+  EXPECT_EQ(b.SendsTo(2), 3);  // the limit of a new backend
 }
 
-TEST(Forgetting, ARelapseWithinItsSleepIsRememberedAndNoLonger) {
-  Bench b(PlainSettings());
+TEST(Forgetting, FailureHistoryIsKeptForOneSleepAfterABackendIsGone) {
+  NodeHarness b(PlainSettings());
   b.Ready({1, 2, 3, 4});
-  b.Pass(4 * kSecond);
+  b.AdvanceTime(4 * kSecond);
   while (b.now < 112 * kSecond) b.Traffic(1, 1, Outcome::kError);  // sleeps of 1, 2, 4 and 8 s
   const auto back = [&b](Micros after) {
     b.Change(1, BackendState::kGone);
-    b.Pass(after);
+    b.AdvanceTime(after);
     b.Change(1, BackendState::kReady);
     const size_t from = b.actions.size();
     for (int i = 0; i < 9; ++i) b.Traffic(1, 0, Outcome::kOk, 2);
     return b.SendsTo(1, from);
   };
-  EXPECT_EQ(back(kSecond), 0);       // it sleeps on
-  EXPECT_GT(back(10 * kSecond), 0);  // slept out: new
+  EXPECT_EQ(back(kSecond), 0);       // still asleep
+  EXPECT_GT(back(10 * kSecond), 0);  // the sleep has ended: a new backend
 }
 
-TEST(Forgetting, WhatAQueryMayStillNeedIsKept) {
-  Bench b(PlainSettings());
+TEST(Forgetting, ABackendThatAHeldRequestRefersToIsKept) {
+  NodeHarness b(PlainSettings());
   std::vector<BackendEntry> all = Servers(4);
   for (BackendEntry& e : all) e.cell = static_cast<int>(e.id % 2);
   b.List(ListKind::kFull, all);
   const RequestId id = b.Request(1);
   const BackendId first = b.SentTo(id);
   b.Change(first, BackendState::kGone);
-  for (BackendId other = 100; other < 110; ++other)
-    b.Change(other, BackendState::kReady);  // cell 0, all of them
+  for (BackendId other = 100; other < 110; ++other) b.Change(other, BackendState::kReady);  // all in cell 0
   b.Result(id, 0, Outcome::kError);
   if (first % 2 == 1) {
     EXPECT_EQ(b.SentTo(id) % 2, 1u);
@@ -267,13 +266,13 @@
 TEST(Overload, WhatIsServedInTimeStaysLevelFromOneToTenTimesTheCapacity) {
   double level = 0;
   for (double times : {1.0, 2.0, 4.0, 10.0}) {
-    Bench b(PlainSettings());
-    std::vector<Site::Server> servers(10);
-    Site site(b, servers);  // these serve 4,000 a second
-    site.Run(4000 * times, 3 * kSecond);
-    const long warm = site.in_time[0];
-    site.Run(4000 * times, 3 * kSecond);
-    const double per_s = static_cast<double>(site.in_time[0] - warm) / 3;
+    NodeHarness b(PlainSettings());
+    std::vector<SimulatedServers::Server> servers(10);
+    SimulatedServers sim(b, servers);  // capacity: 4,000 requests per second
+    sim.Run(4000 * times, 3 * kSecond);
+    const long warm = sim.in_time[0];
+    sim.Run(4000 * times, 3 * kSecond);
+    const double per_s = static_cast<double>(sim.in_time[0] - warm) / 3;
     EXPECT_GT(per_s, 3200) << times;
     if (times >= 2 && level == 0) level = per_s;
     if (times >= 2) {
@@ -282,64 +281,64 @@
   }
 }
 
-// Guards against advice to come back at once, or in a time that has nothing to do with what waits; and
-// against repeats that come back into the same overload: told 0.2 s instead of the most allowed, a day on
-// real sockets had 1.20 tries a query in place of 1.06, in the way of first ones.
-TEST(Overload, TheRefusedAreToldATimeFromTheRateOfService) {
+// Guards against a retry_after of zero or one that is unrelated to the queue, and against retries that return
+// into the same overload: with 0.2 s instead of the allowed maximum, a run on real sockets had 1.20 tries per
+// query instead of 1.06, and the retries displaced first tries.
+TEST(Overload, RetryAfterFollowsTheRateOfService) {
   Settings s = PlainSettings();
   s.max_retry_after = 10 * kSecond;
-  Bench b(s);
-  Site site(b, std::vector<Site::Server>(10));  // these serve 4,000 a second
-  site.Run(4'050, 8 * kSecond);
-  ASSERT_GT(site.advice.size(), 10u);
-  // The first of them: what waits, over what is to spare.
-  EXPECT_GE(site.advice.front(), s.classes[0].aim);
-  EXPECT_LT(site.advice.front(), s.max_retry_after);
-  site.Run(12'000, 4 * kSecond);
-  EXPECT_EQ(site.advice.back(), 10 * kSecond);  // nothing is to spare while all of these come back
+  NodeHarness b(s);
+  SimulatedServers sim(b, std::vector<SimulatedServers::Server>(10));  // capacity: 4,000 requests per second
+  sim.Run(4'050, 8 * kSecond);
+  ASSERT_GT(sim.retry_after.size(), 10u);
+  // The first value: queue length over spare capacity.
+  EXPECT_GE(sim.retry_after.front(), s.classes[0].aim);
+  EXPECT_LT(sim.retry_after.front(), s.max_retry_after);
+  sim.Run(12'000, 4 * kSecond);
+  EXPECT_EQ(sim.retry_after.back(), 10 * kSecond);  // no spare capacity while all of these come back
 }
 
 TEST(Retries, AFailingFleetIsNeverSentMoreThanTheStatedMultiple) {
-  for (Outcome how : {Outcome::kError, Outcome::kConnectFailed, Outcome::kFull}) {
+  for (Outcome failure : {Outcome::kError, Outcome::kConnectFailed, Outcome::kFull}) {
     for (double failing : {0.1, 0.5, 1.0}) {
       Settings s = PlainSettings();
       s.max_attempts = 5;
-      Bench b(s);
-      std::vector<Site::Server> servers(20);
+      NodeHarness b(s);
+      std::vector<SimulatedServers::Server> servers(20);
       for (size_t i = 0; i < servers.size(); ++i) {
-        servers[i].fails = static_cast<double>(i) < 20 * failing ? 1 : 0;
-        servers[i].how = how;
+        servers[i].failure_share = static_cast<double>(i) < 20 * failing ? 1 : 0;
+        servers[i].failure = failure;
       }
-      Site site(b, servers);
-      site.Run(1000, 20 * kSecond);
-      const double asked = static_cast<double>(site.asked[0]);
-      const double most = how == Outcome::kError ? 1.2 : 2.2;
-      EXPECT_LT(static_cast<double>(site.sends), most * asked + 40) << failing;
-      for (const Site::Server& one : site.servers) {  // and each of them
-        if (how != Outcome::kError) continue;
+      SimulatedServers sim(b, servers);
+      sim.Run(1000, 20 * kSecond);
+      const double asked = static_cast<double>(sim.asked[0]);
+      const double allowed = failure == Outcome::kError ? 1.2 : 2.2;
+      EXPECT_LT(static_cast<double>(sim.sends), allowed * asked + 40) << failing;
+      for (const SimulatedServers::Server& one : sim.servers) {  // and each backend
+        if (failure != Outcome::kError) continue;
         EXPECT_LE(one.sent, 2 * one.first_tries + 20);
       }
-      RecordProperty("sends_per_query_" + std::to_string(static_cast<int>(how)) + "_at_" +
+      RecordProperty("sends_per_query_" + std::to_string(static_cast<int>(failure)) + "_at_" +
                          std::to_string(static_cast<int>(100 * failing)),
-                     std::to_string(static_cast<double>(site.sends) / asked));
+                     std::to_string(static_cast<double>(sim.sends) / asked));
     }
   }
 }
 
-// At one and a half times what the servers carry, of classes worth 0.5, 1 and 3 for the same work. A strict
-// order by worth served 0.05%, 69.5% and 99.6% of them in time. No class may be starved, as much is served in
-// all as by that order, and at least half of what it gains in worth over equal shares stays.
-TEST(Queue, ClassesOfLessWorthAreServedTooAndTheDearOnesStillGoFirst) {
+// Offers 1.5 times the capacity in classes worth 0.5, 1 and 3 for the same work. A strict order by worth
+// served 0.05%, 69.5% and 99.6% of them in time. No class may be starved, the total served must not be lower
+// than with that order, and at least half of its gain in worth over equal shares must remain.
+TEST(Queue, LowWorthClassesAreNotStarvedAndHighWorthOnesAreServedFirst) {
   const double worth[] = {0.5, 1, 3}, strict[] = {0.0005, 0.695, 0.99};
   Settings s = PlainSettings();
   for (RequestClass& c : s.classes) c.idempotency = Idempotency::kSafe;
   for (size_t k = 0; k < 3; ++k) s.classes[k].worth = worth[k];
-  Bench b(s);
-  Site site(b, std::vector<Site::Server>(10));
-  site.Run(6000, 10 * kSecond, 3);
+  NodeHarness b(s);
+  SimulatedServers sim(b, std::vector<SimulatedServers::Server>(10));
+  sim.Run(6000, 10 * kSecond, 3);
   double share[3], served = 0, strict_served = 0, gain = 0, strict_gain = 0;
   for (int k = 0; k < 3; ++k) {
-    share[k] = static_cast<double>(site.in_time[k]) / static_cast<double>(site.asked[k]);
+    share[k] = static_cast<double>(sim.in_time[k]) / static_cast<double>(sim.asked[k]);
     served += share[k];
     strict_served += strict[k];
   }
@@ -355,9 +354,9 @@
   EXPECT_LT(share[1], share[2]);
 }
 
-// Whether of two that wait, of class 1 and then of class 0, the first to come is sent first once there is
-// room.
-bool FirstComeGoesFirst(Bench& b, const std::vector<RequestId>& before) {
+// Queues a request of class 1, then one of class 0, and returns whether the first one is sent first once
+// there is capacity.
+bool FirstQueuedIsSentFirst(NodeHarness& b, const std::vector<RequestId>& before) {
   const RequestId first = b.Request(1), second = b.Request(0);
   for (const RequestId id : before) {
     if (b.SentTo(id) != 0) b.Result(id, 0, Outcome::kOk);
@@ -369,25 +368,25 @@
   return sent != b.actions.end() && sent->id == first;
 }
 
-// Neither clients that leave nor tenants over their share lift their class above others: what they lack is
-// not the balancer's doing.
-TEST(Queue, OnlyWhatIsOwedCountsForTheShareOfAClass) {
+// Clients that leave and tenants over their quota must not raise the value of their class: the balancer is
+// not the cause of their missing answers.
+TEST(Queue, ClientsThatLeaveAndRequestsOverQuotaDoNotRaiseTheirClass) {
   Settings s = PlainSettings();
   for (RequestClass& c : s.classes) c.idempotency = Idempotency::kSafe;
   s.tenants = {{0, 1}, {0.001, 0.5}};
   s.over_share_worth = 0.1;
   for (const int tenant : {0, 1}) {
-    Bench b(s);
+    NodeHarness b(s);
     b.Ready({1});
-    b.Pass(4 * kSecond);
+    b.AdvanceTime(4 * kSecond);
     std::vector<RequestId> running;
     for (int i = 0; i < 10; ++i) running.push_back(b.Request(2, 20 * kSecond));
     for (int i = 0; i < 50; ++i) {
       const RequestId id = b.Request(0, tenant == 0 ? 2 * kSecond : 20 * kMs, tenant);
       if (tenant == 0) b.ClientLeft(id);
     }
-    b.Pass(100 * kMs);  // by now those over the share have been refused
-    EXPECT_TRUE(FirstComeGoesFirst(b, running)) << "tenant " << tenant;
+    b.AdvanceTime(100 * kMs);  // by now the requests over quota have been refused
+    EXPECT_TRUE(FirstQueuedIsSentFirst(b, running)) << "tenant " << tenant;
   }
 }
 
--- a/tests/module/node_harness.h
+++ b/tests/module/node_harness.h
@@ -1,4 +1,4 @@
-// A node under test: feeds it events, keeps what it does and runs its timers.
+// A test harness around one node: passes events to it, records its actions and runs its timers.
 #ifndef MEADOWSLIP_TESTS_NODE_HARNESS_H_
 #define MEADOWSLIP_TESTS_NODE_HARNESS_H_
 
@@ -19,7 +19,7 @@
   Act act;
   RequestId id = 0;
   BackendId backend = 0;
-  Micros span = 0;
+  Micros duration = 0;
   Micros at = 0;
 };
 
@@ -42,9 +42,9 @@
   return s;
 }
 
-class Bench : public ActionSink {
+class NodeHarness : public ActionSink {
  public:
-  explicit Bench(const Settings& settings, uint64_t seed = 1) : node_(settings, seed) {}
+  explicit NodeHarness(const Settings& settings, uint64_t seed = 1) : node_(settings, seed) {}
 
   void List(ListKind kind, std::vector<BackendEntry> entries) { node_.OnList(now, {kind, entries}, *this); }
   void Ready(std::vector<BackendId> ids, ListKind kind = ListKind::kFull) {
@@ -62,15 +62,15 @@
     e.started_at = started_at;
     List(ListKind::kChanges, {e});
   }
-  RequestId Request(int cls = 0, Micros patience = 2 * kSecond, int tenant = 0, bool repeat = false,
+  RequestId Request(int cls = 0, Micros give_up_after = 2 * kSecond, int tenant = 0, bool is_retry = false,
                     Micros estimate = 0) {
     meadowslip::Request r;
     r.id = ++last_id_;
     r.request_class = cls;
     r.tenant = tenant;
-    r.client_retry = repeat;
+    r.client_retry = is_retry;
     r.estimate = estimate;
-    r.give_up_at = now + patience;
+    r.give_up_at = now + give_up_after;
     node_.OnRequest(now, r, *this);
     return r.id;
   }
@@ -90,8 +90,8 @@
   }
   void StreamStarted(RequestId id, int attempt) { node_.OnStreamStarted(now, id, attempt, *this); }
 
-  // Goes on from where another one is.
-  bool TakeOver(const Bench& other) {
+  // Restores the state of another harness's node, with its clock and timers.
+  bool TakeOver(const NodeHarness& other) {
     now = other.now;
     last_id_ = other.last_id_;
     timers_ = other.timers_;
@@ -100,9 +100,9 @@
   std::string Saved() const { return node_.Save(); }
   bool Load(const std::string& saved) { return node_.Load(saved); }
 
-  // Moves the clock on, running the timers that fall due.
-  void Pass(Micros span) {
-    Micros end = now + span;
+  // Advances the clock and runs the timers that become due.
+  void AdvanceTime(Micros duration) {
+    Micros end = now + duration;
     while (!timers_.empty() && timers_.begin()->first <= end) {
       auto [at, timer] = *timers_.begin();
       timers_.erase(timers_.begin());
@@ -112,7 +112,7 @@
     now = end;
   }
 
-  // The backend of the request's last attempt; 0: none was sent.
+  // The backend of the request's last attempt; 0 if none was sent.
   BackendId SentTo(RequestId id) const {
     BackendId to = 0;
     for (const Action& a : actions) {
@@ -125,14 +125,15 @@
     for (const Action& a : actions) n += a.act == act && a.id == id;
     return n;
   }
-  int Finals(RequestId id) const { return Count(Act::kRefuse, id) + Count(Act::kFail, id); }
+  int FinalAnswers(RequestId id) const { return Count(Act::kRefuse, id) + Count(Act::kFail, id); }
 
-  // One request after another, each answered before the next; those at `bad` end as told.
+  // Sends requests one after another, each answered before the next. Attempts at `bad` end with `outcome`,
+  // all others with kOk.
   void Traffic(int n, BackendId bad, Outcome outcome, int cls = 0, Micros gap = 10 * kMs) {
     for (int i = 0; i < n; ++i) {
       RequestId id = Request(cls);
       for (int attempt = 0; attempt < Count(Act::kSend, id); ++attempt) {
-        Pass(gap);
+        AdvanceTime(gap);
         Result(id, attempt, SentTo(id) == bad ? outcome : Outcome::kOk);
       }
     }
@@ -146,23 +147,23 @@
   }
 
   void Send(RequestId id, BackendId backend, Micros timeout) override {
-    Keep(Act::kSend, id, backend, timeout);
+    Record(Act::kSend, id, backend, timeout);
   }
-  void Refuse(RequestId id, Micros retry_after) override { Keep(Act::kRefuse, id, 0, retry_after); }
-  void Fail(RequestId id) override { Keep(Act::kFail, id, 0, 0); }
-  void Cancel(RequestId id, int attempt) override { Keep(Act::kCancel, id, 0, attempt); }
+  void Refuse(RequestId id, Micros retry_after) override { Record(Act::kRefuse, id, 0, retry_after); }
+  void Fail(RequestId id) override { Record(Act::kFail, id, 0, 0); }
+  void Cancel(RequestId id, int attempt) override { Record(Act::kCancel, id, 0, attempt); }
   void Schedule(Micros delay, uint64_t timer) override {
     timers_.insert({now + (delay > 0 ? delay : 1), timer});
   }
-  void Probe(BackendId backend) override { Keep(Act::kProbe, 0, backend, 0); }
-  void Subscribe() override { Keep(Act::kSubscribe, 0, 0, 0); }
+  void Probe(BackendId backend) override { Record(Act::kProbe, 0, backend, 0); }
+  void Subscribe() override { Record(Act::kSubscribe, 0, 0, 0); }
 
   Micros now = 100 * kSecond;
   std::vector<Action> actions;
 
  private:
-  void Keep(Act act, RequestId id, BackendId backend, Micros span) {
-    actions.push_back({act, id, backend, span, now});
+  void Record(Act act, RequestId id, BackendId backend, Micros duration) {
+    actions.push_back({act, id, backend, duration, now});
   }
   Balancer node_;
   RequestId last_id_ = 0;
--- a/tests/module/steps_test.cpp
+++ b/tests/module/steps_test.cpp
@@ -1,5 +1,5 @@
-// What an event costs, in steps: the module is compiled so that each basic block that it runs through is
-// counted. The counts are the same on every machine, and need nobody's word on which loops matter.
+// The cost of events in steps: the module is compiled so that each executed basic block is counted. The
+// counts are the same on every machine and cover all loops.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -31,19 +31,19 @@
   return steps - before;
 }
 
-// The most steps of a query and its answer, at so many servers, so many waiting and so many tenants.
+// The steps of a query and its answer, for a number of backends, waiting requests and tenants.
 struct Cost {
   double mean = 0;
   uint64_t worst = 0;
 };
-Cost OfAQuery(BackendId servers, int waiting, int tenants, double zone_price = 0) {
+Cost CostOfQuery(BackendId servers, int waiting, int tenants, double zone_price = 0) {
   Settings s = PlainSettings();
   s.cross_zone_price = zone_price;
   for (RequestClass& c : s.classes) c.aim = c.deadline = 1000 * kSecond;
   s.tenants.assign(static_cast<size_t>(tenants), Tenant{10, 1, ""});
-  Bench b(s);
+  NodeHarness b(s);
   b.List(ListKind::kFull, Servers(servers));
-  if (waiting > 0) {  // so many that none has room any more
+  if (waiting > 0) {  // until no backend has capacity
     for (BackendId i = 0; i < 3 * servers; ++i) b.Request(0, 1000 * kSecond);
     for (int i = 0; i < waiting; ++i) b.Request(i % 3, 1000 * kSecond, i % std::max(1, tenants));
   }
@@ -51,7 +51,7 @@
   constexpr int kQueries = 400;
   size_t answered = 0;
   for (int i = 0; i < kQueries; ++i) {
-    b.Pass(kMs);
+    b.AdvanceTime(kMs);
     const uint64_t taken = Steps([&] {
       b.Request(i % 3, 1000 * kSecond, tenants > 0 ? i % tenants : 0);
       while (answered < b.actions.size() && b.actions[answered].act != Act::kSend) ++answered;
@@ -65,35 +65,36 @@
 
 TEST(Steps, OfAQueryDoNotGrowWithTheServers) {
   for (double price : {0.0, 0.5}) {
-    const Cost few = OfAQuery(20, 0, 2, price);
-    ASSERT_GT(few.mean, 50);  // else nothing is counted
+    const Cost baseline = CostOfQuery(20, 0, 2, price);
+    ASSERT_GT(baseline.mean, 50);  // otherwise nothing is counted
     for (BackendId servers : {200u, 2000u, 20000u}) {
-      const Cost many = OfAQuery(servers, 0, 2, price);
-      EXPECT_LT(many.mean, 1.3 * few.mean) << servers;
-      EXPECT_LT(many.worst, 2 * few.worst) << servers;
+      const Cost many = CostOfQuery(servers, 0, 2, price);
+      EXPECT_LT(many.mean, 1.3 * baseline.mean) << servers;
+      EXPECT_LT(many.worst, 2 * baseline.worst) << servers;
     }
   }
 }
 
-TEST(Steps, OfAQueryGrowWithTheLogarithmOfWhatWaitsAtTheMost) {
-  const Cost few = OfAQuery(20, 50, 2);
+TEST(Steps, OfAQueryGrowAtMostWithTheLogarithmOfTheQueue) {
+  const Cost baseline = CostOfQuery(20, 50, 2);
   for (int waiting : {500, 5000, 50000}) {
-    const Cost many = OfAQuery(20, waiting, 2);
-    EXPECT_LT(many.mean, 1.3 * few.mean + 30 * std::log2(waiting / 50.0)) << waiting;
-    EXPECT_LT(many.worst, 2 * static_cast<double>(few.worst) + 60 * std::log2(waiting / 50.0)) << waiting;
+    const Cost many = CostOfQuery(20, waiting, 2);
+    EXPECT_LT(many.mean, 1.3 * baseline.mean + 30 * std::log2(waiting / 50.0)) << waiting;
+    EXPECT_LT(many.worst, 2 * static_cast<double>(baseline.worst) + 60 * std::log2(waiting / 50.0))
+        << waiting;
   }
 }
 
 TEST(Steps, OfAQueryDoNotGrowWithTheTenants) {
-  EXPECT_LT(OfAQuery(20, 50, 5000).mean, 1.2 * OfAQuery(20, 50, 2).mean);
+  EXPECT_LT(CostOfQuery(20, 50, 5000).mean, 1.2 * CostOfQuery(20, 50, 2).mean);
 }
 
 TEST(Steps, OfAQueryDoNotGrowWithServersThatAreGone) {
   const auto after = [](BackendId gone) {
-    Bench b(PlainSettings());
+    NodeHarness b(PlainSettings());
     for (BackendId i = 0; i < gone; i += 1000) b.List(ListKind::kFull, Servers(1000, i + 1));
     b.List(ListKind::kFull, Servers(50, 1'000'000));
-    b.Pass(kSecond);
+    b.AdvanceTime(kSecond);
     return Steps([&] { b.Traffic(100, 0, Outcome::kOk); });
   };
   EXPECT_LT(after(50'000), 1.2 * static_cast<double>(after(1000)));
@@ -101,12 +102,12 @@
 
 TEST(Steps, OfAListThatChangesOneServerGrowWithTheLogarithmOfAll) {
   const auto change = [](BackendId servers) {
-    Bench b(PlainSettings());
+    NodeHarness b(PlainSettings());
     b.List(ListKind::kFull, Servers(servers));
     for (int i = 0; i < 100; ++i) b.Request();
     uint64_t worst = 0;
     for (BackendId i = 1; i <= 20; ++i) {
-      b.Pass(kMs);
+      b.AdvanceTime(kMs);
       worst = std::max(worst, Steps([&] {
                          b.Change(i, BackendState::kDraining);
                          b.Change(i, BackendState::kReady, b.now);
@@ -114,62 +115,62 @@
     }
     return static_cast<double>(worst);
   };
-  const double few = change(20);
-  EXPECT_LT(change(200), 1.3 * few);
-  EXPECT_LT(change(20000), 1.6 * few);
+  const double baseline = change(20);
+  EXPECT_LT(change(200), 1.3 * baseline);
+  EXPECT_LT(change(20000), 1.6 * baseline);
 }
 
 TEST(Steps, OfAWholeListGrowWithItsEntries) {
   const auto list = [](BackendId servers) {
-    Bench b(PlainSettings());
+    NodeHarness b(PlainSettings());
     b.List(ListKind::kFull, Servers(servers));
     return static_cast<double>(Steps([&] { b.List(ListKind::kFull, Servers(servers)); }));
   };
   EXPECT_LT(list(20000), 150 * list(200));
 }
 
-TEST(Steps, OfAnEventWithoutRoomAreFewerThanThoseOfAServedQuery) {
+TEST(Steps, OfAnEventWithoutCapacityAreFewerThanThoseOfAServedQuery) {
   Settings s = PlainSettings();
-  Bench b(s);
+  NodeHarness b(s);
   b.List(ListKind::kFull, Servers(20));
   const uint64_t served = Steps([&] { b.Traffic(300, 0, Outcome::kOk); }) / 300;
   for (int i = 0; i < 400; ++i) b.Request(0, 300 * kMs);
   const uint64_t refused = Steps([&] {
                              for (int i = 0; i < 3000; ++i) {
                                b.Request(0, 300 * kMs);
-                               b.Pass(100);
+                               b.AdvanceTime(100);
                              }
                            }) /
                            3000;
   EXPECT_LT(refused, served);
 }
 
-// A fleet in which everything is hard to place: asleep, full, cold, or not allowed.
+// A fleet in which every request is difficult to place: backends are asleep, full, cold or not allowed.
 TEST(Steps, OfHardCasesStayBounded) {
   const auto worst = [](BackendId servers) {
     Settings s = PlainSettings();
     s.max_attempts = 4;
     s.nodes = 3;
-    Bench b(s);
+    NodeHarness b(s);
     std::vector<BackendEntry> all = Servers(servers);
-    for (BackendEntry& e : all) e.started_at = b.now;  // every one is cold
+    for (BackendEntry& e : all) e.started_at = b.now;  // all backends are cold
     b.List(ListKind::kFull, all);
-    b.Pass(kSecond);  // each has earned its first by now: that is one step each, not one an event
+    b.AdvanceTime(kSecond);  // each has earned its first request: one step each, not one for each event
     b.Request();
     uint64_t most = 0;
     std::vector<RequestId> keyed;
     for (int i = 0; i < 2000; ++i) {
-      b.Pass(500);
+      b.AdvanceTime(500);
       most = std::max(most, Steps([&] { keyed.push_back(b.Request(1, 2 * kSecond, 0, false, 20 * kMs)); }));
-      if (i % 2 == 0) {  // it may have run: from now on it is bound to its cell
+      if (i % 2 == 0) {  // it may have run, so it is now bound to its cell
         const RequestId id = keyed[keyed.size() / 2];
         most = std::max(most, Steps([&] { b.Result(id, b.Count(Act::kSend, id) - 1, Outcome::kError); }));
       }
     }
     return static_cast<double>(most);
   };
-  const double few = worst(40);
-  EXPECT_LT(worst(4000), 3 * few);
+  const double baseline = worst(40);
+  EXPECT_LT(worst(4000), 3 * baseline);
 }
 
 }  // namespace
--- a/tests/module/wire_test.cpp
+++ b/tests/module/wire_test.cpp
@@ -1,4 +1,4 @@
-// The codec, the settings and the adapter's answers to malformed input.
+// The codec, the settings, and the adapter's answers to malformed input.
 #include "sim/wire.h"
 
 #include <gtest/gtest.h>
@@ -127,7 +127,7 @@
   Bytes at = Record(1120, {{3, 4}});
   std::string out = ran.out.substr(8);
   EXPECT_EQ(out.substr(0, at.size()), std::string(reinterpret_cast<const char*>(at.data()), at.size()));
-  Bytes head = Record(1000, {{42, 8}, {77, 4}, {0, 4}});  // no early time-out: its latency is not known yet
+  Bytes head = Record(1000, {{42, 8}, {77, 4}, {0, 4}});  // no early time-out: the latency is not known yet
   EXPECT_EQ(out.substr(at.size(), 18), std::string(reinterpret_cast<const char*>(head.data()), 18));
 }
 
