--- a/bench/decisions.cpp
+++ b/bench/decisions.cpp
@@ -1,5 +1,5 @@
-// What the module's decisions cost, by servers, by offered load and by what waits. Compiled once for each
-// module that is measured: see CMakeLists.txt. All but the module is virtual: time, servers, answers.
+// Measures the cost of the module's decisions by number of servers, offered load and queue length. Compiled
+// once for each measured module, see CMakeLists.txt. Time, servers and answers are simulated.
 #include <benchmark/benchmark.h>
 
 #include <deque>
@@ -17,7 +17,7 @@
 constexpr Micros kMs = 1000;
 constexpr Micros kSecond = 1000 * kMs;
 
-Settings Site() {
+Settings BenchSettings() {
   Settings s;
   for (Idempotency kind : {Idempotency::kSafe, Idempotency::kKeyed, Idempotency::kUnsafe}) {
     RequestClass c;
@@ -34,7 +34,7 @@
   return s;
 }
 
-// A node with its timers, and what it has sent.
+// Drives a node: runs its timers and records the attempts that it sends.
 class Driver : public ActionSink {
  public:
   struct Sent {
@@ -57,19 +57,19 @@
     e.cell = static_cast<int>(id % 50);
     return e;
   }
-  void Change(BackendId id, BackendState state) {
+  void ChangeBackend(BackendId id, BackendState state) {
     BackendList list;
     list.kind = ListKind::kChanges;
     list.entries.push_back(Entry(id));
     list.entries.back().state = state;
     node.OnList(now, list, *this);
   }
-  void Ask(Micros patience) {
+  void SendRequest(Micros give_up_after) {
     Request r;
     r.id = ++last_id;
     r.request_class = static_cast<int>(last_id % 3);
-    r.give_up_at = now + patience;
-    ++in_hand;
+    r.give_up_at = now + give_up_after;
+    ++unanswered;
     node.OnRequest(now, r, *this);
   }
   void Answer(const Sent& one) {
@@ -78,10 +78,10 @@
     r.attempt = one.attempt;
     r.closed = true;
     r.backend = one.to;
-    --in_hand;
+    --unanswered;
     node.OnResult(now, r, *this);
   }
-  void Until(Micros end) {
+  void AdvanceTo(Micros end) {
     while (!timers.empty() && timers.top().first <= end) {
       const auto [at, timer] = timers.top();
       timers.pop();
@@ -91,9 +91,10 @@
     now = end;
   }
 
-  void Send(RequestId id, BackendId to, Micros) override { sent.push_back({id, 0, to}); }  // nothing fails
-  void Refuse(RequestId, Micros) override { --in_hand; }
-  void Fail(RequestId) override { --in_hand; }
+  // Nothing fails, so each attempt is the first of its request.
+  void Send(RequestId id, BackendId to, Micros) override { sent.push_back({id, 0, to}); }
+  void Refuse(RequestId, Micros) override { --unanswered; }
+  void Fail(RequestId) override { --unanswered; }
   void Cancel(RequestId, int) override {}
   void Schedule(Micros delay, uint64_t timer) override {
     timers.push({now + std::max<Micros>(delay, 1), timer});
@@ -107,18 +108,18 @@
   std::deque<Sent> sent;
   using Timer = std::pair<Micros, uint64_t>;
   std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers;
-  long in_hand = 0;  // queries without a final answer
+  long unanswered = 0;  // queries without a final answer
 };
 
-// A query and its result; 64 are in flight, and answers come as fast as queries.
+// One query and one result per iteration, with 64 queries in flight.
 void QueryByServers(benchmark::State& state) {
-  Driver d(Site());
+  Driver d(BenchSettings());
   d.List(static_cast<BackendId>(state.range(0)));
-  d.Until(d.now + 10 * kSecond);
+  d.AdvanceTo(d.now + 10 * kSecond);
   const auto step = [&d] {
-    d.Until(d.now + 100);
-    d.Ask(kSecond);
-    if (d.in_hand <= 64 || d.sent.empty()) return;
+    d.AdvanceTo(d.now + 100);
+    d.SendRequest(kSecond);
+    if (d.unanswered <= 64 || d.sent.empty()) return;
     d.Answer(d.sent.front());
     d.sent.pop_front();
   };
@@ -127,36 +128,36 @@
   state.counters["saved_kB"] = static_cast<double>(d.node.Save().size()) / 1000;
 }
 
-// Twenty servers that together serve 13,000 a second: each has eight cores, and takes 12.3 ms for a query.
-class Servers {
+// Twenty servers of eight cores that take 12.3 ms for a query: together they serve 13,000 queries per second.
+class SimulatedServers {
  public:
-  explicit Servers(Driver& d) : d_(d), cores_(21, std::vector<Micros>(8, 0)) {}
-  void Take() {
+  explicit SimulatedServers(Driver& d) : d_(d), cores_(21, std::vector<Micros>(8, 0)) {}
+  void AcceptSent() {
     for (; !d_.sent.empty(); d_.sent.pop_front()) {
       const Driver::Sent& s = d_.sent.front();
       auto& cores = cores_[s.to];
       auto core = std::min_element(cores.begin(), cores.end());
       *core = std::max(*core, d_.now) + 12300;
-      due_.push({*core, asked_, s});
+      due_.push({*core, last_order, s});
     }
   }
-  // All that happens until then; returns how many were answered in time.
-  long Until(Micros end) {
+  // Processes all answers due until `end`; returns how many queries were answered in time.
+  long AdvanceTo(Micros end) {
     long in_time = 0;
     while (!due_.empty() && due_.top().at <= end) {
       const Due due = due_.top();
       due_.pop();
-      d_.Until(due.at);
-      Take();
+      d_.AdvanceTo(due.at);
+      AcceptSent();
       d_.Answer(due.sent);
-      in_time += due.at - came[due.sent.id % came.size()] <= 300 * kMs;
-      Take();
+      in_time += due.at - arrived_at[due.sent.id % arrived_at.size()] <= 300 * kMs;
+      AcceptSent();
     }
-    d_.Until(end);
-    Take();
+    d_.AdvanceTo(end);
+    AcceptSent();
     return in_time;
   }
-  std::vector<Micros> came = std::vector<Micros>(1 << 20);
+  std::vector<Micros> arrived_at = std::vector<Micros>(1 << 20);
 
  private:
   struct Due {
@@ -168,23 +169,23 @@
   Driver& d_;
   std::vector<std::vector<Micros>> cores_;
   std::priority_queue<Due> due_;
-  long asked_ = 0;
+  long last_order = 0;
 };
 
-// A query offered to them, with all that comes of it.
+// One query offered to these servers, with its answers and timers.
 void QueryByLoad(benchmark::State& state) {
-  Driver d(Site());
+  Driver d(BenchSettings());
   d.List(20);
-  d.Until(d.now + 10 * kSecond);
-  Servers servers(d);
+  d.AdvanceTo(d.now + 10 * kSecond);
+  SimulatedServers servers(d);
   std::mt19937_64 random(1);
   const auto gap = static_cast<uint64_t>(2 * kSecond / state.range(0));
   long in_time = 0;
   const auto step = [&] {
-    in_time += servers.Until(d.now + static_cast<Micros>(random() % (gap + 1)));
-    servers.came[(d.last_id + 1) % servers.came.size()] = d.now;
-    d.Ask(kSecond);
-    servers.Take();
+    in_time += servers.AdvanceTo(d.now + static_cast<Micros>(random() % (gap + 1)));
+    servers.arrived_at[(d.last_id + 1) % servers.arrived_at.size()] = d.now;
+    d.SendRequest(kSecond);
+    servers.AcceptSent();
   };
   for (Micros end = d.now + 3 * kSecond; d.now < end;) step();
   in_time = 0;
@@ -194,34 +195,34 @@
       static_cast<double>(in_time) / (static_cast<double>(d.now - from + 1) / 1e6);
 }
 
-// An answer, which lets the best of those that wait go out, and a query that takes its place.
+// One answer, after which the best queued query is sent, and one new query to keep the queue length.
 void QueryByWaiting(benchmark::State& state) {
-  Settings s = Site();
+  Settings s = BenchSettings();
   for (RequestClass& c : s.classes) c.aim = c.deadline = 1000 * kSecond;
   Driver d(s);
   d.List(20);
-  for (long i = 0; i < state.range(0) + 60; ++i) d.Ask(1000 * kSecond);
+  for (long i = 0; i < state.range(0) + 60; ++i) d.SendRequest(1000 * kSecond);
   for (auto _ : state) {
-    d.Until(d.now + 100);
+    d.AdvanceTo(d.now + 100);
     if (!d.sent.empty()) {
       d.Answer(d.sent.front());
       d.sent.pop_front();
     }
-    d.Ask(1000 * kSecond);
+    d.SendRequest(1000 * kSecond);
   }
 }
 
-// One server of a list drains, and is back.
+// One server of the list drains or is ready again.
 void ListChange(benchmark::State& state) {
-  Driver d(Site());
+  Driver d(BenchSettings());
   const auto servers = static_cast<BackendId>(state.range(0));
   d.List(servers);
   BackendId at = 0;
   for (auto _ : state) {
-    d.Until(d.now + 10 * kMs);
-    d.Change(1 + (at / 2) % servers, at % 2 == 0 ? BackendState::kDraining : BackendState::kReady);
+    d.AdvanceTo(d.now + 10 * kMs);
+    d.ChangeBackend(1 + (at / 2) % servers, at % 2 == 0 ? BackendState::kDraining : BackendState::kReady);
     ++at;
-    d.Ask(kSecond);  // the change is felt with the next query
+    d.SendRequest(kSecond);  // the node applies the change with the next query
     if (!d.sent.empty()) {
       d.Answer(d.sent.back());
       d.sent.clear();
@@ -229,9 +230,9 @@
   }
 }
 
-// A whole list, as it was.
+// A complete, unchanged list.
 void FullList(benchmark::State& state) {
-  Driver d(Site());
+  Driver d(BenchSettings());
   for (auto _ : state) d.List(static_cast<BackendId>(state.range(0)));
 }
 
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -1,10 +1,11 @@
+// A minimal user of the installed library: one node, one backend, one request.
 #include <cstdio>
 
 #include "meadowslip/balancer.h"
 
 using namespace meadowslip;
 
-// Carries out what the node decides; a real one would talk to its sockets here.
+// Executes the actions of the node by printing them; a real proxy would use its sockets.
 struct Proxy : ActionSink {
   void Send(RequestId id, BackendId backend, Micros) override {
     std::printf("send request %llu to backend %u\n", static_cast<unsigned long long>(id), backend);
