--- a/bench/decisions.cpp
+++ b/bench/decisions.cpp
@@ -91,9 +91,8 @@
     now = end;
   }
 
-  void Send(RequestId id, BackendId to, Micros) override {
-    sent.push_back({id, 0, to});
-  }  // always the first attempt: nothing fails
+  // Nothing fails, so each attempt is the first of its request.
+  void Send(RequestId id, BackendId to, Micros) override { sent.push_back({id, 0, to}); }
   void Refuse(RequestId, Micros) override { --unanswered; }
   void Fail(RequestId) override { --unanswered; }
   void Cancel(RequestId, int) override {}
@@ -129,8 +128,7 @@
   state.counters["saved_kB"] = static_cast<double>(d.node.Save().size()) / 1000;
 }
 
-// Twenty servers that together serve 13,000 queries per second: each has eight cores, and a query takes 12.3
-// ms.
+// Twenty servers of eight cores that take 12.3 ms for a query: together they serve 13,000 queries per second.
 class SimulatedServers {
  public:
   explicit SimulatedServers(Driver& d) : d_(d), cores_(21, std::vector<Micros>(8, 0)) {}
--- a/tests/module/cold_test.cpp
+++ b/tests/module/cold_test.cpp
@@ -22,7 +22,7 @@
 const ColdSettings kThree = {"three", 3, 2000 * kMs, 0.13, 24 * kSecond, {25 * kMs, 37 * kMs, 41 * kMs}};
 const ColdSettings kTwo = {"two", 2, 1500 * kMs, 0.2, 40 * kSecond, {50 * kMs, 70 * kMs, 90 * kMs}};
 const ColdSettings kOneAndAHalf = {"1.5", 1.5, 1500 * kMs, 0.1, 60 * kSecond, {50 * kMs, 50 * kMs, 50 * kMs}};
-const ColdSettings kLowCost = {"light work", 4, 1500 * kMs, 0.12, 23 * kSecond, {4 * kMs, 5 * kMs, 6 * kMs}};
+const ColdSettings kLowCost = {"light", 4, 1500 * kMs, 0.12, 23 * kSecond, {4 * kMs, 5 * kMs, 6 * kMs}};
 
 FleetSimulation::Plan PlanOf(const ColdSettings& config, int balancers, int nodes, uint64_t seed) {
   FleetSimulation::Plan plan;
