--- a/fuzz/council_state_fuzz.cpp
+++ b/fuzz/council_state_fuzz.cpp
@@ -47,7 +47,7 @@
       if (auto state = owner::State::Load(Frame("bfos", body))) {
         const std::string bytes = state->Save();
         Hold(owner::State::Load(bytes)->Save() == bytes);
-        for (const owner::Lease& lease : state->Leases()) state->Apply(1, 0, owner::RunOutOf(lease));
+        for (const owner::Lease& lease : state->Leases()) state->Apply(1, 0, owner::MakeExpireCommand(lease));
         Hold(owner::State::Load(state->Save()).has_value());
       }
       return 0;
@@ -66,9 +66,9 @@
         const std::string bytes = state->Save();
         Hold(freeze::State::Load(bytes)->Save() == bytes);
         uint64_t index = uint64_t{1} << 40;
-        for (const freeze::Command& ends : state->EndsDue(INT64_MAX / 2)) state->Apply(++index, 0, ends);
+        for (const freeze::Command& ends : state->IncidentsDue(INT64_MAX / 2)) state->Apply(++index, 0, ends);
         for (const owner::Lease& lease : state->Leases()) {
-          state->Apply(++index, 0, freeze::RunOutOf(lease));
+          state->Apply(++index, 0, freeze::MakeExpireCommand(lease));
         }
         Hold(freeze::State::Load(state->Save()).has_value());
       }
@@ -78,18 +78,18 @@
       rules.disk = true;
       const std::string file = Frame("bfox", body);
       owner::Executor executor(rules, file);
-      executor.Ask("freeze", 7);
-      executor.Told("freeze", 7);
-      if (const auto write = executor.Pending()) {
+      executor.Check("freeze", 7);
+      executor.SetCurrentEpoch("freeze", 7);
+      if (const auto write = executor.NextWrite()) {
         Hold(!owner::Executor(rules, write->bytes).damaged());
       }
       return 0;
     }
     default: {
       freeze::LocalGate gate(freeze::Rules{}, {"b1", 1});
-      if (gate.Take(Frame("bffl", body))) {
+      if (gate.Load(Frame("bffl", body))) {
         const std::string bytes = gate.Save();
-        Hold(gate.Take(bytes) && gate.Save() == bytes);
+        Hold(gate.Load(bytes) && gate.Save() == bytes);
       }
       return 0;
     }
--- a/src/council/council.cpp
+++ b/src/council/council.cpp
@@ -58,20 +58,20 @@
   freeze::Rules rules;
   rules.step_lease = us(settings.step_lease_s);
   rules.change_lease = us(settings.change_lease_s);
-  rules.most_balancers_of_zone = static_cast<uint64_t>(settings.most_balancers_of_zone);
-  rules.most_nodes_of_group = static_cast<uint64_t>(settings.most_nodes_of_group);
-  rules.ask_again = us(settings.ask_again_s);
-  rules.emergencies.clear();
+  rules.max_balancers_per_zone = static_cast<uint64_t>(settings.most_balancers_of_zone);
+  rules.max_nodes_per_group = static_cast<uint64_t>(settings.most_nodes_of_group);
+  rules.retry_after = us(settings.ask_again_s);
+  rules.emergency_kinds.clear();
   for (const std::string& name : settings.emergencies) {
-    if (const auto kind = ByName<freeze::ChangeKind>(name, freeze::kChangeKinds))
-      rules.emergencies.push_back(*kind);
+    if (const auto kind = ByName<freeze::ChangeKind>(name, freeze::kChangeKindCount))
+      rules.emergency_kinds.push_back(*kind);
   }
   if (settings.forbids.empty()) return rules;
   rules.table.clear();
   for (const CouncilForbids& line : settings.forbids) {
-    freeze::Row row;
-    row.incident = ByName<freeze::IncidentKind>(line.incident, freeze::kIncidentKinds);
-    row.change = ByName<freeze::ChangeKind>(line.change, freeze::kChangeKinds);
+    freeze::TableRow row;
+    row.incident = ByName<freeze::IncidentKind>(line.incident, freeze::kIncidentKindCount);
+    row.change = ByName<freeze::ChangeKind>(line.change, freeze::kChangeKindCount);
     row.reach = ByName<freeze::Reach>(line.reach, 3).value_or(freeze::Reach::kWhereScopesMeet);
     rules.table.push_back(row);
   }
@@ -175,7 +175,7 @@
                     kept ? std::optional<std::string_view>(*kept) : std::nullopt);
   if (executor_->damaged()) log_.Tell<"council_disk">("damaged", setup_.stem + ".epochs");
   if (const std::optional<std::string> told_not = machine_.files().Read(setup_.stem + ".emergencies");
-      told_not && !gate_.Take(*told_not)) {
+      told_not && !gate_.Load(*told_not)) {
     log_.Tell<"council_disk">("damaged", setup_.stem + ".emergencies");
   }
   hearing_epochs_ = HearEpochDisk();
@@ -200,9 +200,9 @@
   log_.Tell<"council_serving">(settings_.site, settings_.told.empty() ? settings_.listen : settings_.told,
                                votes ? "votes" : "follows", store_ ? store_->disk() : 0);
   for (const std::string& work : settings_.wants) {
-    held_.push_back(std::make_unique<Held>(machine_.scheduler(), owner::Holder(self_, work, {})));
+    held_.push_back(std::make_unique<Held>(machine_.scheduler(), owner::LeaseHolder(self_, work, {})));
     Held& held = *held_.back();
-    held.holder.Want();
+    held.holder.Acquire();
     held.task = Own(held);
     held.task.Start();
   }
@@ -256,7 +256,7 @@
     if (outside) next = std::min(next, follower_->next_at());
     if (Leads())
       next = std::min({next, lapse_.next_at(), freeze_lapse_.next_at(), led_on_at_ + kLeadOnEvery});
-    if (!finishing_.empty() || gate_.kept() > 0) next = std::min(next, finish_at_);
+    if (!finishing_.empty() || gate_.record_count() > 0) next = std::min(next, finish_at_);
     co_await stir_.Wait(std::max(next, now + kMs));
   }
 }
@@ -295,13 +295,13 @@
     }
     while (epochs_done_ < epoch_disk_->done() && !epochs_writing_.empty()) {
       ++epochs_done_;
-      executor_->Written(epochs_writing_.front(), true);
+      executor_->OnWritten(epochs_writing_.front(), true);
       epochs_writing_.pop_front();
     }
     if (const std::string why = epoch_disk_->Why(); !why.empty()) {
       log_.Tell<"council_disk">("failed", why);
       while (!epochs_writing_.empty()) {
-        executor_->Written(epochs_writing_.front(), false);
+        executor_->OnWritten(epochs_writing_.front(), false);
         epochs_writing_.pop_front();
       }
       epoch_disk_.reset();
@@ -392,7 +392,7 @@
       if (word.error != Error::kFenced) return;
       for (const auto& held : held_) {
         if (held->holder.epoch() != word.epoch) continue;
-        held->holder.Fenced(word.epoch);
+        held->holder.OnFenced(word.epoch);
         held->moved.Notify();
       }
       // From one that follows here, of an act that was passed on to it.
@@ -516,23 +516,23 @@
   for (const owner::Effect& effect : effects) {
     if (Leads()) {
       if (effect.what == What::kGranted || effect.what == What::kRenewed)
-        lapse_.Began(now, {effect.work, effect.epoch, effect.renewed, effect.lease});
-      if (effect.what == What::kOver) lapse_.Ended(effect.work);
+        lapse_.OnRenewed(now, {effect.task, effect.epoch, effect.renewed_index, effect.lease});
+      if (effect.what == What::kEnded) lapse_.OnEnded(effect.task);
     }
     if (effect.what == What::kGranted) {
-      log_.Tell<"council_granted">(effect.work, effect.who.name, effect.epoch);
-      Note(effect.work + " goes to " + effect.who.name + ", epoch " + std::to_string(effect.epoch));
+      log_.Tell<"council_granted">(effect.task, effect.who.name, effect.epoch);
+      Note(effect.task + " goes to " + effect.who.name + ", epoch " + std::to_string(effect.epoch));
     }
-    if (effect.what == What::kOver) {
-      Note(effect.work + " is no more " + effect.who.name + "'s, epoch " + std::to_string(effect.epoch) +
+    if (effect.what == What::kEnded) {
+      Note(effect.task + " is no more " + effect.who.name + "'s, epoch " + std::to_string(effect.epoch) +
            ": " + owner::NameOf(effect.error));
     }
     for (const auto& held : held_) {
       const uint64_t had = held->holder.epoch();
-      held->holder.Heard(now, effect);
+      held->holder.OnEffect(now, effect);
       const bool owns = held->holder.owns();
-      if (owns && held->holder.epoch() != had) log_.Tell<"council_owns">(effect.work, held->holder.epoch());
-      if (!owns && had != 0) log_.Tell<"council_lost">(effect.work, had, owner::NameOf(effect.error));
+      if (owns && held->holder.epoch() != had) log_.Tell<"council_owns">(effect.task, held->holder.epoch());
+      if (!owns && had != 0) log_.Tell<"council_lost">(effect.task, had, owner::NameOf(effect.error));
       held->moved.Notify();
     }
   }
@@ -546,11 +546,11 @@
   switch (notice.what) {
     case What::kLeads: {
       std::vector<owner::Lease> standing;
-      for (const auto& [name, work] : state_.owner().works()) {
-        if (work.owner) standing.push_back({name, work.epoch, work.renewed, work.lease});
+      for (const auto& [name, work] : state_.owner().tasks()) {
+        if (work.owner) standing.push_back({name, work.epoch, work.renewed_index, work.lease});
       }
-      lapse_.TakeOffice(machine_.Now(), standing);
-      freeze_lapse_.TakeOffice(machine_.Now(), {});
+      lapse_.BecomeLeader(machine_.Now(), standing);
+      freeze_lapse_.BecomeLeader(machine_.Now(), {});
       freeze_leases_.clear();
       SyncLapse();
       led_on_at_ = 0;
@@ -559,8 +559,8 @@
       break;
     }
     case What::kSteppedDown:
-      lapse_.TakeOffice(machine_.Now(), {});
-      freeze_lapse_.TakeOffice(machine_.Now(), {});
+      lapse_.BecomeLeader(machine_.Now(), {});
+      freeze_lapse_.BecomeLeader(machine_.Now(), {});
       joining_.clear();
       log_.Tell<"council_stepped_down">(notice.term, notice.text);
       break;
@@ -603,22 +603,22 @@
   const Micros now = machine_.Now();
   for (const owner::Lease& over : lapse_.Due(now)) {
     owner::Command command;
-    command.kind = owner::Command::Kind::kRunOut;
-    command.work = over.key;
+    command.kind = owner::Command::Kind::kExpire;
+    command.task = over.key;
     command.epoch = over.epoch;
-    command.renewed = over.renewed;
+    command.renewed_index = over.renewed_index;
     core_->Propose(now, council::Envelope(command));
   }
   for (const owner::Lease& over : freeze_lapse_.Due(now)) {
     freeze::Command command;
-    command.kind = freeze::Command::Kind::kRunOut;
+    command.kind = freeze::Command::Kind::kExpire;
     command.change = std::stoull(over.key.substr(over.key.find(' ') + 1));
     command.epoch = over.epoch;
-    command.renewed = over.renewed;
+    command.renewed_index = over.renewed_index;
     core_->Propose(now, council::Envelope(command));
   }
   if (now < led_on_at_ + kLeadOnEvery) return;
-  for (const freeze::Command& end : state_.freeze().EndsDue(core_->council_now(now)))
+  for (const freeze::Command& end : state_.freeze().IncidentsDue(core_->council_now(now)))
     core_->Propose(now, council::Envelope(end));
   led_on_at_ = now;
   if (core_->council_now(now) >= state_.ejection().next_at()) {
@@ -872,7 +872,7 @@
   if (!came) co_return std::nullopt;
   for (const freeze::Effect& effect : came->freeze) {
     if (effect.request != command.request || effect.who != self_) continue;
-    if (effect.what == freeze::Effect::What::kGlass) continue;  // beside the answer
+    if (effect.what == freeze::Effect::What::kOverride) continue;  // beside the answer
     error = effect.what == freeze::Effect::What::kRefused ? effect.error : Error::kNone;
     co_return effect;
   }
@@ -884,9 +884,9 @@
   using Kind = freeze::Command::Kind;
   const Micros until = machine_.Now() + settings_.ask_ms * kMs;
   Permission permission;
-  freeze::Permit permit;
+  freeze::StepPermit permit;
   freeze::Command command;
-  command.kind = Kind::kAsk;
+  command.kind = Kind::kBegin;
   command.change_kind = kind;
   command.scope = scope;
   command.steps = {freeze::NameOf(kind)};
@@ -900,7 +900,7 @@
     permission.error = Error::kNoCouncil;
   }
   if (effect && permission.error == Error::kNone) {
-    permit.Heard(asked, *effect);
+    permit.OnEffect(asked, *effect);
     permission.change = effect->change;
     command = {};
     command.kind = Kind::kStep;
@@ -910,9 +910,9 @@
     asked = machine_.Now();
     effect = co_await Agree(command, until, permission.error);
     if (effect && permission.error == Error::kNone) {
-      permit.Heard(asked, *effect);
+      permit.OnEffect(asked, *effect);
       permission.error = permit.MayBegin(machine_.Now());
-      if (permission.error == Error::kNone) permission.error = permit.Begun(machine_.Now());
+      if (permission.error == Error::kNone) permission.error = permit.OnBegun(machine_.Now());
       permission.epoch = permit.epoch();
     }
     if (permission.error != Error::kNone && finishing_.size() < kMostFinishing) {
@@ -922,7 +922,7 @@
   } else if (!effect && permission.error != Error::kNone && permission.change == 0) {
     const std::vector<std::string> missing = open_ && !shut_ ? Missing() : std::vector<std::string>();
     const freeze::LocalGate::Answer local = gate_.Ask(kind, scope, by, reason, missing);
-    permission.retry = local.retry;
+    permission.retry = local.retry_after;
     if (local.error == Error::kNone) {
       // On the disk before it goes on: it is told to the council also after a restart.
       std::string why;
@@ -937,7 +937,7 @@
   if (permission.error == Error::kNone) co_return permission;
   if (effect) {
     permission.incident = effect->incident;
-    permission.retry = effect->retry;
+    permission.retry = effect->retry_after;
     if (effect->incident != 0) {
       permission.text.append("incident ").append(std::to_string(effect->incident));
       permission.text.append(" (").append(freeze::NameOf(effect->incident_kind)).append(", ");
@@ -972,7 +972,7 @@
 // Told until the own replica says that the change has ended.
 void Council::FinishChanges() {
   const Micros now = machine_.Now();
-  if (now < finish_at_ || (finishing_.empty() && gate_.kept() == 0)) return;
+  if (now < finish_at_ || (finishing_.empty() && gate_.record_count() == 0)) return;
   finish_at_ = now + kFinishEvery;
   std::erase_if(finishing_, [this](const auto& one) {
     return applied_ >= one.first && !state_.freeze().changes().contains(one.first);
@@ -983,7 +983,7 @@
     command.request = ++requests_;
     out.push_back(council::Envelope(command));
   }
-  for (const freeze::Command& command : gate_.Untold()) out.push_back(council::Envelope(command));
+  for (const freeze::Command& command : gate_.Unconfirmed()) out.push_back(council::Envelope(command));
   for (std::string& data : out) Post(std::move(data));
 }
 
@@ -991,10 +991,10 @@
   using What = freeze::Effect::What;
   if (!effects.empty()) SyncLapse();
   for (const freeze::Effect& effect : effects) {
-    sights_.Applied(machine_.Now(), effect);
-    const size_t kept = gate_.kept();
-    gate_.Applied(effect);
-    if (gate_.kept() != kept) {
+    sights_.OnApplied(machine_.Now(), effect);
+    const size_t kept = gate_.record_count();
+    gate_.OnApplied(effect);
+    if (gate_.record_count() != kept) {
       std::string why;
       machine_.files().Replace(setup_.stem + ".emergencies", gate_.Save(), why);
     }
@@ -1003,22 +1003,23 @@
     if (incident != state_.freeze().incidents().end()) scope = freeze::TextOf(incident->second.scope);
     if (effect.what == What::kOpened)
       log_.Tell<"council_incident">(effect.incident, "opened", scope, effect.pending);
-    if (effect.what == What::kIncidentYes)
+    if (effect.what == What::kIncidentInForce)
       log_.Tell<"council_incident">(effect.incident, "in force", scope, 0);
-    if (effect.what == What::kIncidentOver) log_.Tell<"council_incident">(effect.incident, "over", scope, 0);
-    if (effect.what == What::kGlass) log_.Tell<"council_glass">(effect.change, effect.by, effect.reason);
+    if (effect.what == What::kIncidentClosed)
+      log_.Tell<"council_incident">(effect.incident, "over", scope, 0);
+    if (effect.what == What::kOverride) log_.Tell<"council_glass">(effect.change, effect.by, effect.reason);
     if (effect.what == What::kHold && effect.who == self_)
       log_.Tell<"council_hold">(effect.change, effect.incident,
-                                effect.how == freeze::UnderWay::kUndo ? "undo" : "finish");
+                                effect.step_policy == freeze::StepPolicy::kUndo ? "undo" : "finish");
   }
 }
 
 // What the owner of the freeze sees becomes incidents, and ends them.
 void Council::Look(uint64_t epoch) {
   const Micros now = machine_.Now();
-  if (std::exchange(sights_epoch_, epoch) != epoch) sights_.Begin(now, state_.freeze(), epoch);
+  if (std::exchange(sights_epoch_, epoch) != epoch) sights_.BecomeCoordinator(now, state_.freeze(), epoch);
   for (const Setup::Sight& sight : setup_.sights()) {
-    for (freeze::Command& command : sights_.Saw(now, sight.kind, sight.scope, sight.share)) {
+    for (freeze::Command& command : sights_.OnObservation(now, sight.kind, sight.scope, sight.share)) {
       command.who = self_;
       command.request = ++requests_;
       if (command.by.empty()) command.by = setup_.name;
@@ -1034,13 +1035,13 @@
   std::map<std::string, owner::Lease> standing;
   for (owner::Lease& lease : state_.freeze().Leases()) standing.emplace(lease.key, std::move(lease));
   for (const auto& [key, lease] : freeze_leases_) {
-    if (!standing.contains(key)) freeze_lapse_.Ended(key);
+    if (!standing.contains(key)) freeze_lapse_.OnEnded(key);
   }
   for (const auto& [key, lease] : standing) {
     const auto before = freeze_leases_.find(key);
-    if (before == freeze_leases_.end() || before->second.renewed != lease.renewed ||
+    if (before == freeze_leases_.end() || before->second.renewed_index != lease.renewed_index ||
         before->second.epoch != lease.epoch)
-      freeze_lapse_.Began(now, lease);
+      freeze_lapse_.OnRenewed(now, lease);
   }
   freeze_leases_ = std::move(standing);
 }
@@ -1056,13 +1057,13 @@
   const Micros began = machine_.Now(), until = began + settings_.ask_ms * kMs;
   Error error = Error::kNone;
   if (what == "close") {
-    command.kind = freeze::Command::Kind::kClose;
+    command.kind = freeze::Command::Kind::kCloseIncident;
     const auto [end, bad] = std::from_chars(about.data(), about.data() + about.size(), command.incident);
     if (bad != std::errc() || end != about.data() + about.size()) co_return Failed(Error::kMalformed);
     co_await Agree(command, until, error);
     co_return error == Error::kNone ? "incident " + about + " is over\n" : Failed(error);
   }
-  command.kind = freeze::Command::Kind::kOpen;
+  command.kind = freeze::Command::Kind::kOpenIncident;
   const size_t colon = about.find(':');
   const std::string kind = about.substr(0, colon),
                     name = colon == std::string::npos ? "" : about.substr(colon + 1);
@@ -1089,7 +1090,7 @@
     const auto it = state_.freeze().incidents().find(opened->incident);
     if (it == state_.freeze().incidents().end())
       co_return Failed(Error::kUnknownIncident, "It was closed meanwhile.");
-    if (it->second.yes) {
+    if (it->second.in_force) {
       co_return "incident " + std::to_string(opened->incident) + " is in force after " +
           std::to_string((machine_.Now() - began) / kMs) + " ms: no step that it forbids begins\n";
     }
@@ -1106,12 +1107,12 @@
     const Micros now = machine_.Now();
     for (const owner::Command& command : held.holder.Tick(now)) {
       // The voter that was asked last may be gone.
-      if (command.kind == owner::Command::Kind::kWant) hint_.clear(), ++turn_;
+      if (command.kind == owner::Command::Kind::kAcquire) hint_.clear(), ++turn_;
       Post(council::Envelope(command));
     }
     if (held.holder.stopping()) {
-      held.holder.GiveUp();
-      held.holder.Want();  // behind the others
+      held.holder.Release();
+      held.holder.Acquire();  // behind the others
     }
     if (held.holder.owns() && now >= held.act_at && !left_) {
       const uint64_t had = held.holder.epoch();
@@ -1124,8 +1125,8 @@
           while (machine_.Now() < until) co_await held.moved.Wait(until);
         }
         SendAct(held, permit.epoch);
-        if (WorkOf(held) == owner::kFreezeWork) Look(permit.epoch);
-        if (WorkOf(held) == owner::kEjectionWork && state_.ejection().ToCount(state_.ejection().at())) {
+        if (WorkOf(held) == owner::kFreezeTask) Look(permit.epoch);
+        if (WorkOf(held) == owner::kEjectionTask && state_.ejection().ToCount(state_.ejection().at())) {
           ejection::Command command;
           command.what = ejection::Command::What::kCount;
           command.epoch = permit.epoch;
@@ -1169,7 +1170,7 @@
 void Council::SettleActs() {
   for (size_t i = 0; i < acts_.size();) {
     const Act& act = acts_[i];
-    const owner::Executor::Verdict verdict = executor_->Ask(act.word.work, act.word.epoch);
+    const owner::Executor::Verdict verdict = executor_->Check(act.word.work, act.word.epoch);
     if (verdict.error == Error::kNotWritten) {
       ++i;
       continue;
@@ -1187,24 +1188,24 @@
         log_.Tell<"council_obeys">(act.word.work, act.word.name, act.word.epoch);
     } else {
       ++counters_.council_fenced;
-      log_.Tell<"council_refuses">(act.word.work, act.word.name, act.word.epoch, verdict.highest,
+      log_.Tell<"council_refuses">(act.word.work, act.word.name, act.word.epoch, verdict.highest_epoch,
                                    owner::NameOf(verdict.error));
     }
     Word back{.kind = Word::Kind::kActBack,
               .number = act.word.number,
               .name = setup_.name,
-              .index = verdict.highest};
+              .index = verdict.highest_epoch};
     back.epoch = act.word.epoch;
     back.error = verdict.error;
     back.work = act.word.work;
     if (act.link != 0) {
       links_->Answer(act.link, Write(back, settings_.site));
     } else if (back.error == Error::kFenced) {
-      for (const auto& held : held_) held->holder.Fenced(back.epoch);
+      for (const auto& held : held_) held->holder.OnFenced(back.epoch);
     }
     acts_.erase(acts_.begin() + static_cast<std::ptrdiff_t>(i));
   }
-  if (std::optional<owner::Executor::Write> write = executor_->Pending(); write && epoch_disk_) {
+  if (std::optional<owner::Executor::Write> write = executor_->NextWrite(); write && epoch_disk_) {
     epochs_writing_.push_back(write->number);
     epoch_disk_->Write({{setup_.stem + ".epochs", {}, std::move(write->bytes)}});
   }
@@ -1219,7 +1220,7 @@
       word.work = work;
       const Word back = co_await AskLeader(std::move(word), machine_.Now() + settings_.ask_ms * kMs);
       if (back.error == Error::kNone) {
-        executor_->Told(work, back.epoch);
+        executor_->SetCurrentEpoch(work, back.epoch);
         untold_.erase(work);
         SettleActs();
       } else {
@@ -1257,7 +1258,7 @@
 void Council::Leave() {
   if (!open_ || left_ || shut_) return;
   for (const auto& held : held_) {
-    held->holder.GiveUp();
+    held->holder.Release();
     for (const owner::Command& command : held->holder.Tick(machine_.Now())) Post(council::Envelope(command));
   }
   left_ = true;
@@ -1339,24 +1340,24 @@
     if (const auto it = heard.find(voter.id); Leads() && it != heard.end()) one.heard_ago = now - it->second;
   }
   if (Leads() || leader.name.empty()) view.missing = Missing();
-  for (const auto& [name, work] : state_.owner().works()) {
+  for (const auto& [name, work] : state_.owner().tasks()) {
     council::WorkView& one = view.works.emplace_back();
     one.work = name;
-    if (work.owner) one.owner = work.owner->name, one.life = work.owner->life;
+    if (work.owner) one.owner = work.owner->name, one.life = work.owner->incarnation;
     one.epoch = work.epoch;
     one.since = work.since;
-    one.ending = work.ending;
-    one.obeyed = executor_->HighestOf(name);
-    for (const owner::Waiting& next : work.line) one.line.push_back(next.who.name);
+    one.ending = work.stop_reason;
+    one.obeyed = executor_->HighestEpochOf(name);
+    for (const owner::Waiter& next : work.queue) one.line.push_back(next.who.name);
     for (const auto& held : held_) {
-      if (WorkOf(*held) != name || !held->holder.owns() || held->holder.until() <= now) continue;
+      if (WorkOf(*held) != name || !held->holder.owns() || held->holder.lease_until() <= now) continue;
       one.own = true;
-      one.left = held->holder.until() - now;
+      one.left = held->holder.lease_until() - now;
     }
   }
   for (const auto& [id, incident] : state_.freeze().incidents()) {
     view.incidents.push_back({id, freeze::NameOf(incident.kind), freeze::TextOf(incident.scope), incident.by,
-                              incident.reason, incident.yes, incident.pending.size()});
+                              incident.reason, incident.in_force, incident.pending_grants.size()});
   }
   for (const auto& [id, change] : state_.freeze().changes()) {
     view.changes.push_back({id, freeze::NameOf(change.kind), freeze::TextOf(change.scope), change.owner.name,
@@ -1433,17 +1434,17 @@
     word.data = words;
   } else if (what == "hand-over" || what == "take-away") {
     owner::Command command;
-    command.work = FirstWord(rest);
-    const auto work = state_.owner().works().find(command.work);
-    if (work == state_.owner().works().end()) co_return Failed(Error::kUnknownWork);
-    command.kind = what == "take-away" ? owner::Command::Kind::kTakeAway : owner::Command::Kind::kHandOver;
+    command.task = FirstWord(rest);
+    const auto work = state_.owner().tasks().find(command.task);
+    if (work == state_.owner().tasks().end()) co_return Failed(Error::kUnknownWork);
+    command.kind = what == "take-away" ? owner::Command::Kind::kRevoke : owner::Command::Kind::kHandOver;
     command.epoch = work->second.epoch;
     if (what == "take-away") {
       command.by = FirstWord(rest);
       command.reason = rest;
     } else {
       const std::string to = FirstWord(rest);
-      for (const owner::Waiting& next : work->second.line) {
+      for (const owner::Waiter& next : work->second.queue) {
         if (next.who.name == to) command.to = next.who;
       }
       if (command.to.name.empty()) co_return Failed(Error::kNotOwner, to + " does not wait for it.");
--- a/src/council/council.h
+++ b/src/council/council.h
@@ -23,14 +23,14 @@
 #include "council/store.h"
 #include "council/view.h"
 #include "council/word.h"
+#include "freeze/incident_detector.h"
 #include "freeze/local_gate.h"
 #include "freeze/permit.h"
-#include "freeze/sights.h"
 #include "io/machine.h"
 #include "observe/log.h"
 #include "owner/executor.h"
 #include "owner/holder.h"
-#include "owner/lapse.h"
+#include "owner/lease_expiry.h"
 
 namespace burlfall {
 
@@ -93,8 +93,8 @@
     std::string work;
   };
   struct Held {  // a work that this member wants
-    Held(Scheduler& scheduler, owner::Holder its) : holder(std::move(its)), moved(scheduler) {}
-    owner::Holder holder;
+    Held(Scheduler& scheduler, owner::LeaseHolder its) : holder(std::move(its)), moved(scheduler) {}
+    owner::LeaseHolder holder;
     uint64_t acts = 0;
     Micros act_at = 0;
     Event moved;
@@ -184,7 +184,7 @@
   Log& log_;
   Counters& counters_;
   const Address listen_;
-  const owner::Who self_;
+  const owner::ProcessId self_;
   bool open_ = false;
   bool left_ = false;
   bool shut_ = false;
@@ -203,8 +203,8 @@
   council::State state_;
   uint64_t applied_ = 0;
   uint64_t saved_ = 0;  // through this entry the last snapshot was made
-  owner::Lapse lapse_;
-  owner::Lapse freeze_lapse_;
+  owner::LeaseExpiry lapse_;
+  owner::LeaseExpiry freeze_lapse_;
   std::map<std::string, owner::Lease> freeze_leases_;  // that are counted
   std::map<uint64_t, council::Came> recent_;           // the last that were carried out
   std::list<Event*> on_applied_;
@@ -213,7 +213,7 @@
   Micros finish_at_ = 0;
   const freeze::Rules freeze_rules_;
   freeze::LocalGate gate_;
-  freeze::Sights sights_;
+  freeze::IncidentDetector sights_;
   uint64_t sights_epoch_ = 0;  // of the freeze, for which they began
   Micros led_on_at_ = 0;
 
--- a/src/council/word.cpp
+++ b/src/council/word.cpp
@@ -65,7 +65,7 @@
     word.index = from.Number();
     word.epoch = from.Number();
     const uint64_t error = from.Number();
-    if (error >= static_cast<uint64_t>(owner::kErrors)) return {{}, "malformed"};
+    if (error >= static_cast<uint64_t>(owner::kErrorCount)) return {{}, "malformed"};
     word.error = static_cast<owner::Error>(error);
     word.address = Text(from);
     word.work = Text(from);
--- a/src/freeze/bytes.cpp
+++ b/src/freeze/bytes.cpp
@@ -1,35 +1,36 @@
+// Encodes and decodes the commands and the state of the change freeze (see `owner/bytes.h` for the format).
 #include "freeze/bytes.h"
 
 #include <algorithm>
 
 namespace burlfall::freeze {
 
-using owner::kLongestName;
-using owner::kLongestReason;
+using owner::kMaxNameSize;
+using owner::kMaxReasonSize;
 using owner::Reader;
 using owner::Writer;
 
 namespace {
 
-constexpr std::string_view kCommandBytes = "bffc";
-constexpr std::string_view kStateBytes = "bffs";
-constexpr size_t kMostValues = 1 << 20;
+constexpr std::string_view kCommandTag = "bffc";
+constexpr std::string_view kStateTag = "bffs";
+constexpr size_t kMaxValues = 1 << 20;
 
-void Put(Writer& to, const std::optional<Who>& who) {
+void Put(Writer& to, const std::optional<ProcessId>& who) {
   to.Flag(who.has_value());
-  freeze::Put(to, who.value_or(Who{}));
+  freeze::Put(to, who.value_or(ProcessId{}));
 }
-std::optional<Who> TakeWhoOrNone(Reader& from) {
+std::optional<ProcessId> ReadOptionalProcessId(Reader& from) {
   const bool some = from.Flag();
-  Who who = TakeWho(from);
-  return some ? std::optional<Who>(std::move(who)) : std::nullopt;
+  ProcessId who = ReadProcessId(from);
+  return some ? std::optional<ProcessId>(std::move(who)) : std::nullopt;
 }
 
 void Put(Writer& to, const std::set<uint64_t>& ids) {
   to.Number(ids.size());
   for (const uint64_t id : ids) to.Number(id);
 }
-std::set<uint64_t> TakeIds(Reader& from, size_t most) {
+std::set<uint64_t> ReadIds(Reader& from, size_t most) {
   std::set<uint64_t> ids;
   const size_t count = from.Count(most);
   for (size_t i = 0; i < count && from.ok(); ++i) ids.insert(from.Number());
@@ -40,296 +41,304 @@
   to.Number(steps.size());
   for (const std::string& step : steps) to.Text(step);
 }
-std::vector<std::string> TakeSteps(Reader& from) {
+std::vector<std::string> ReadSteps(Reader& from) {
   std::vector<std::string> steps;
-  const size_t count = from.Count(kMostSteps);
-  for (size_t i = 0; i < count && from.ok(); ++i) steps.push_back(from.Text(kLongestName));
+  const size_t count = from.Count(kMaxSteps);
+  for (size_t i = 0; i < count && from.ok(); ++i) steps.push_back(from.Text(kMaxNameSize));
   return steps;
 }
 
 void Put(Writer& to, const std::vector<ChangeKind>& kinds) {
   to.Number(kinds.size());
-  for (const ChangeKind kind : kinds) to.Name(kind);
+  for (const ChangeKind kind : kinds) to.EnumValue(kind);
 }
-std::vector<ChangeKind> TakeKinds(Reader& from) {
+std::vector<ChangeKind> ReadKinds(Reader& from) {
   std::vector<ChangeKind> kinds;
-  const size_t count = from.Count(kChangeKinds);
-  for (size_t i = 0; i < count && from.ok(); ++i) kinds.push_back(from.Name(ChangeKind::kVoters));
+  const size_t count = from.Count(kChangeKindCount);
+  for (size_t i = 0; i < count && from.ok(); ++i) kinds.push_back(from.EnumValue(ChangeKind::kVoters));
   return kinds;
 }
 
 void Put(Writer& to, const Change& change) {
-  to.Number(change.id).Name(change.kind);
+  to.Number(change.id).EnumValue(change.kind);
   freeze::Put(to, change.scope);
   Put(to, change.steps);
   freeze::Put(to, change.owner);
-  to.Number(change.request).Text(change.reason).Span(change.began).Number(change.renewed);
-  to.Span(change.lease).Number(change.next).Flag(change.undoing).Number(change.undoes);
-  Put(to, change.glass);
-  const Grant grant = change.grant.value_or(Grant{});
-  to.Flag(change.grant.has_value()).Number(grant.epoch).Number(grant.position).Number(grant.step);
-  to.Span(grant.lease)
+  to.Number(change.begin_request).Text(change.reason).Duration(change.began).Number(change.renewed_index);
+  to.Duration(change.lease).Number(change.steps_done).Flag(change.undoing).Number(change.undoes);
+  Put(to, change.overridden_incidents);
+  const StepGrant grant = change.grant.value_or(StepGrant{});
+  to.Flag(change.grant.has_value()).Number(grant.epoch).Number(grant.entry_index).Number(grant.step);
+  to.Duration(grant.lease)
       .Number(grant.request)
-      .Number(change.last_epoch)
-      .Number(change.last_request)
-      .Flag(change.doubt);
-  Put(to, change.heir);
+      .Number(change.last_grant_epoch)
+      .Number(change.last_step_request)
+      .Flag(change.last_step_uncertain);
+  Put(to, change.successor);
 }
-Change TakeChange(Reader& from) {
+Change ReadChange(Reader& from) {
   Change change;
   change.id = from.Number();
-  change.kind = from.Name(ChangeKind::kVoters);
-  change.scope = TakeScope(from);
-  change.steps = TakeSteps(from);
-  change.owner = TakeWho(from);
-  change.request = from.Number();
-  change.reason = from.Text(kLongestReason);
-  change.began = from.Span();
-  change.renewed = from.Number();
-  change.lease = from.Span();
-  change.next = static_cast<uint32_t>(from.Number(kMostSteps));
-  if (change.next > change.steps.size()) from.Fail();
+  change.kind = from.EnumValue(ChangeKind::kVoters);
+  change.scope = ReadScope(from);
+  change.steps = ReadSteps(from);
+  change.owner = ReadProcessId(from);
+  change.begin_request = from.Number();
+  change.reason = from.Text(kMaxReasonSize);
+  change.began = from.Duration();
+  change.renewed_index = from.Number();
+  change.lease = from.Duration();
+  change.steps_done = static_cast<uint32_t>(from.Number(kMaxSteps));
+  if (change.steps_done > change.steps.size()) from.Fail();
   change.undoing = from.Flag();
   change.undoes = from.Number();
-  change.glass = TakeIds(from, kMostIncidents);
+  change.overridden_incidents = ReadIds(from, kMaxIncidents);
   const bool granted = from.Flag();
-  Grant grant;
+  StepGrant grant;
   grant.epoch = from.Number();
-  grant.position = from.Number();
-  grant.step = static_cast<uint32_t>(from.Number(kMostSteps));
-  grant.lease = from.Span();
+  grant.entry_index = from.Number();
+  grant.step = static_cast<uint32_t>(from.Number(kMaxSteps));
+  grant.lease = from.Duration();
   grant.request = from.Number();
   if (granted) change.grant = grant;
-  change.last_epoch = from.Number();
-  change.last_request = from.Number();
-  change.doubt = from.Flag();
-  change.heir = TakeWhoOrNone(from);
+  change.last_grant_epoch = from.Number();
+  change.last_step_request = from.Number();
+  change.last_step_uncertain = from.Flag();
+  change.successor = ReadOptionalProcessId(from);
   return change;
 }
 
 void Put(Writer& to, const Incident& incident) {
-  to.Number(incident.id).Name(incident.kind);
+  to.Number(incident.id).EnumValue(incident.kind);
   freeze::Put(to, incident.scope);
-  to.Text(incident.by).Text(incident.reason).Flag(incident.sight).Span(incident.opened);
-  to.Span(incident.until).Number(incident.renewed).Flag(incident.yes).Span(incident.waited);
-  Put(to, incident.pending);
-  Put(to, incident.ran);
+  to.Text(incident.by).Text(incident.reason).Flag(incident.observed).Duration(incident.opened);
+  to.Duration(incident.until)
+      .Number(incident.renewed_index)
+      .Flag(incident.in_force)
+      .Duration(incident.waited);
+  Put(to, incident.pending_grants);
+  Put(to, incident.running_at_open);
 }
-Incident TakeIncident(Reader& from) {
+Incident ReadIncident(Reader& from) {
   Incident incident;
   incident.id = from.Number();
-  incident.kind = from.Name(IncidentKind::kRefusals);
-  incident.scope = TakeScope(from);
-  incident.by = from.Text(kLongestName);
-  incident.reason = from.Text(kLongestReason);
-  incident.sight = from.Flag();
-  incident.opened = from.Span();
-  incident.until = from.Span();
-  incident.renewed = from.Number();
-  incident.yes = from.Flag();
-  incident.waited = from.Span();
-  incident.pending = TakeIds(from, kMostChanges);
-  incident.ran = TakeIds(from, kMostChanges);
+  incident.kind = from.EnumValue(IncidentKind::kRefusals);
+  incident.scope = ReadScope(from);
+  incident.by = from.Text(kMaxNameSize);
+  incident.reason = from.Text(kMaxReasonSize);
+  incident.observed = from.Flag();
+  incident.opened = from.Duration();
+  incident.until = from.Duration();
+  incident.renewed_index = from.Number();
+  incident.in_force = from.Flag();
+  incident.waited = from.Duration();
+  incident.pending_grants = ReadIds(from, kMaxChanges);
+  incident.running_at_open = ReadIds(from, kMaxChanges);
   return incident;
 }
 
-void Put(Writer& to, const Past& past) {
-  to.Name(past.what).Number(past.id).Name(past.change_kind).Name(past.incident_kind);
-  freeze::Put(to, past.scope);
-  to.Name(past.end).Number(past.step);
-  freeze::Put(to, past.who);
-  to.Number(past.request).Text(past.by).Text(past.reason).Name(past.error);
-  to.Span(past.began).Span(past.ended);
+void Put(Writer& to, const HistoryEntry& entry) {
+  to.EnumValue(entry.what).Number(entry.id).EnumValue(entry.change_kind).EnumValue(entry.incident_kind);
+  freeze::Put(to, entry.scope);
+  to.EnumValue(entry.end).Number(entry.step);
+  freeze::Put(to, entry.who);
+  to.Number(entry.request).Text(entry.by).Text(entry.reason).EnumValue(entry.error);
+  to.Duration(entry.began).Duration(entry.ended);
 }
-Past TakePast(Reader& from) {
-  Past past;
-  past.what = from.Name(Past::What::kEmergency);
-  past.id = from.Number();
-  past.change_kind = from.Name(ChangeKind::kVoters);
-  past.incident_kind = from.Name(IncidentKind::kRefusals);
-  past.scope = TakeScope(from);
-  past.end = from.Name(End::kRefused);
-  past.step = static_cast<uint32_t>(from.Number(kMostSteps));
-  past.who = TakeWho(from);
-  past.request = from.Number();
-  past.by = from.Text(kLongestName);
-  past.reason = from.Text(kLongestReason);
-  past.error = from.Name(Error::kStale);
-  past.began = from.Span();
-  past.ended = from.Span();
-  return past;
+HistoryEntry ReadHistoryEntry(Reader& from) {
+  HistoryEntry entry;
+  entry.what = from.EnumValue(HistoryEntry::What::kEmergency);
+  entry.id = from.Number();
+  entry.change_kind = from.EnumValue(ChangeKind::kVoters);
+  entry.incident_kind = from.EnumValue(IncidentKind::kRefusals);
+  entry.scope = ReadScope(from);
+  entry.end = from.EnumValue(End::kRefused);
+  entry.step = static_cast<uint32_t>(from.Number(kMaxSteps));
+  entry.who = ReadProcessId(from);
+  entry.request = from.Number();
+  entry.by = from.Text(kMaxNameSize);
+  entry.reason = from.Text(kMaxReasonSize);
+  entry.error = from.EnumValue(Error::kStale);
+  entry.began = from.Duration();
+  entry.ended = from.Duration();
+  return entry;
 }
 
 }  // namespace
 
 void Put(Writer& to, const Scope& scope) {
-  to.Name(scope.kind).Text(scope.name).Text(scope.zone).Text(scope.group);
+  to.EnumValue(scope.kind).Text(scope.name).Text(scope.zone).Text(scope.group);
 }
-Scope TakeScope(Reader& from) {
+Scope ReadScope(Reader& from) {
   Scope scope;
-  scope.kind = from.Name(Scope::Kind::kBalancer);
-  scope.name = from.Text(kLongestName);
-  scope.zone = from.Text(kLongestName);
-  scope.group = from.Text(kLongestName);
+  scope.kind = from.EnumValue(Scope::Kind::kBalancer);
+  scope.name = from.Text(kMaxNameSize);
+  scope.zone = from.Text(kMaxNameSize);
+  scope.group = from.Text(kMaxNameSize);
   return scope;
 }
 
-void Put(Writer& to, const Who& who) { to.Text(who.name).Number(who.life); }
-Who TakeWho(Reader& from) {
-  Who who;
-  who.name = from.Text(kLongestName);
-  who.life = from.Number();
+void Put(Writer& to, const ProcessId& who) { to.Text(who.name).Number(who.incarnation); }
+ProcessId ReadProcessId(Reader& from) {
+  ProcessId who;
+  who.name = from.Text(kMaxNameSize);
+  who.incarnation = from.Number();
   return who;
 }
 
 void Put(Writer& to, const Rules& rules) {
-  to.Span(rules.step_lease).Span(rules.change_lease);
-  to.Number(rules.most_balancers_of_zone).Number(rules.most_nodes_of_group).Number(rules.table.size());
-  for (const Row& row : rules.table) {
-    // 0 stands for all kinds.
+  to.Duration(rules.step_lease).Duration(rules.change_lease);
+  to.Number(rules.max_balancers_per_zone).Number(rules.max_nodes_per_group).Number(rules.table.size());
+  for (const TableRow& row : rules.table) {
+    // 0 encodes an empty kind, which stands for all kinds.
     to.Number(row.incident ? static_cast<uint64_t>(*row.incident) + 1 : 0);
-    to.Number(row.change ? static_cast<uint64_t>(*row.change) + 1 : 0).Name(row.reach);
+    to.Number(row.change ? static_cast<uint64_t>(*row.change) + 1 : 0).EnumValue(row.reach);
   }
-  Put(to, rules.betters);
-  for (const UnderWay how : rules.under_way) to.Name(how);
-  to.Span(rules.ask_again).Span(rules.sight_lasts);
-  Put(to, rules.emergencies);
-  for (const SightRule& sight : rules.sights) {
-    to.Share(sight.high).Share(sight.low).Span(sight.open_after).Span(sight.close_after);
+  Put(to, rules.remedial_kinds);
+  for (const StepPolicy policy : rules.step_policies) to.EnumValue(policy);
+  to.Duration(rules.retry_after).Duration(rules.observed_incident_ttl);
+  Put(to, rules.emergency_kinds);
+  for (const ObservationRule& rule : rules.observation_rules) {
+    to.Ratio(rule.high).Ratio(rule.low).Duration(rule.open_after).Duration(rule.close_after);
   }
-  to.Number(rules.most_changes).Number(rules.most_incidents).Number(rules.most_history);
-  to.Number(rules.most_glass).Number(rules.most_local);
+  to.Number(rules.max_changes).Number(rules.max_incidents).Number(rules.max_history);
+  to.Number(rules.max_overrides).Number(rules.max_local_emergencies);
 }
-Rules TakeRules(Reader& from) {
+Rules ReadRules(Reader& from) {
   Rules rules;
-  rules.step_lease = from.Span();
-  rules.change_lease = from.Span();
-  rules.most_balancers_of_zone = from.Number();
-  rules.most_nodes_of_group = from.Number();
+  rules.step_lease = from.Duration();
+  rules.change_lease = from.Duration();
+  rules.max_balancers_per_zone = from.Number();
+  rules.max_nodes_per_group = from.Number();
   rules.table.clear();
-  const size_t rows = from.Count(kMostRows);
+  const size_t rows = from.Count(kMaxTableRows);
   for (size_t i = 0; i < rows && from.ok(); ++i) {
-    Row row;
-    if (const uint64_t kind = from.Number(kIncidentKinds)) row.incident = static_cast<IncidentKind>(kind - 1);
-    if (const uint64_t kind = from.Number(kChangeKinds)) row.change = static_cast<ChangeKind>(kind - 1);
-    row.reach = from.Name(Reach::kEverywhere);
+    TableRow row;
+    if (const uint64_t kind = from.Number(kIncidentKindCount))
+      row.incident = static_cast<IncidentKind>(kind - 1);
+    if (const uint64_t kind = from.Number(kChangeKindCount)) row.change = static_cast<ChangeKind>(kind - 1);
+    row.reach = from.EnumValue(Reach::kEverywhere);
     rules.table.push_back(row);
   }
-  rules.betters = TakeKinds(from);
-  for (UnderWay& how : rules.under_way) how = from.Name(UnderWay::kUndo);
-  rules.ask_again = from.Span();
-  rules.sight_lasts = from.Span();
-  rules.emergencies = TakeKinds(from);
-  for (SightRule& sight : rules.sights) {
-    sight.high = from.Share();
-    sight.low = from.Share();
-    sight.open_after = from.Span();
-    sight.close_after = from.Span();
+  rules.remedial_kinds = ReadKinds(from);
+  for (StepPolicy& policy : rules.step_policies) policy = from.EnumValue(StepPolicy::kUndo);
+  rules.retry_after = from.Duration();
+  rules.observed_incident_ttl = from.Duration();
+  rules.emergency_kinds = ReadKinds(from);
+  for (ObservationRule& rule : rules.observation_rules) {
+    rule.high = from.Ratio();
+    rule.low = from.Ratio();
+    rule.open_after = from.Duration();
+    rule.close_after = from.Duration();
   }
-  rules.most_changes = from.Number();
-  rules.most_incidents = from.Number();
-  rules.most_history = from.Number();
-  rules.most_glass = from.Number();
-  rules.most_local = from.Number();
-  if (*WhyNot(rules) != '\0') from.Fail();
+  rules.max_changes = from.Number();
+  rules.max_incidents = from.Number();
+  rules.max_history = from.Number();
+  rules.max_overrides = from.Number();
+  rules.max_local_emergencies = from.Number();
+  if (*InvalidReason(rules) != '\0') from.Fail();
   return rules;
 }
 
 std::string Write(const Command& command) {
   Writer to;
-  to.Name(command.kind);
+  to.EnumValue(command.kind);
   Put(to, command.who);
   to.Number(command.request).Number(command.change).Number(command.incident).Number(command.epoch);
-  to.Number(command.renewed).Number(command.undoes).Number(command.number).Number(command.coordinator);
-  to.Number(command.step).Name(command.change_kind).Name(command.incident_kind);
+  to.Number(command.renewed_index).Number(command.undoes).Number(command.number).Number(command.coordinator);
+  to.Number(command.step).EnumValue(command.change_kind).EnumValue(command.incident_kind);
   Put(to, command.scope);
   Put(to, command.steps);
   Put(to, command.to);
-  to.Text(command.by).Text(command.reason).Span(command.lasts).Flag(command.sight).Flag(command.undoing);
-  // Rules are long, and only one kind has them.
+  to.Text(command.by)
+      .Text(command.reason)
+      .Duration(command.duration)
+      .Flag(command.observed)
+      .Flag(command.undoing);
+  // The rules are long, and only kRules carries them.
   if (command.kind == Command::Kind::kRules) Put(to, command.rules);
-  return to.Finish(kCommandBytes);
+  return to.Finish(kCommandTag);
 }
 
 std::optional<Command> ReadCommand(std::string_view bytes) {
-  Reader from(bytes, kCommandBytes, 512);
+  Reader from(bytes, kCommandTag, 512);
   Command command;
-  command.kind = from.Name(Command::Kind::kFloor);
-  command.who = TakeWho(from);
+  command.kind = from.EnumValue(Command::Kind::kFloor);
+  command.who = ReadProcessId(from);
   command.request = from.Number();
   command.change = from.Number();
   command.incident = from.Number();
   command.epoch = from.Number();
-  command.renewed = from.Number();
+  command.renewed_index = from.Number();
   command.undoes = from.Number();
   command.number = from.Number();
   command.coordinator = from.Number();
-  command.step = static_cast<uint32_t>(from.Number(kMostSteps));
-  command.change_kind = from.Name(ChangeKind::kVoters);
-  command.incident_kind = from.Name(IncidentKind::kRefusals);
-  command.scope = TakeScope(from);
-  command.steps = TakeSteps(from);
-  command.to = TakeWho(from);
-  command.by = from.Text(kLongestName);
-  command.reason = from.Text(kLongestReason);
-  command.lasts = from.Span();
-  command.sight = from.Flag();
+  command.step = static_cast<uint32_t>(from.Number(kMaxSteps));
+  command.change_kind = from.EnumValue(ChangeKind::kVoters);
+  command.incident_kind = from.EnumValue(IncidentKind::kRefusals);
+  command.scope = ReadScope(from);
+  command.steps = ReadSteps(from);
+  command.to = ReadProcessId(from);
+  command.by = from.Text(kMaxNameSize);
+  command.reason = from.Text(kMaxReasonSize);
+  command.duration = from.Duration();
+  command.observed = from.Flag();
   command.undoing = from.Flag();
-  if (command.kind == Command::Kind::kRules) command.rules = TakeRules(from);
+  if (command.kind == Command::Kind::kRules) command.rules = ReadRules(from);
   return from.Done() ? std::optional<Command>(std::move(command)) : std::nullopt;
 }
 
 std::string State::Save() const {
   Writer to;
   Put(to, rules_);
-  to.Number(floor_).Number(last_epoch_).Number(coordinator_).Span(at_).Number(changes_.size());
+  to.Number(floor_).Number(last_epoch_).Number(coordinator_).Duration(council_time_).Number(changes_.size());
   for (const auto& [id, change] : changes_) Put(to, change);
   to.Number(incidents_.size());
   for (const auto& [id, incident] : incidents_) Put(to, incident);
   to.Number(history_.size());
-  for (const Past& past : history_) Put(to, past);
-  to.Number(glass_forgotten_).Number(glass_.size());
-  for (const Glass& glass : glass_) {
-    to.Number(glass.change).Text(glass.by).Text(glass.reason).Span(glass.at);
+  for (const HistoryEntry& entry : history_) Put(to, entry);
+  to.Number(overrides_dropped_).Number(overrides_.size());
+  for (const Override& record : overrides_) {
+    to.Number(record.change).Text(record.by).Text(record.reason).Duration(record.at);
   }
-  to.Number(was_done_.size());
-  for (const auto& [name, last] : was_done_) to.Text(name).Number(last.first).Number(last.second);
-  return to.Finish(kStateBytes);
+  to.Number(last_recorded_.size());
+  for (const auto& [name, last] : last_recorded_) to.Text(name).Number(last.first).Number(last.second);
+  return to.Finish(kStateTag);
 }
 
 std::optional<State> State::Load(std::string_view bytes) {
-  Reader from(bytes, kStateBytes, kMostValues);
+  Reader from(bytes, kStateTag, kMaxValues);
   State state;
-  state.rules_ = TakeRules(from);
+  state.rules_ = ReadRules(from);
   state.floor_ = from.Number();
   state.last_epoch_ = from.Number();
   state.coordinator_ = from.Number();
-  state.at_ = from.Span();
-  const size_t changes = from.Count(kMostChanges);
+  state.council_time_ = from.Duration();
+  const size_t changes = from.Count(kMaxChanges);
   for (size_t i = 0; i < changes && from.ok(); ++i) {
-    Change change = TakeChange(from);
+    Change change = ReadChange(from);
     state.changes_[change.id] = std::move(change);
   }
-  const size_t incidents = from.Count(kMostIncidents);
+  const size_t incidents = from.Count(kMaxIncidents);
   for (size_t i = 0; i < incidents && from.ok(); ++i) {
-    Incident incident = TakeIncident(from);
+    Incident incident = ReadIncident(from);
     state.incidents_[incident.id] = std::move(incident);
   }
-  const size_t history = from.Count(kMostHistory);
-  for (size_t i = 0; i < history && from.ok(); ++i) state.history_.push_back(TakePast(from));
-  state.glass_forgotten_ = from.Number();
-  const size_t glass = from.Count(kMostHistory);
-  for (size_t i = 0; i < glass && from.ok(); ++i) {
-    Glass one;
-    one.change = from.Number();
-    one.by = from.Text(kLongestName);
-    one.reason = from.Text(kLongestReason);
-    one.at = from.Span();
-    state.glass_.push_back(std::move(one));
+  const size_t history = from.Count(kMaxHistory);
+  for (size_t i = 0; i < history && from.ok(); ++i) state.history_.push_back(ReadHistoryEntry(from));
+  state.overrides_dropped_ = from.Number();
+  const size_t overrides = from.Count(kMaxHistory);
+  for (size_t i = 0; i < overrides && from.ok(); ++i) {
+    Override record;
+    record.change = from.Number();
+    record.by = from.Text(kMaxNameSize);
+    record.reason = from.Text(kMaxReasonSize);
+    record.at = from.Duration();
+    state.overrides_.push_back(std::move(record));
   }
-  const size_t was_done = from.Count(kMostHistory);
-  for (size_t i = 0; i < was_done && from.ok(); ++i) {
-    std::pair<uint64_t, uint64_t>& last = state.was_done_[from.Text(kLongestName)];
+  const size_t recorded = from.Count(kMaxHistory);
+  for (size_t i = 0; i < recorded && from.ok(); ++i) {
+    std::pair<uint64_t, uint64_t>& last = state.last_recorded_[from.Text(kMaxNameSize)];
     last.first = from.Number();
     last.second = from.Number();
   }
--- a/src/freeze/bytes.h
+++ b/src/freeze/bytes.h
@@ -1,4 +1,4 @@
-// The parts that several of this room's forms of bytes share.
+// Encoding and decoding of the types that several serialized forms of this module share.
 #ifndef BURLFALL_FREEZE_BYTES_H_
 #define BURLFALL_FREEZE_BYTES_H_
 
@@ -8,11 +8,11 @@
 namespace burlfall::freeze {
 
 void Put(owner::Writer& to, const Scope& scope);
-Scope TakeScope(owner::Reader& from);
-void Put(owner::Writer& to, const Who& who);
-Who TakeWho(owner::Reader& from);
+Scope ReadScope(owner::Reader& from);
+void Put(owner::Writer& to, const ProcessId& who);
+ProcessId ReadProcessId(owner::Reader& from);
 void Put(owner::Writer& to, const Rules& rules);
-Rules TakeRules(owner::Reader& from);
+Rules ReadRules(owner::Reader& from);
 
 }  // namespace burlfall::freeze
 
--- a/src/freeze/local_gate.h
+++ b/src/freeze/local_gate.h
@@ -1,6 +1,6 @@
-// A balancer's own answer to a change while the council can't be asked. Conflicting kinds are refused at
-// once, with who is missing; the emergency kinds of the settings go on, are written down, and are told to the
-// council when it is back. The balancer's own service never asks here.
+// Decides about changes on a balancer while the council can't be reached. Conflicting kinds are refused at
+// once, with the names of the missing voters. The emergency kinds of the settings proceed, are recorded, and
+// are reported to the council when it is back. The balancer's own request path never calls this.
 #ifndef BURLFALL_FREEZE_LOCAL_GATE_H_
 #define BURLFALL_FREEZE_LOCAL_GATE_H_
 
@@ -16,31 +16,33 @@
 
 namespace burlfall::freeze {
 
+// Gate for changes without a majority, with the records that are still to be reported.
 class LocalGate {
  public:
-  LocalGate(Rules rules, Who self) : rules_(std::move(rules)), self_(std::move(self)) {}
+  LocalGate(Rules rules, ProcessId self) : rules_(std::move(rules)), self_(std::move(self)) {}
 
   struct Answer {
-    Error error = Error::kNone;        // kNone: go on, it is written down. kNoMajority, kTooMany, kMalformed
+    Error error = Error::kNone;        // kNone: proceed, it is recorded. kNoMajority, kTooMany, kMalformed
     std::vector<std::string> missing;  // voters that don't answer
     std::string what_to_do;
-    Micros retry = 0;
+    Micros retry_after = 0;
     uint64_t number = 0;  // of the record
   };
-  // `missing`: voters that don't answer, by name. `by` and `reason` are both needed for an emergency.
+  // `missing`: names of the voters that don't answer. An emergency needs both `by` and `reason`.
   Answer Ask(ChangeKind kind, const Scope& scope, const std::string& by, const std::string& reason,
              const std::vector<std::string>& missing);
 
-  // The oldest that the council has not confirmed: to be proposed again and again until it has, then the
-  // next. One at a time: two on their way could change places, and the later would hide the earlier.
-  std::vector<Command> Untold() const;
-  void Applied(const Effect& effect);  // kNoted
+  // The oldest record that the council has not confirmed, as a command. It is proposed again until it is
+  // confirmed, then the next one. Only one at a time: if two were in flight they could be reordered, and the
+  // later number would hide the earlier one.
+  std::vector<Command> Unconfirmed() const;
+  void OnApplied(const Effect& effect);  // handles kEmergencyRecorded
 
-  std::string Save() const;  // for the disk, before an emergency goes on
-  // False: the bytes can't be read; nothing is taken.
-  bool Take(std::string_view bytes);
+  std::string Save() const;  // must be on disk before an emergency action proceeds
+  // Returns false, and changes nothing, if the bytes can't be read.
+  bool Load(std::string_view bytes);
 
-  size_t kept() const { return records_.size(); }
+  size_t record_count() const { return records_.size(); }
 
  private:
   struct Record {
@@ -49,11 +51,11 @@
     Scope scope;
     std::string by;
     std::string reason;
-    uint64_t life = 0;  // in which it was written down
+    uint64_t incarnation = 0;  // of the process that recorded it
   };
   const Rules rules_;
-  const Who self_;
-  uint64_t last_ = 0;
+  const ProcessId self_;
+  uint64_t last_number_ = 0;
   std::deque<Record> records_;
 };
 
--- a/src/freeze/permit.h
+++ b/src/freeze/permit.h
@@ -1,6 +1,6 @@
-// The side of whoever carries out a change: whether a step may begin now, and whether one under way may go
-// on. Both leases are counted on the own monotonic clock from before the question left; a process that stood
-// still finds out at its next look.
+// The leases of a process that carries out a change: whether a step may begin now, and whether one under way
+// may continue. Both leases are counted on the process's own monotonic clock from before the request was
+// sent, so a process that was paused sees at its next check that they have expired.
 #ifndef BURLFALL_FREEZE_PERMIT_H_
 #define BURLFALL_FREEZE_PERMIT_H_
 
@@ -12,28 +12,30 @@
 
 namespace burlfall::freeze {
 
-class Permit {
+// Tracks the lease of one change and the grant of its current step.
+class StepPermit {
  public:
-  // `asked`: the own clock before the kAsk, kStep or kKeep left that this effect (kBegun, kGranted, kKept)
-  // answers; of several tries of one request, the first. Only effects whose `who` is this process. An effect
-  // of another change is passed over, but for kBegun and kTaken, which begin anew.
-  void Heard(Micros asked, const Effect& effect);
-  // kNone: the granted step may begin, under epoch(). Asked right before, with nothing between that can wait.
+  // `sent_at`: own clock before sending the kBegin, kStep or kRenew that this effect (kBegun, kGranted,
+  // kRenewed) answers; if the request was sent several times, the first time. Only for effects whose `who` is
+  // this process. Effects of another change are ignored, except kBegun and kTransferred, which start anew.
+  void OnEffect(Micros sent_at, const Effect& effect);
+  // kNone: the granted step may begin, under epoch(). Check right before the step, with nothing in between
+  // that can block.
   Error MayBegin(Micros now) const;
-  // The step's first act is done; `now` is read after it. A grant begins one step. kLeaseOver: the process
-  // stood still between its look and the act, and the step began too late: it is to be undone at once, and
-  // told.
-  Error Begun(Micros now);
-  // kNone: a step that has begun may go on. kLeaseOver: stop where it is: the change is no longer one's own.
-  Error MayGoOn(Micros now) const;
-  // The step is over, or the grant is about to be handed back.
-  void Ended();
+  // Call after the first action of the step, with `now` read after it. A grant covers the beginning of one
+  // step. kLeaseOver: the process was paused between the check and the action, so the step began too late and
+  // must be undone and reported at once.
+  Error OnBegun(Micros now);
+  // kNone: a step that has begun may continue. kLeaseOver: stop, because another owner may have the change.
+  Error MayContinue(Micros now) const;
+  // The step is over, or the grant is about to be returned.
+  void OnStepEnded();
 
   uint64_t change() const { return change_; }
   uint64_t epoch() const { return epoch_; }
   uint32_t step() const { return step_; }
   Micros begin_until() const { return begin_until_; }
-  Micros go_until() const { return go_until_; }
+  Micros continue_until() const { return continue_until_; }
 
  private:
   uint64_t change_ = 0;
@@ -41,9 +43,9 @@
   uint64_t last_epoch_ = 0;
   uint32_t step_ = 0;
   bool begun_ = false;
-  bool over_ = false;
+  bool change_ended_ = false;
   Micros begin_until_ = 0;
-  Micros go_until_ = 0;
+  Micros continue_until_ = 0;
 };
 
 }  // namespace burlfall::freeze
--- a/src/freeze/rules.h
+++ b/src/freeze/rules.h
@@ -1,5 +1,5 @@
-// What the freeze goes by: the settings as a plain struct. They stand in the council's state (kRules), so
-// that all replicas decide alike; the leader proposes its own where they differ.
+// The rules of the change freeze, as a plain struct. They are part of the replicated state (kRules), so that
+// all replicas decide alike. A leader whose settings differ proposes its own.
 #ifndef BURLFALL_FREEZE_RULES_H_
 #define BURLFALL_FREEZE_RULES_H_
 
@@ -23,48 +23,49 @@
   kRestart,
   kVoters
 };
-constexpr size_t kChangeKinds = 8;
+constexpr size_t kChangeKindCount = 8;
 const char* NameOf(ChangeKind kind);  // node_out, node_back, drain, undrain, reload, upgrade, restart, voters
 
 enum class IncidentKind : uint8_t {
   kOperator,     // opened by a person, of no other kind
   kZoneDown,     // too many members of a zone are dead
-  kNoLists,      // too many balancers without a list
+  kNoLists,      // too many balancers have no list
   kEjectionCap,  // more hosts are bad than may be ejected
-  kRefusals,     // too large a share of queries refused
+  kRefusals,     // too large a share of the queries is refused
 };
-constexpr size_t kIncidentKinds = 5;
+constexpr size_t kIncidentKindCount = 5;
 const char* NameOf(IncidentKind kind);  // operator, zone_down, no_lists, ejection_cap, refusals
 
 // Where an incident forbids a change.
 enum class Reach : uint8_t {
   kNowhere,
   kWhereScopesMeet,
-  kEverywhere,  // in the whole site, whatever the incident's scope
+  kEverywhere,  // in the whole site, whatever the scope of the incident
 };
 const char* NameOf(Reach reach);  // nowhere, where_scopes_meet, everywhere
 
-// What becomes of a step that is under way as a conflicting incident opens.
-enum class UnderWay : uint8_t { kFinish, kUndo };
-const char* NameOf(UnderWay how);  // finish, undo
+// What happens to a step that is under way when a conflicting incident opens.
+enum class StepPolicy : uint8_t { kFinish, kUndo };
+const char* NameOf(StepPolicy policy);  // finish, undo
 
-// A line of the table; an empty kind stands for all. The first line that fits decides; with none that fits, a
-// change is forbidden where scopes meet.
-struct Row {
+// A row of the table that says which incidents forbid which changes. An empty kind matches all kinds. The
+// first matching row decides; without a match, a change is forbidden where the scopes overlap.
+struct TableRow {
   std::optional<IncidentKind> incident;
   std::optional<ChangeKind> change;
   Reach reach = Reach::kWhereScopesMeet;
-  bool operator==(const Row&) const = default;
+  bool operator==(const TableRow&) const = default;
 };
-constexpr size_t kMostRows = 64;
-// What the bounds in the settings may be at most.
-constexpr uint64_t kMostChanges = 1024;
-constexpr uint64_t kMostIncidents = 256;
-constexpr uint64_t kMostHistory = 4096;
+constexpr size_t kMaxTableRows = 64;
+// Upper limits for the bounds in Rules.
+constexpr uint64_t kMaxChanges = 1024;
+constexpr uint64_t kMaxIncidents = 256;
+constexpr uint64_t kMaxHistory = 4096;
 
-// The defaults of the table: a change of voters stops everywhere while a zone is down; what brings work back
-// (undrain, node_back) is forbidden only where scopes meet, as all else is.
-inline std::vector<Row> DefaultTable() {
+// The default table. While a zone is down, changes of voters and upgrades are forbidden in the whole site.
+// Changes that restore capacity (undrain, node_back) are allowed during some incidents. All else is forbidden
+// where the scopes overlap.
+inline std::vector<TableRow> DefaultTable() {
   return {{IncidentKind::kZoneDown, ChangeKind::kVoters, Reach::kEverywhere},
           {IncidentKind::kZoneDown, ChangeKind::kUpgrade, Reach::kEverywhere},
           {IncidentKind::kNoLists, ChangeKind::kUndrain, Reach::kNowhere},
@@ -72,51 +73,58 @@
           {IncidentKind::kRefusals, ChangeKind::kNodeBack, Reach::kNowhere}};
 }
 
-// How the fleet's sights open and close an incident of one kind. Shares are of 1. high > low.
-struct SightRule {
-  double high = 0;  // opens at or above this, for `open_after` without a break
-  double low = 0;   // closes below this, for `close_after` without a break
+// When observations of the fleet open and close an incident of one kind. Shares are fractions of 1; high >
+// low.
+struct ObservationRule {
+  double high = 0;  // opens when at or above this for `open_after` without interruption
+  double low = 0;   // closes when below this for `close_after` without interruption
   Micros open_after = 5 * kSecond;
   Micros close_after = 60 * kSecond;
-  bool operator==(const SightRule&) const = default;
+  bool operator==(const ObservationRule&) const = default;
 };
 
+// Settings of the change freeze.
 struct Rules {
-  // Leases. A holder counts its own from before it asked; the leader's count is longer by the drift.
-  Micros step_lease = 2 * kSecond;     // in which a granted step may begin
-  Micros change_lease = 30 * kSecond;  // without a word of the owner: the change is abandoned. >= step_lease
-  // On their way at once.
-  uint64_t most_balancers_of_zone = 1;  // balancers of one zone with a change under way
-  uint64_t most_nodes_of_group = 2;     // nodes of one host group
+  // Leases. A holder counts its lease from before its request; the leader adds the clock drift to its own
+  // count.
+  Micros step_lease = 2 * kSecond;  // time in which a granted step may begin
+  // without a command of the owner the change is abandoned; >= step_lease
+  Micros change_lease = 30 * kSecond;
+  // Limits on concurrent changes.
+  uint64_t max_balancers_per_zone = 1;  // balancers of one zone with a change under way
+  uint64_t max_nodes_per_group = 2;     // nodes of one host group with a change under way
   // Incidents.
-  std::vector<Row> table = DefaultTable();
-  // The kinds that make it better where the change is about what the incident is about.
-  std::vector<ChangeKind> betters = {ChangeKind::kNodeOut};
-  std::array<UnderWay, kChangeKinds> under_way = {
-      UnderWay::kFinish, UnderWay::kFinish, UnderWay::kUndo,    // node_out, node_back, drain
-      UnderWay::kFinish, UnderWay::kFinish, UnderWay::kFinish,  // undrain, reload, upgrade
-      UnderWay::kFinish, UnderWay::kFinish};                    // restart, voters
-  Micros ask_again = 30 * kSecond;         // told to whoever is refused, where nothing better is known
-  Micros sight_lasts = 10 * 60 * kSecond;  // an incident by sight ends so long after it was last confirmed
-  // Without a majority these go on locally, and are told afterwards.
-  std::vector<ChangeKind> emergencies = {ChangeKind::kNodeOut, ChangeKind::kRestart};
+  std::vector<TableRow> table = DefaultTable();
+  // Kinds of change that an incident of the same scope allows, since they remedy it.
+  std::vector<ChangeKind> remedial_kinds = {ChangeKind::kNodeOut};
+  std::array<StepPolicy, kChangeKindCount> step_policies = {
+      StepPolicy::kFinish, StepPolicy::kFinish, StepPolicy::kUndo,    // node_out, node_back, drain
+      StepPolicy::kFinish, StepPolicy::kFinish, StepPolicy::kFinish,  // undrain, reload, upgrade
+      StepPolicy::kFinish, StepPolicy::kFinish};                      // restart, voters
+  Micros retry_after = 30 * kSecond;  // given with a refusal unless a better time is known
+  // an observed incident ends this long after it was last confirmed
+  Micros observed_incident_ttl = 10 * 60 * kSecond;
+  // Kinds that proceed locally without a majority and are reported afterwards.
+  std::vector<ChangeKind> emergency_kinds = {ChangeKind::kNodeOut, ChangeKind::kRestart};
   // By IncidentKind; kOperator has none.
-  std::array<SightRule, kIncidentKinds> sights = {SightRule{},
-                                                  {0.5, 0.2, 5 * kSecond, 60 * kSecond},
-                                                  {0.3, 0.1, 5 * kSecond, 60 * kSecond},
-                                                  {1.0, 0.5, 1 * kSecond, 60 * kSecond},
-                                                  {0.1, 0.02, 10 * kSecond, 60 * kSecond}};
-  // Bounds.
-  uint64_t most_changes = 256;   // under way
-  uint64_t most_incidents = 64;  // open
-  uint64_t most_history = 512;   // changes and incidents that ended: the last
-  uint64_t most_glass = 256;     // breaks of glass: the last
-  uint64_t most_local = 64;      // emergencies that one balancer keeps until the council is back
+  std::array<ObservationRule, kIncidentKindCount> observation_rules = {
+      ObservationRule{},
+      {0.5, 0.2, 5 * kSecond, 60 * kSecond},
+      {0.3, 0.1, 5 * kSecond, 60 * kSecond},
+      {1.0, 0.5, 1 * kSecond, 60 * kSecond},
+      {0.1, 0.02, 10 * kSecond, 60 * kSecond}};
+  // Bounds of the state.
+  uint64_t max_changes = 256;    // under way
+  uint64_t max_incidents = 64;   // open
+  uint64_t max_history = 512;    // last changes and incidents that ended
+  uint64_t max_overrides = 256;  // last emergency overrides
+  // emergency actions that one balancer records until the council is back
+  uint64_t max_local_emergencies = 64;
   bool operator==(const Rules&) const = default;
 };
 
-// Why they can't be used, for whoever reads them from a file; empty: they can.
-const char* WhyNot(const Rules& rules);
+// Returns why the rules are not valid, or an empty string if they are.
+const char* InvalidReason(const Rules& rules);
 
 }  // namespace burlfall::freeze
 
--- a/src/freeze/scope.cpp
+++ b/src/freeze/scope.cpp
@@ -3,8 +3,8 @@
 namespace burlfall::freeze {
 namespace {
 
-// Two names of a zone or group, either of which may not be known.
-bool MayBeOne(const std::string& a, const std::string& b) { return a.empty() || b.empty() || a == b; }
+// Compares two names of a zone or group; an empty name is not known and matches any.
+bool MayBeSame(const std::string& a, const std::string& b) { return a.empty() || b.empty() || a == b; }
 
 }  // namespace
 
@@ -19,17 +19,17 @@
   return text;
 }
 
-bool Meet(const Scope& a, const Scope& b) {
+bool Overlap(const Scope& a, const Scope& b) {
   using Kind = Scope::Kind;
-  if (a.kind > b.kind) return Meet(b, a);
+  if (a.kind > b.kind) return Overlap(b, a);
   switch (a.kind) {
     case Kind::kSite:
       return true;
     case Kind::kZone:
-      return MayBeOne(a.name, b.kind == Kind::kZone ? b.name : b.zone);
+      return MayBeSame(a.name, b.kind == Kind::kZone ? b.name : b.zone);
     case Kind::kGroup:
-      if (b.kind == Kind::kGroup) return a.name == b.name && MayBeOne(a.zone, b.zone);
-      return b.kind == Kind::kNode && MayBeOne(a.name, b.group) && MayBeOne(a.zone, b.zone);
+      if (b.kind == Kind::kGroup) return a.name == b.name && MayBeSame(a.zone, b.zone);
+      return b.kind == Kind::kNode && MayBeSame(a.name, b.group) && MayBeSame(a.zone, b.zone);
     case Kind::kNode:
     case Kind::kBalancer:
       return a.kind == b.kind && a.name == b.name;
--- a/src/freeze/scope.h
+++ b/src/freeze/scope.h
@@ -1,5 +1,5 @@
-// What a change or an incident is about. A node carries its zone and host group, a balancer its zone, so that
-// whether two scopes meet is seen from the two alone.
+// What a change or an incident applies to. A node carries its zone and host group, a balancer its zone, so
+// that two scopes can be compared without further data.
 #ifndef BURLFALL_FREEZE_SCOPE_H_
 #define BURLFALL_FREEZE_SCOPE_H_
 
@@ -13,7 +13,7 @@
   enum class Kind : uint8_t { kSite, kZone, kGroup, kNode, kBalancer };
   Kind kind = Kind::kSite;
   std::string name;   // empty for the site
-  std::string zone;   // of a node or balancer; of a group that lies in one. Empty: not known, or in several
+  std::string zone;   // of a node, a balancer, or a group within one zone. Empty: not known, or several
   std::string group;  // of a node
   auto operator<=>(const Scope&) const = default;
 
@@ -33,9 +33,10 @@
 const char* NameOf(Scope::Kind kind);    // site, zone, group, node, balancer
 std::string TextOf(const Scope& scope);  // "zone z1", "node n7", "site"
 
-// Whether something can lie in both: one holds the other, or they cross (a group and a zone that it may reach
-// into). Where a zone or group is not known, they meet: rather a change refused than two that collide.
-bool Meet(const Scope& a, const Scope& b);
+// Whether two scopes can have a member in common: one contains the other, or they intersect (a group and a
+// zone that it may extend into). If a zone or group is not known, they overlap: it is better to refuse a
+// change than to let two changes collide.
+bool Overlap(const Scope& a, const Scope& b);
 
 }  // namespace burlfall::freeze
 
--- a/src/lab/council_judge/judge.cpp
+++ b/src/lab/council_judge/judge.cpp
@@ -10,7 +10,7 @@
 
 using freeze::ChangeKind;
 using freeze::IncidentKind;
-using freeze::Meet;
+using freeze::Overlap;
 using freeze::Scope;
 
 constexpr size_t kMostBroken = 100;
@@ -114,7 +114,7 @@
         }
         break;
       case Seen::What::kEmergency: {
-        const auto& kinds = facts_.rules.emergencies;
+        const auto& kinds = facts_.rules.emergency_kinds;
         if (std::find(kinds.begin(), kinds.end(), seen.change_kind) == kinds.end()) {
           Say(3, std::string("a change that is no emergency went on without the council: ") +
                      NameOf(seen.change_kind) + " at " + seen.place);
@@ -160,23 +160,23 @@
   // The table as the settings describe it, read here by itself.
   bool Forbidden(const SeenIncident& incident, ChangeKind kind, const Scope& scope) const {
     const bool about = scope == incident.scope && scope.kind != Scope::Kind::kSite;
-    for (const ChangeKind better : facts_.rules.betters) {
+    for (const ChangeKind better : facts_.rules.remedial_kinds) {
       if (about && better == kind) return false;
     }
-    for (const freeze::Row& row : facts_.rules.table) {
+    for (const freeze::TableRow& row : facts_.rules.table) {
       const bool fits =
           (!row.incident || *row.incident == incident.kind) && (!row.change || *row.change == kind);
       if (!fits) continue;
       if (row.reach == freeze::Reach::kNowhere) return false;
-      return row.reach == freeze::Reach::kEverywhere || Meet(scope, incident.scope);
+      return row.reach == freeze::Reach::kEverywhere || Overlap(scope, incident.scope);
     }
-    return Meet(scope, incident.scope);
+    return Overlap(scope, incident.scope);
   }
 
   void ChangeBegan(const Seen& seen) {
     if (changes_.contains(seen.change)) Say(4, "change " + std::to_string(seen.change) + " began twice");
     for (const uint64_t id : open_) {
-      if (Meet(changes_[id].scope, seen.scope)) {
+      if (Overlap(changes_[id].scope, seen.scope)) {
         Say(4, "change " + std::to_string(seen.change) + " (" + TextOf(seen.scope) + ") began with change " +
                    std::to_string(id) + " (" + TextOf(changes_[id].scope) + ") open");
       }
@@ -216,7 +216,7 @@
     for (const auto& [id, place] : under_way_) {
       if (id == seen.change) {
         Say(4, name + " began at " + seen.place + " with one under way at " + place);
-      } else if (Meet(changes_[id].scope, change.scope)) {
+      } else if (Overlap(changes_[id].scope, change.scope)) {
         Say(4, name + " began with one of change " + std::to_string(id) + " under way at " + place);
       }
     }
@@ -241,7 +241,7 @@
     bool reason = true;
     if (seen.error == owner::Error::kConflict) {
       reason = std::any_of(changes_.begin(), changes_.end(), [&](const auto& one) {
-        return one.second.ended >= question.asked && Meet(one.second.scope, question.scope);
+        return one.second.ended >= question.asked && Overlap(one.second.scope, question.scope);
       });
     } else if (seen.error == owner::Error::kFrozen) {
       reason = std::any_of(incidents_.begin(), incidents_.end(), [&](const auto& one) {
@@ -271,7 +271,7 @@
   Micros now_ = 0;
   Micros up_since_ = 0;
   std::vector<Broken> broken_;
-  std::map<uint64_t, std::pair<std::string, owner::Who>> owners_;  // by epoch
+  std::map<uint64_t, std::pair<std::string, owner::ProcessId>> owners_;  // by epoch
   std::map<std::pair<std::string, std::string>, uint64_t> obeyed_;
   std::set<uint64_t> fenced_;   // acts
   std::set<uint64_t> effects_;  // likewise
--- a/src/lab/council_judge/judge.h
+++ b/src/lab/council_judge/judge.h
@@ -49,7 +49,7 @@
   What what = What::kOwned;
   std::string place;
   std::string work;
-  owner::Who who;
+  owner::ProcessId who;
   uint64_t epoch = 0;
   uint64_t act = 0;
   uint64_t change = 0;
--- a/src/lab/council_judge/play_freeze.cpp
+++ b/src/lab/council_judge/play_freeze.cpp
@@ -12,7 +12,7 @@
 #include "freeze/permit.h"
 #include "lab/council_judge/play.h"
 #include "lab/council_judge/timeline.h"
-#include "owner/lapse.h"
+#include "owner/lease_expiry.h"
 
 namespace burlfall::lab {
 namespace {
@@ -45,14 +45,14 @@
     kTaking,
     kUndoing
   };
-  owner::Who who;
+  owner::ProcessId who;
   std::string zone;
   DriftingClock clock;
   Micros still_until = 0;
   Micros slow_until = 0;  // what comes to it waits on the way until then; what it says goes out
   Micros mute_until = 0;  // the other way round
   Phase phase = Phase::kIdle;
-  freeze::Permit permit;
+  freeze::StepPermit permit;
   std::optional<freeze::LocalGate> gate;
   std::map<uint64_t, Micros> asked;  // request -> own clock, before the first try
   uint64_t requests = 0;
@@ -85,7 +85,7 @@
         lapse_(fault == FreezeFault::kNoDrift ? 0 : options.drift) {
     rules_.step_lease = 1 * kSecond;
     rules_.change_lease = 3 * kSecond;
-    rules_.most_balancers_of_zone = 2;
+    rules_.max_balancers_per_zone = 2;
     played_.facts.rules = rules_;
     played_.facts.bound = options.bound;
   }
@@ -130,8 +130,8 @@
   freeze::Rules GateRules() const {
     freeze::Rules rules = rules_;
     if (fault_ == FreezeFault::kAnyEmergency) {
-      for (size_t i = 0; i < freeze::kChangeKinds; ++i)
-        rules.emergencies.push_back(static_cast<ChangeKind>(i));
+      for (size_t i = 0; i < freeze::kChangeKindCount; ++i)
+        rules.emergency_kinds.push_back(static_cast<ChangeKind>(i));
     }
     return rules;
   }
@@ -180,9 +180,9 @@
     leads_ = true;
     See(Seen::What::kMajority).up = true;
     leader_clock_ = DriftingClock::Drawn(time_, options_.apart);
-    lapse_.TakeOffice(leader_clock_.Read(time_.now()), state_.Leases());
+    lapse_.BecomeLeader(leader_clock_.Read(time_.now()), state_.Leases());
     if (fault_ == FreezeFault::kNotAnew) {
-      for (const owner::Lease& lease : state_.Leases()) Apply(freeze::RunOutOf(lease));
+      for (const owner::Lease& lease : state_.Leases()) Apply(freeze::MakeExpireCommand(lease));
     }
     time_.After(time_.Between(2 * kSecond, 10 * kSecond), [this] {
       if (quiet_) return;
@@ -197,7 +197,7 @@
     if (!leads_) return;
     const Micros now = leader_clock_.Read(time_.now());
     for (const owner::Lease& lease : lapse_.Due(now)) {
-      const Command command = freeze::RunOutOf(lease);
+      const Command command = freeze::MakeExpireCommand(lease);
       // A renewal that is on its way may overtake it: the worst moment is right after that.
       if (lease.epoch == 0 && time_.Chance(0.5)) {
         held_[command.change] = command;
@@ -205,7 +205,7 @@
         time_.After(time_.Between(0, 30 * kMs), [this, command] { Apply(command); });
       }
     }
-    for (const Command& command : state_.EndsDue(now)) Apply(command);
+    for (const Command& command : state_.IncidentsDue(now)) Apply(command);
     if (!quiet_ && time_.Chance(0.003) && !state_.changes().empty()) {
       auto change = state_.changes().begin();
       std::advance(change, time_.Below(state_.changes().size()));
@@ -227,11 +227,11 @@
     if (!read) return;  // refused before it comes so far
     const freeze::Effects effects = state_.Apply(index_, leader_clock_.Read(time_.now()), *read);
     if (fault_ == FreezeFault::kNone && time_.Chance(0.01)) state_ = *freeze::State::Load(state_.Save());
-    freeze::Count(lapse_, leader_clock_.Read(time_.now()), effects);
+    freeze::TrackLeases(lapse_, leader_clock_.Read(time_.now()), effects);
     for (const Effect& effect : effects) {
       Witness(effect);
       Send([this, effect] { Deliver(effect); });
-      if (effect.what != Effect::What::kKept && effect.what != Effect::What::kGranted) continue;
+      if (effect.what != Effect::What::kRenewed && effect.what != Effect::What::kGranted) continue;
       const auto held = held_.find(effect.change);
       if (held == held_.end()) continue;
       time_.After(time_.Between(0, 200 * kMs), [this, command = held->second] { Apply(command); });
@@ -251,7 +251,7 @@
         seen.scope = effect.scope;
         const auto change = state_.changes().find(effect.change);
         if (change != state_.changes().end()) seen.undoes = change->second.undoes;
-        if (change != state_.changes().end() && !change->second.glass.empty()) {
+        if (change != state_.changes().end() && !change->second.overridden_incidents.empty()) {
           See(Seen::What::kGlass).change = effect.change;
         }
         return;
@@ -274,7 +274,7 @@
         seen.epoch = effect.epoch;
         return;
       }
-      case Effect::What::kTaken:
+      case Effect::What::kTransferred:
         ++played_.taken;
         return;
       case Effect::What::kOpened: {
@@ -285,20 +285,20 @@
         seen.scope = effect.scope;
         return;
       }
-      case Effect::What::kIncidentYes:
+      case Effect::What::kIncidentInForce:
         ++played_.yes;
         played_.yes_waited += effect.waited > 0 ? 1 : 0;
         See(Seen::What::kIncidentYes).incident = effect.incident;
         return;
-      case Effect::What::kIncidentOver:
+      case Effect::What::kIncidentClosed:
         See(Seen::What::kIncidentOver).incident = effect.incident;
         return;
-      case Effect::What::kGlass:
+      case Effect::What::kOverride:
         ++played_.glass;
         // A change that breaks it in its question has not begun yet: kBegun follows.
         if (begun_.contains(effect.change)) See(Seen::What::kGlass).change = effect.change;
         return;
-      case Effect::What::kNoted: {
+      case Effect::What::kEmergencyRecorded: {
         Seen& seen = See(Seen::What::kNoted);
         seen.place = effect.who.name;
         seen.number = effect.number;
@@ -310,12 +310,12 @@
   }
 
   void Deliver(const Effect& effect) {
-    if (effect.what == Effect::What::kOpened || effect.what == Effect::What::kIncidentYes ||
-        effect.what == Effect::What::kIncidentOver) {
+    if (effect.what == Effect::What::kOpened || effect.what == Effect::What::kIncidentInForce ||
+        effect.what == Effect::What::kIncidentClosed) {
       for (Opener& opener : openers_) {
         if (effect.incident_kind != opener.said.incident_kind || effect.scope != opener.said.scope) continue;
         opener.incident = effect.incident;
-        if (effect.what == Effect::What::kIncidentOver) opener.open = false;
+        if (effect.what == Effect::What::kIncidentClosed) opener.open = false;
       }
       return;
     }
@@ -330,8 +330,8 @@
         time_.At(hand.slow_until, [this, effect] { Deliver(effect); });
         return;
       }
-      hand.gate->Applied(effect);
-      if (hand.who.life == effect.who.life) Hear(i, effect);
+      hand.gate->OnApplied(effect);
+      if (hand.who.incarnation == effect.who.incarnation) Hear(i, effect);
     }
   }
 
@@ -348,7 +348,7 @@
     hand.asked[command.request] = hand.clock.Read(time_.now());
     while (hand.asked.size() > 64) hand.asked.erase(hand.asked.begin());
     Out(hand, command);
-    if (command.kind == Command::Kind::kKeep) return;
+    if (command.kind == Command::Kind::kRenew) return;
     hand.said = std::move(command);
     hand.said_at = time_.now();
   }
@@ -372,7 +372,7 @@
     Seen& seen = See(Seen::What::kStepEnded);
     seen.change = hand.change;
     seen.place = hand.who.name;
-    hand.permit.Ended();
+    hand.permit.OnStepEnded();
   }
 
   void Hear(size_t i, const Effect& effect) {
@@ -387,7 +387,7 @@
     switch (effect.what) {
       case Effect::What::kBegun:
         if (!answers || hand.phase != Phase::kAsking) return;
-        hand.permit.Heard(since, effect);
+        hand.permit.OnEffect(since, effect);
         hand.change = effect.change;
         hand.next = 0;
         hand.undoing = false;
@@ -395,10 +395,10 @@
         Between(i);
         Answered(hand, Error::kNone);
         return;
-      case Effect::What::kKept:
+      case Effect::What::kRenewed:
         if (hand.change != effect.change) return;
         if (own) {
-          hand.permit.Heard(since, effect);
+          hand.permit.OnEffect(since, effect);
           MayGoOn(hand);
         }
         if (hand.phase == Phase::kTaking ||
@@ -410,17 +410,17 @@
         return;
       case Effect::What::kGranted:
         if (!answers || hand.phase != Phase::kAskingStep) return;
-        hand.permit.Heard(since, effect);
+        hand.permit.OnEffect(since, effect);
         hand.phase = Phase::kGranted;
         hand.act_at =
             time_.now() + (time_.Chance(0.3) ? time_.Between(0, 1500 * kMs) : time_.Between(0, 50 * kMs));
         return;
-      case Effect::What::kGrantOver:
-        hand.permit.Heard(0, effect);
+      case Effect::What::kGrantEnded:
+        hand.permit.OnEffect(0, effect);
         return;
-      case Effect::What::kTaken:
+      case Effect::What::kTransferred:
         if (hand.phase != Phase::kIdle) return;
-        hand.permit.Heard(0, effect);
+        hand.permit.OnEffect(0, effect);
         hand.change = effect.change;
         hand.phase = Phase::kTaking;
         hand.keep_at = 0;
@@ -436,7 +436,7 @@
         }
         if (effect.change != hand.change || hand.change == 0) return;
         StopStep(i);
-        hand.permit.Heard(0, effect);
+        hand.permit.OnEffect(0, effect);
         return Drop(hand);
       case Effect::What::kRefused:
         if (answers) Refused(i, effect);
@@ -456,7 +456,7 @@
   void MayGoOn(const Hand& hand) {
     Seen& seen = See(Seen::What::kMayGoOn);
     seen.change = hand.change;
-    seen.until = hand.clock.When(hand.permit.go_until()) - 2;  // rounded down
+    seen.until = hand.clock.When(hand.permit.continue_until()) - 2;  // rounded down
   }
 
   void Between(size_t i) {
@@ -529,11 +529,11 @@
     }
     // Its disk keeps what it did without the council.
     const std::string kept = hand.gate->Save();
-    ++hand.who.life;
+    ++hand.who.incarnation;
     hand.gate.emplace(GateRules(), hand.who);
-    hand.gate->Take(kept);
+    hand.gate->Load(kept);
     hand.asked.clear();
-    hand.permit = freeze::Permit();
+    hand.permit = freeze::StepPermit();
     Drop(hand);
     hand.still_until = time_.now() + time_.Between(0, 4 * kSecond);
   }
@@ -541,13 +541,13 @@
   void Ask(size_t i) {
     Hand& hand = hands_[i];
     Command command;
-    command.kind = Command::Kind::kAsk;
-    command.change_kind = static_cast<ChangeKind>(time_.Below(freeze::kChangeKinds));
+    command.kind = Command::Kind::kBegin;
+    command.change_kind = static_cast<ChangeKind>(time_.Below(freeze::kChangeKindCount));
     command.scope = DrawScope(&hand);
     command.steps.resize(1 + time_.Below(3), "step");
     if (time_.Chance(0.1) && !state_.history().empty()) {
-      const freeze::Past& past = state_.history().back();
-      if (past.what == freeze::Past::What::kChange) {
+      const freeze::HistoryEntry& past = state_.history().back();
+      if (past.what == freeze::HistoryEntry::What::kChange) {
         command.undoes = past.id;
         command.scope = past.scope;
       }
@@ -571,15 +571,15 @@
     if (hand.permit.MayBegin(hand.clock.Read(time_.now())) != Error::kNone &&
         fault_ != FreezeFault::kNoLook) {
       hand.epoch = hand.permit.epoch();
-      hand.permit.Ended();
+      hand.permit.OnStepEnded();
       hand.phase = Hand::Phase::kTelling;
-      Command command = OfChange(hand, Command::Kind::kStepBack);
+      Command command = OfChange(hand, Command::Kind::kStepReturned);
       command.epoch = hand.epoch;
       Say(i, command);
       return;
     }
     ++played_.steps;
-    hand.permit.Begun(hand.clock.Read(time_.now()));
+    hand.permit.OnBegun(hand.clock.Read(time_.now()));
     hand.epoch = hand.permit.epoch();
     hand.phase = Hand::Phase::kStepping;
     hand.act_at = time_.now() + time_.Between(10 * kMs, 3 * kSecond);
@@ -595,10 +595,10 @@
   // A step goes no further than the change's lease on the own clock, also where nobody looks: one who stands
   // still does nothing, and looks first when it wakes.
   void Halt(size_t i, uint64_t change, uint64_t epoch) {
-    time_.At(hands_[i].clock.When(hands_[i].permit.go_until()), [this, i, change, epoch] {
+    time_.At(hands_[i].clock.When(hands_[i].permit.continue_until()), [this, i, change, epoch] {
       Hand& hand = hands_[i];
       if (hand.phase != Hand::Phase::kStepping || hand.change != change || hand.epoch != epoch) return;
-      if (hand.permit.MayGoOn(hand.clock.Read(time_.now())) == Error::kNone) {
+      if (hand.permit.MayContinue(hand.clock.Read(time_.now())) == Error::kNone) {
         Halt(i, change, epoch);
         return;
       }
@@ -617,12 +617,12 @@
     if (!quiet_ && time_.Chance(0.004)) hand.slow_until = time_.now() + time_.Between(500 * kMs, 4 * kSecond);
     if (!quiet_ && time_.Chance(0.002)) hand.mute_until = time_.now() + time_.Between(kSecond, 8 * kSecond);
     if (fault_ != FreezeFault::kEmergencyNotTold && time_.Chance(0.1)) {
-      for (const Command& command : hand.gate->Untold()) {
+      for (const Command& command : hand.gate->Unconfirmed()) {
         Send([this, command] { Apply(command); });
       }
     }
     if (!leads_ && time_.Chance(0.02)) {
-      const auto kind = static_cast<ChangeKind>(time_.Below(freeze::kChangeKinds));
+      const auto kind = static_cast<ChangeKind>(time_.Below(freeze::kChangeKindCount));
       const Scope scope = Scope::Balancer(hand.who.name, hand.zone);
       const freeze::LocalGate::Answer answer = hand.gate->Ask(kind, scope, "anna", "it burns", {"v0", "v2"});
       if (answer.error == Error::kNone) {
@@ -637,7 +637,7 @@
     if (hand.phase != Phase::kIdle && hand.phase != Phase::kAsking &&
         hand.clock.Read(time_.now()) >= hand.keep_at) {
       hand.keep_at = hand.clock.Read(time_.now()) + rules_.change_lease / 4;
-      Say(i, OfChange(hand, Command::Kind::kKeep));
+      Say(i, OfChange(hand, Command::Kind::kRenew));
     }
     const bool due = time_.now() >= hand.act_at;
     switch (hand.phase) {
@@ -695,7 +695,7 @@
     if (quiet_ && !state_.incidents().empty()) {
       // Those whose opener has gone are closed by somebody else.
       Command command;
-      command.kind = Command::Kind::kClose;
+      command.kind = Command::Kind::kCloseIncident;
       command.incident = state_.incidents().begin()->first;
       command.by = "anna";
       command.reason = "over";
@@ -707,8 +707,8 @@
       opener.open = true;
       opener.incident = 0;
       opener.said = Command();
-      opener.said.kind = Command::Kind::kOpen;
-      opener.said.incident_kind = static_cast<IncidentKind>(time_.Below(freeze::kIncidentKinds));
+      opener.said.kind = Command::Kind::kOpenIncident;
+      opener.said.incident_kind = static_cast<IncidentKind>(time_.Below(freeze::kIncidentKindCount));
       opener.said.scope = DrawScope(nullptr);
       opener.said.by = std::string("o").append(std::to_string(i));
       opener.said.reason = "queries are lost";
@@ -721,11 +721,11 @@
         }
         opener.said.scope = change->second.scope;
       }
-      opener.said.lasts = time_.Chance(0.3) ? time_.Between(kSecond, 6 * kSecond) : 0;
+      opener.said.duration = time_.Chance(0.3) ? time_.Between(kSecond, 6 * kSecond) : 0;
       opener.said_at = 0;
       opener.close_at = time_.now() + time_.Between(500 * kMs, 8 * kSecond);
       // It may die before it hears the yes; what it opened ends by itself, or another closes it.
-      if (time_.Chance(0.1)) opener.said.lasts = 5 * kSecond;
+      if (time_.Chance(0.1)) opener.said.duration = 5 * kSecond;
     }
     if (opener.incident == 0 && time_.now() - opener.said_at >= kAgain) {
       opener.said_at = time_.now();
@@ -734,7 +734,7 @@
                time_.now() - opener.said_at >= kAgain) {
       opener.said_at = time_.now();
       Command command;
-      command.kind = Command::Kind::kClose;
+      command.kind = Command::Kind::kCloseIncident;
       command.incident = opener.incident;
       command.by = opener.said.by;
       command.reason = "over";
@@ -753,7 +753,7 @@
   bool leads_ = false;
   bool quiet_ = false;
   DriftingClock leader_clock_;
-  owner::Lapse lapse_;
+  owner::LeaseExpiry lapse_;
   std::vector<Hand> hands_;
   std::vector<Opener> openers_;
   std::map<uint64_t, Command> held_;  // by change: run-outs that wait to be overtaken
--- a/src/lab/council_judge/play_owner.cpp
+++ b/src/lab/council_judge/play_owner.cpp
@@ -9,7 +9,7 @@
 #include "lab/council_judge/timeline.h"
 #include "owner/executor.h"
 #include "owner/holder.h"
-#include "owner/lapse.h"
+#include "owner/lease_expiry.h"
 #include "owner/owner.h"
 
 namespace burlfall::lab {
@@ -21,10 +21,10 @@
 constexpr Micros kTick = 25 * kMs;
 
 struct Member {
-  owner::Who who;
+  owner::ProcessId who;
   DriftingClock clock;
-  std::vector<owner::Holder> holders;  // by work
-  Micros still_until = 0;              // it stands still, or is dead
+  std::vector<owner::LeaseHolder> holders;  // by work
+  Micros still_until = 0;                   // it stands still, or is dead
 };
 
 struct Place {
@@ -103,7 +103,7 @@
     ++played_.leaders;
     leads_ = true;
     leader_clock_ = DriftingClock::Drawn(time_, options_.apart);
-    lapse_.TakeOffice(leader_clock_.Read(time_.now()), state_.Leases());
+    lapse_.BecomeLeader(leader_clock_.Read(time_.now()), state_.Leases());
     time_.After(time_.Between(2 * kSecond, 10 * kSecond), [this] {
       leads_ = false;
       time_.After(time_.Between(100 * kMs, 2 * kSecond), [this] { TakeOffice(); });
@@ -115,17 +115,17 @@
     if (!leads_) return;
     for (const owner::Lease& lease : lapse_.Due(leader_clock_.Read(time_.now()))) {
       // What is in the log already may overtake it.
-      time_.After(time_.Between(0, 30 * kMs), [this, lease] { Apply(owner::RunOutOf(lease)); });
+      time_.After(time_.Between(0, 30 * kMs), [this, lease] { Apply(owner::MakeExpireCommand(lease)); });
     }
     if (!time_.Chance(0.005)) return;
     owner::Command command;
-    command.work = kWorks[time_.Below(2)];
+    command.task = kWorks[time_.Below(2)];
     command.by = "anna";
     command.reason = "rolled to another zone";
-    command.kind = owner::Command::Kind::kTakeAway;
+    command.kind = owner::Command::Kind::kRevoke;
     if (time_.Chance(0.5)) {
-      const auto work = state_.works().find(command.work);
-      if (work == state_.works().end()) return;
+      const auto work = state_.tasks().find(command.task);
+      if (work == state_.tasks().end()) return;
       command.kind = owner::Command::Kind::kHandOver;
       command.epoch = work->second.epoch;
       command.to = members_[time_.Below(kMembers)].who;
@@ -140,14 +140,14 @@
     const std::optional<owner::Command> read = owner::ReadCommand(owner::Write(command));
     const owner::Effects effects = state_.Apply(index_, leader_clock_.Read(time_.now()), *read);
     if (time_.Chance(0.01)) state_ = *owner::State::Load(state_.Save());
-    owner::Count(lapse_, leader_clock_.Read(time_.now()), effects);
+    owner::TrackLeases(lapse_, leader_clock_.Read(time_.now()), effects);
     for (const owner::Effect& effect : effects) {
       if (effect.what == owner::Effect::What::kGranted) {
         ++played_.grants;
         Seen seen;
         seen.at = time_.now();
         seen.what = Seen::What::kOwned;
-        seen.work = effect.work;
+        seen.work = effect.task;
         seen.who = effect.who;
         seen.epoch = effect.epoch;
         played_.history.push_back(std::move(seen));
@@ -161,7 +161,7 @@
     const uint64_t above = state_.last_epoch() + 1000;
     state_ = owner::State();
     index_ = 0;
-    lapse_.TakeOffice(leader_clock_.Read(time_.now()), {});
+    lapse_.BecomeLeader(leader_clock_.Read(time_.now()), {});
     const bool led = std::exchange(leads_, true);
     owner::Command command;
     command.kind = owner::Command::Kind::kFloor;
@@ -177,7 +177,7 @@
     member.holders.clear();
     for (const char* work : kWorks) {
       member.holders.emplace_back(member.who, work, owner::HolderRules{});
-      member.holders.back().Want();
+      member.holders.back().Acquire();
     }
   }
 
@@ -195,7 +195,8 @@
         time_.At(member.still_until, [this, effect] { Deliver(effect); });
         return;
       }
-      for (owner::Holder& holder : member.holders) holder.Heard(member.clock.Read(time_.now()), effect);
+      for (owner::LeaseHolder& holder : member.holders)
+        holder.OnEffect(member.clock.Read(time_.now()), effect);
     }
   }
 
@@ -205,7 +206,7 @@
     if (time_.now() < member.still_until) return;
     if (time_.Chance(0.001)) {
       ++played_.deaths;
-      ++member.who.life;
+      ++member.who.incarnation;
       Live(i);
       member.still_until = time_.now() + time_.Between(0, 3 * kSecond);
       return;
@@ -215,13 +216,13 @@
       return;
     }
     for (size_t work = 0; work < member.holders.size(); ++work) {
-      owner::Holder& holder = member.holders[work];
+      owner::LeaseHolder& holder = member.holders[work];
       for (const owner::Command& command : holder.Tick(member.clock.Read(time_.now()))) {
         Send([this, command] { Apply(command); });
       }
       if (holder.stopping() || time_.Chance(0.001)) {
-        holder.GiveUp();
-        time_.After(time_.Between(kMs, kSecond), [this, i, work] { members_[i].holders[work].Want(); });
+        holder.Release();
+        time_.After(time_.Between(kMs, kSecond), [this, i, work] { members_[i].holders[work].Acquire(); });
       }
       if (!holder.owns() || !time_.Chance(0.3)) continue;
       const owner::Permit permit = holder.MayAct(member.clock.Read(time_.now()));
@@ -253,7 +254,7 @@
     const bool empty = !place.disk || !place.file || place.executor->damaged();
     if ((fault_ == OwnerFault::kForgets && empty) ||
         (fault_ == OwnerFault::kDamagedIsEmpty && place.executor->damaged())) {
-      for (const char* work : kWorks) place.executor->Told(work, 0);
+      for (const char* work : kWorks) place.executor->SetCurrentEpoch(work, 0);
     }
   }
 
@@ -274,7 +275,7 @@
 
   void Obey(size_t i, Act act) {
     Place& place = places_[i];
-    const owner::Executor::Verdict verdict = place.executor->Ask(kWorks[act.work], act.epoch);
+    const owner::Executor::Verdict verdict = place.executor->Check(kWorks[act.work], act.epoch);
     const uint64_t life = place.life;
     auto again = [this, i, act, life](Micros span) mutable {
       if (++act.tries > 20) return;
@@ -300,19 +301,19 @@
         See(Seen::What::kFencedAct, place.name, act);
         if (fault_ == OwnerFault::kEffectsOfFenced) See(Seen::What::kHadEffect, place.name, act);
         const uint64_t epoch = act.epoch;
-        Send([this, act, epoch] { members_[act.by].holders[act.work].Fenced(epoch); });
+        Send([this, act, epoch] { members_[act.by].holders[act.work].OnFenced(epoch); });
         return;
       }
       case owner::Error::kNotTold:
         // A read that claims to be current, asked for from here on.
         if (fault_ == OwnerFault::kStaleRead) {
-          place.executor->Told(kWorks[act.work], old_[act.work]);
+          place.executor->SetCurrentEpoch(kWorks[act.work], old_[act.work]);
         } else {
           Send([this, i, act, life] {
             if (!leads_) return;
             const uint64_t epoch = state_.EpochOf(kWorks[act.work]);
             Send([this, i, act, life, epoch] {
-              if (places_[i].life == life) places_[i].executor->Told(kWorks[act.work], epoch);
+              if (places_[i].life == life) places_[i].executor->SetCurrentEpoch(kWorks[act.work], epoch);
             });
           });
         }
@@ -320,7 +321,7 @@
         return;
       case owner::Error::kNotWritten:
       case owner::Error::kDiskLost:
-        if (const auto write = place.executor->Pending()) {
+        if (const auto write = place.executor->NextWrite()) {
           // A crash before that time keeps the old file.
           const Micros span = time_.Between(kMs, 60 * kMs);
           if (time_.Chance(0.1)) {
@@ -332,7 +333,7 @@
             if (places_[i].life != life) return;
             const bool ok = !time_.Chance(0.15);
             if (ok) places_[i].file = write.bytes;
-            places_[i].executor->Written(write.number, ok || fault_ == OwnerFault::kFailedIsWritten);
+            places_[i].executor->OnWritten(write.number, ok || fault_ == OwnerFault::kFailedIsWritten);
           });
         }
         if (fault_ == OwnerFault::kObeysUnwritten) {
@@ -354,7 +355,7 @@
   uint64_t index_ = 0;
   bool leads_ = false;
   DriftingClock leader_clock_;
-  owner::Lapse lapse_;
+  owner::LeaseExpiry lapse_;
   std::vector<Member> members_;
   std::vector<Place> places_;
   uint64_t acts_ = 0;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -207,7 +207,7 @@
   }
   const std::string name = answer->substr(1, answer->find(':') - 1);
   std::cerr << "burlfall: " << answer->substr(1);
-  for (int error = 0; error < owner::kErrors; ++error) {
+  for (int error = 0; error < owner::kErrorCount; ++error) {
     if (name == owner::NameOf(static_cast<owner::Error>(error))) return kCouncilError + error;
   }
   return 1;
--- a/src/owner/bytes.cpp
+++ b/src/owner/bytes.cpp
@@ -3,7 +3,7 @@
 #include <bit>
 #include <cmath>
 
-// Header-only, both; the balancer links nothing more for them.
+// Both libraries are header-only, so the balancer links nothing more for them.
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
@@ -12,10 +12,10 @@
 namespace burlfall::owner {
 namespace {
 
-constexpr size_t kLetters = 4;
-constexpr char kVersion = 1;
-constexpr size_t kHead = kLetters + 1 + 8;
-constexpr size_t kLongestText = 4096;
+constexpr size_t kTagSize = 4;
+constexpr char kFormatVersion = 1;
+constexpr size_t kHeaderSize = kTagSize + 1 + 8;
+constexpr size_t kMaxTextSize = 4096;
 
 }  // namespace
 
@@ -34,7 +34,7 @@
   return *this;
 }
 
-Writer& Writer::Share(double value) { return Number(std::bit_cast<uint64_t>(value)); }
+Writer& Writer::Ratio(double value) { return Number(std::bit_cast<uint64_t>(value)); }
 
 Writer& Writer::Text(std::string_view value) {
   body_->packer.pack_str(static_cast<uint32_t>(value.size()));
@@ -43,15 +43,15 @@
   return *this;
 }
 
-std::string Writer::Finish(std::string_view what) {
-  msgpack::sbuffer head;
-  msgpack::packer<msgpack::sbuffer>(head).pack_array(body_->values);
-  std::string body(head.data(), head.size());
+std::string Writer::Finish(std::string_view tag) {
+  msgpack::sbuffer array_header;
+  msgpack::packer<msgpack::sbuffer>(array_header).pack_array(body_->values);
+  std::string body(array_header.data(), array_header.size());
   body.append(body_->buffer.data(), body_->buffer.size());
-  std::string frame(what);
-  frame += kVersion;
-  const uint64_t sum = XXH3_64bits(body.data(), body.size());
-  for (int byte = 0; byte < 8; ++byte) frame += static_cast<char>(sum >> (8 * byte) & 0xff);
+  std::string frame(tag);
+  frame += kFormatVersion;
+  const uint64_t checksum = XXH3_64bits(body.data(), body.size());
+  for (int byte = 0; byte < 8; ++byte) frame += static_cast<char>(checksum >> (8 * byte) & 0xff);
   return frame + body;
 }
 
@@ -61,17 +61,18 @@
   size_t size = 0;
 };
 
-Reader::Reader(std::string_view bytes, std::string_view what, size_t most) : body_(std::make_unique<Body>()) {
-  if (bytes.size() < kHead || bytes.substr(0, kLetters) != what || bytes[kLetters] != kVersion) return;
-  uint64_t sum = 0;
+Reader::Reader(std::string_view bytes, std::string_view tag, size_t max) : body_(std::make_unique<Body>()) {
+  if (bytes.size() < kHeaderSize || bytes.substr(0, kTagSize) != tag || bytes[kTagSize] != kFormatVersion)
+    return;
+  uint64_t checksum = 0;
   for (size_t byte = 0; byte < 8; ++byte) {
-    sum |= static_cast<uint64_t>(static_cast<unsigned char>(bytes[kLetters + 1 + byte])) << (8 * byte);
+    checksum |= static_cast<uint64_t>(static_cast<unsigned char>(bytes[kTagSize + 1 + byte])) << (8 * byte);
   }
-  const std::string_view body = bytes.substr(kHead);
-  if (XXH3_64bits(body.data(), body.size()) != sum) return;
+  const std::string_view body = bytes.substr(kHeaderSize);
+  if (XXH3_64bits(body.data(), body.size()) != checksum) return;
   try {
-    // Bounds before anything is built: array, map, text, bytes, extensions, depth.
-    const msgpack::unpack_limit limit(most, 0, kLongestText, 0, 0, 2);
+    // The limits are checked before anything is built: array, map, string, binary, extension, depth.
+    const msgpack::unpack_limit limit(max, 0, kMaxTextSize, 0, 0, 2);
     size_t used = 0;
     body_->handle = msgpack::unpack(body.data(), body.size(), used, nullptr, nullptr, limit);
     const msgpack::object& all = body_->handle.get();
@@ -85,37 +86,37 @@
 
 Reader::~Reader() = default;
 
-uint64_t Reader::Number(uint64_t most) {
-  if (!ok_ || at_ >= body_->size || body_->begin[at_].type != msgpack::type::POSITIVE_INTEGER ||
-      body_->begin[at_].via.u64 > most) {
+uint64_t Reader::Number(uint64_t max) {
+  if (!ok_ || next_ >= body_->size || body_->begin[next_].type != msgpack::type::POSITIVE_INTEGER ||
+      body_->begin[next_].via.u64 > max) {
     ok_ = false;
     return 0;
   }
-  return body_->begin[at_++].via.u64;
+  return body_->begin[next_++].via.u64;
 }
 
-Micros Reader::Span() { return static_cast<Micros>(Number(INT64_MAX)); }
+Micros Reader::Duration() { return static_cast<Micros>(Number(INT64_MAX)); }
 
-double Reader::Share() {
+double Reader::Ratio() {
   const double value = std::bit_cast<double>(Number());
   if (!std::isfinite(value) || value < 0 || value > 1000) ok_ = false;
   return ok_ ? value : 0;
 }
 
-std::string Reader::Text(size_t most) {
-  if (!ok_ || at_ >= body_->size || body_->begin[at_].type != msgpack::type::STR ||
-      body_->begin[at_].via.str.size > most) {
+std::string Reader::Text(size_t max) {
+  if (!ok_ || next_ >= body_->size || body_->begin[next_].type != msgpack::type::STR ||
+      body_->begin[next_].via.str.size > max) {
     ok_ = false;
     return {};
   }
-  std::string text(body_->begin[at_].via.str.ptr, body_->begin[at_].via.str.size);
-  ++at_;
+  std::string text(body_->begin[next_].via.str.ptr, body_->begin[next_].via.str.size);
+  ++next_;
   for (const char c : text) {
     if (static_cast<unsigned char>(c) < 0x20 || c == 0x7f) ok_ = false;
   }
   return ok_ ? text : std::string();
 }
 
-bool Reader::Done() const { return ok_ && at_ == body_->size; }
+bool Reader::Done() const { return ok_ && next_ == body_->size; }
 
 }  // namespace burlfall::owner
--- a/src/owner/bytes.h
+++ b/src/owner/bytes.h
@@ -1,5 +1,5 @@
-// State and commands as bytes: a frame of four letters that say what it is, a version, a checksum of the body
-// (XXH3, 64 bits, the low byte first), and the body: one flat MessagePack array of numbers and texts.
+// Binary encoding of states and commands. A frame has a tag of four letters, a format version, a checksum of
+// the body (XXH3, 64 bits, little-endian) and the body: one flat MessagePack array of integers and strings.
 #ifndef BURLFALL_OWNER_BYTES_H_
 #define BURLFALL_OWNER_BYTES_H_
 
@@ -13,6 +13,7 @@
 
 namespace burlfall::owner {
 
+// Encodes a frame. Each call appends one value; Finish() adds the header.
 class Writer {
  public:
   Writer();
@@ -21,52 +22,52 @@
   Writer& operator=(const Writer&) = delete;
 
   Writer& Number(uint64_t value);
-  Writer& Span(Micros value) { return Number(static_cast<uint64_t>(value)); }  // not negative
+  Writer& Duration(Micros value) { return Number(static_cast<uint64_t>(value)); }  // not negative
   Writer& Flag(bool value) { return Number(value ? 1 : 0); }
-  Writer& Share(double value);
+  Writer& Ratio(double value);
   Writer& Text(std::string_view value);
   template <class Enum>
-  Writer& Name(Enum value) {
+  Writer& EnumValue(Enum value) {
     return Number(static_cast<uint64_t>(value));
   }
-  // `what`: four letters.
-  std::string Finish(std::string_view what);
+  // `tag`: four letters that name the type of the frame.
+  std::string Finish(std::string_view tag);
 
  private:
   struct Body;
   std::unique_ptr<Body> body_;
 };
 
-// Never throws and builds nothing before its bound is checked. After the first value that is not what it must
-// be, ok() is false and all further values are 0 or empty.
+// Decodes a frame. Never throws, and checks limits before it allocates. After the first invalid value ok() is
+// false, and all further values are 0 or empty.
 class Reader {
  public:
-  // `most`: values in all.
-  Reader(std::string_view bytes, std::string_view what, size_t most);
+  // `max`: number of values in the frame.
+  Reader(std::string_view bytes, std::string_view tag, size_t max);
   ~Reader();
   Reader(const Reader&) = delete;
   Reader& operator=(const Reader&) = delete;
 
-  uint64_t Number(uint64_t most = UINT64_MAX);
-  Micros Span();
+  uint64_t Number(uint64_t max = UINT64_MAX);
+  Micros Duration();
   bool Flag() { return Number(1) == 1; }
-  double Share();  // finite, 0 to 1000
-  // No control characters: it goes into logs, tables and pages.
-  std::string Text(size_t most);
-  // The length of a list that follows: at most `most`.
-  size_t Count(size_t most) { return static_cast<size_t>(Number(most)); }
+  double Ratio();  // finite, 0 to 1000
+  // Rejects control characters, since the text goes into logs, tables and pages.
+  std::string Text(size_t max);
+  // The length of a list that follows, `max` at most.
+  size_t Count(size_t max) { return static_cast<size_t>(Number(max)); }
   template <class Enum>
-  Enum Name(Enum last) {
+  Enum EnumValue(Enum last) {
     return static_cast<Enum>(Number(static_cast<uint64_t>(last)));
   }
   void Fail() { ok_ = false; }
   bool ok() const { return ok_; }
-  bool Done() const;  // ok, and nothing is left over
+  bool Done() const;  // ok, and no values are left
 
  private:
   struct Body;
   std::unique_ptr<Body> body_;
-  size_t at_ = 0;
+  size_t next_ = 0;
   bool ok_ = false;
 };
 
--- a/src/owner/errors.cpp
+++ b/src/owner/errors.cpp
@@ -6,13 +6,13 @@
 namespace burlfall::owner {
 namespace {
 
-struct Line {
+struct Entry {
   Error error;
   const char* name;
   const char* what_to_do;
 };
 
-constexpr std::array<Line, kErrors> kTable = {{
+constexpr std::array<Entry, kErrorCount> kTable = {{
     {Error::kNone, "none", "Nothing is to be done."},
     {Error::kNoMajority, "no_majority",
      "Bring back the voters that are named as missing, or the paths to them; emergency kinds go on locally."},
@@ -65,14 +65,14 @@
 }
 static_assert(InOrder(), "a line for each error, in their order");
 
-const Line& LineOf(Error error) {
+const Entry& EntryOf(Error error) {
   const auto at = static_cast<size_t>(error);
   return kTable[at < kTable.size() ? at : 0];
 }
 
 }  // namespace
 
-const char* NameOf(Error error) { return LineOf(error).name; }
-const char* WhatToDo(Error error) { return LineOf(error).what_to_do; }
+const char* NameOf(Error error) { return EntryOf(error).name; }
+const char* WhatToDo(Error error) { return EntryOf(error).what_to_do; }
 
 }  // namespace burlfall::owner
--- a/src/owner/executor.cpp
+++ b/src/owner/executor.cpp
@@ -8,72 +8,72 @@
 namespace burlfall::owner {
 namespace {
 
-constexpr std::string_view kWhat = "bfox";
-constexpr size_t kMostInFile = 4096;
+constexpr std::string_view kFileTag = "bfox";
+constexpr size_t kMaxTasksInFile = 4096;
 
 }  // namespace
 
-Executor::Executor(ExecutorRules rules, std::optional<std::string_view> kept) : rules_(rules) {
-  if (!rules_.disk || !kept) return;
-  Reader from(*kept, kWhat, 1 + 2 * kMostInFile);
-  const size_t works = from.Count(kMostInFile);
-  for (size_t i = 0; i < works && from.ok(); ++i) {
-    const std::string work = from.Text(kLongestName);
-    highest_[work] = from.Number();
+Executor::Executor(ExecutorRules rules, std::optional<std::string_view> file) : rules_(rules) {
+  if (!rules_.disk || !file) return;
+  Reader from(*file, kFileTag, 1 + 2 * kMaxTasksInFile);
+  const size_t count = from.Count(kMaxTasksInFile);
+  for (size_t i = 0; i < count && from.ok(); ++i) {
+    const std::string task = from.Text(kMaxNameSize);
+    highest_epochs_[task] = from.Number();
   }
   if (!from.Done()) {
     damaged_ = true;
-    highest_.clear();
+    highest_epochs_.clear();
     return;
   }
-  written_ = highest_;
+  written_epochs_ = highest_epochs_;
 }
 
-Executor::Verdict Executor::Ask(const std::string& work, uint64_t epoch) {
-  if (work.empty() || work.size() > kLongestName || epoch == 0) return {Error::kMalformed, 0};
-  const auto at = highest_.find(work);
-  if (at == highest_.end()) {
-    return {highest_.size() >= rules_.most_works ? Error::kTooMany : Error::kNotTold, 0};
+Executor::Verdict Executor::Check(const std::string& task, uint64_t epoch) {
+  if (task.empty() || task.size() > kMaxNameSize || epoch == 0) return {Error::kMalformed, 0};
+  const auto found = highest_epochs_.find(task);
+  if (found == highest_epochs_.end()) {
+    return {highest_epochs_.size() >= rules_.max_tasks ? Error::kTooMany : Error::kNotTold, 0};
   }
-  if (epoch < at->second) return {Error::kFenced, at->second};
-  // From here on lower ones are refused, also while this one is still on its way to the disk.
-  at->second = epoch;
+  if (epoch < found->second) return {Error::kFenced, found->second};
+  // From here on lower epochs are refused, even while this one is still being written to disk.
+  found->second = epoch;
   if (rules_.disk) {
-    const auto written = written_.find(work);
-    if (written == written_.end() || written->second < epoch) {
-      return {failed_ ? Error::kDiskLost : Error::kNotWritten, epoch};
+    const auto written = written_epochs_.find(task);
+    if (written == written_epochs_.end() || written->second < epoch) {
+      return {last_write_failed_ ? Error::kDiskLost : Error::kNotWritten, epoch};
     }
   }
   return {Error::kNone, epoch};
 }
 
-void Executor::Told(const std::string& work, uint64_t epoch) {
-  if (work.empty() || work.size() > kLongestName) return;
-  if (!highest_.contains(work) && highest_.size() >= rules_.most_works) return;
-  uint64_t& highest = highest_[work];
-  highest = std::max(highest, epoch);
+void Executor::SetCurrentEpoch(const std::string& task, uint64_t epoch) {
+  if (task.empty() || task.size() > kMaxNameSize) return;
+  if (!highest_epochs_.contains(task) && highest_epochs_.size() >= rules_.max_tasks) return;
+  uint64_t& highest_epochs = highest_epochs_[task];
+  highest_epochs = std::max(highest_epochs, epoch);
 }
 
-std::optional<Executor::Write> Executor::Pending() {
-  if (!rules_.disk || under_way_ || highest_ == written_) return std::nullopt;
+std::optional<Executor::Write> Executor::NextWrite() {
+  if (!rules_.disk || write_in_flight_ || highest_epochs_ == written_epochs_) return std::nullopt;
   Writer to;
-  to.Number(highest_.size());
-  for (const auto& [work, epoch] : highest_) to.Text(work).Number(epoch);
-  writing_ = highest_;
-  under_way_ = true;
-  return Write{++number_, to.Finish(kWhat)};
+  to.Number(highest_epochs_.size());
+  for (const auto& [task, epoch] : highest_epochs_) to.Text(task).Number(epoch);
+  epochs_in_flight_ = highest_epochs_;
+  write_in_flight_ = true;
+  return Write{++write_number_, to.Finish(kFileTag)};
 }
 
-void Executor::Written(uint64_t number, bool ok) {
-  if (!under_way_ || number != number_) return;
-  under_way_ = false;
-  failed_ = !ok;
-  if (ok) written_ = writing_;
+void Executor::OnWritten(uint64_t number, bool ok) {
+  if (!write_in_flight_ || number != write_number_) return;
+  write_in_flight_ = false;
+  last_write_failed_ = !ok;
+  if (ok) written_epochs_ = epochs_in_flight_;
 }
 
-uint64_t Executor::HighestOf(const std::string& work) const {
-  const auto at = highest_.find(work);
-  return at == highest_.end() ? 0 : at->second;
+uint64_t Executor::HighestEpochOf(const std::string& task) const {
+  const auto found = highest_epochs_.find(task);
+  return found == highest_epochs_.end() ? 0 : found->second;
 }
 
 }  // namespace burlfall::owner
--- a/src/owner/executor.h
+++ b/src/owner/executor.h
@@ -1,12 +1,10 @@
-// Whoever is acted upon: it obeys no epoch that is lower than one that it has obeyed for the same work,
-// across its restarts, whatever the owner believes.
+// Fencing at the process that carries out an action: it accepts no epoch lower than one that it has accepted
+// for the same task, even across restarts and whatever the owner believes.
 //
-// - With a disk, an epoch that is new to it stands on the disk, flushed, before the first act under it is
-// obeyed.
-// - Without one, or with one that can't be read, a restart obeys nobody before the council told it the
-// epochs:
-//   from a read that claims to be current and began after the restart. All that it can have obeyed is not
-//   above what that read says.
+// - With a disk, a new epoch is written and flushed before the first action under it is accepted.
+// - Without a disk, or if its file can't be read, nothing is accepted after a restart until the council has
+//   given the current epochs, by a linearizable read that began after the restart. No epoch that was accepted
+//   before the restart is above what that read returns.
 #ifndef BURLFALL_OWNER_EXECUTOR_H_
 #define BURLFALL_OWNER_EXECUTOR_H_
 
@@ -22,55 +20,58 @@
 namespace burlfall::owner {
 
 struct ExecutorRules {
-  bool disk = false;  // one is configured
-  size_t most_works = 64;
+  bool disk = false;  // a disk is configured
+  size_t max_tasks = 64;
 };
 
+// Accepts or refuses actions by the epoch that they carry.
 class Executor {
  public:
-  // `kept`: the file's bytes. Empty: none there. A disk with no file, or with one that can't be read, is no
-  // disk until the council has told: see damaged().
-  explicit Executor(ExecutorRules rules, std::optional<std::string_view> kept = std::nullopt);
+  // `file`: the bytes of the file, or empty if there is none. If the file is missing or can't be read, the
+  // executor works as without a disk until the council has given the epochs; see damaged().
+  explicit Executor(ExecutorRules rules, std::optional<std::string_view> file = std::nullopt);
 
-  // Before each act. kNone: obeyed. kNotTold: ask the council for this work's epoch, then Told(), then ask
-  // again. kNotWritten: Pending() has bytes to be written; ask again after Written(). kDiskLost: the last
-  // write failed. kFenced: `highest` is higher. kTooMany: of works.
+  // Call before each action. kNone: accepted. kNotTold: ask the council for the epoch of this task, call
+  // SetCurrentEpoch(), then check again. kNotWritten: write the bytes of NextWrite() and check again after
+  // OnWritten(). kDiskLost: the last write failed. kFenced: `highest_epoch` is higher. kTooMany: too many
+  // tasks.
   struct Verdict {
     Error error = Error::kFenced;
-    uint64_t highest = 0;
+    uint64_t highest_epoch = 0;
     bool ok() const { return error == Error::kNone; }
   };
-  Verdict Ask(const std::string& work, uint64_t epoch);
+  Verdict Check(const std::string& task, uint64_t epoch);
 
-  // From a read that claims to be current and began after this object was made. 0: the work never had an
+  // `epoch` is from a linearizable read that began after this object was made. 0: the task never had an
   // owner.
-  void Told(const std::string& work, uint64_t epoch);
+  void SetCurrentEpoch(const std::string& task, uint64_t epoch);
 
-  // The whole file, to be written and flushed as one; `number` comes back with Written(). Empty: nothing to
-  // write, or one is under way already.
+  // The whole file, to be written and flushed at once; pass `number` to OnWritten(). Empty: nothing to write,
+  // or a write is in flight.
   struct Write {
     uint64_t number = 0;
     std::string bytes;
   };
-  std::optional<Write> Pending();
-  // `ok`: it stands flushed. Otherwise epochs that are not on disk stay refused, and it is tried again.
-  void Written(uint64_t number, bool ok);
+  std::optional<Write> NextWrite();
+  // `ok`: the file is flushed. Otherwise epochs that are not on disk stay refused, and the write is tried
+  // again.
+  void OnWritten(uint64_t number, bool ok);
 
-  bool damaged() const { return damaged_; }  // the file was there and can't be read
-  uint64_t HighestOf(const std::string& work) const;
-  const std::map<std::string, uint64_t>& highest() const { return highest_; }
+  bool damaged() const { return damaged_; }  // the file exists and can't be read
+  uint64_t HighestEpochOf(const std::string& task) const;
+  const std::map<std::string, uint64_t>& highest_epochs() const { return highest_epochs_; }
 
  private:
   const ExecutorRules rules_;
   bool damaged_ = false;
-  bool failed_ = false;
-  // By the council or by the disk. A work that the disk doesn't name may have been obeyed before the file was
-  // lost, so the council is asked for it.
-  std::map<std::string, uint64_t> highest_;  // refused below
-  std::map<std::string, uint64_t> written_;  // obeyed up to, where there is a disk
-  std::map<std::string, uint64_t> writing_;
-  uint64_t number_ = 0;
-  bool under_way_ = false;
+  bool last_write_failed_ = false;
+  // From the council or from disk. A task that the file doesn't name may have been accepted before the file
+  // was lost, so the council is asked for its epoch.
+  std::map<std::string, uint64_t> highest_epochs_;  // lower epochs are refused
+  std::map<std::string, uint64_t> written_epochs_;  // on disk; with a disk, higher epochs are not accepted
+  std::map<std::string, uint64_t> epochs_in_flight_;
+  uint64_t write_number_ = 0;
+  bool write_in_flight_ = false;
 };
 
 }  // namespace burlfall::owner
--- a/src/owner/holder.cpp
+++ b/src/owner/holder.cpp
@@ -5,133 +5,133 @@
 namespace burlfall::owner {
 namespace {
 
-constexpr size_t kMostAsked = 32;
-constexpr int kGiveUpTries = 20;  // then the lease ends it
+constexpr size_t kMaxRememberedRequests = 32;
+constexpr int kMaxReleaseTries = 20;  // after that the lease expires
 
 }  // namespace
 
-Holder::Holder(Who self, std::string work, HolderRules rules, uint64_t first_request)
-    : self_(std::move(self)), work_(std::move(work)), rules_(rules), next_request_(first_request) {}
+LeaseHolder::LeaseHolder(ProcessId self, std::string task, HolderRules rules, uint64_t first_request)
+    : self_(std::move(self)), task_(std::move(task)), rules_(rules), next_request_(first_request) {}
 
-void Holder::Want() {
+void LeaseHolder::Acquire() {
   wants_ = true;
   next_at_ = 0;
 }
 
-void Holder::GiveUp() {
+void LeaseHolder::Release() {
   wants_ = false;
   if (epoch_ != 0) {
-    give_up_ = epoch_;
-    give_up_tries_ = 0;
-    Lose(Error::kNotOwner);
+    release_epoch_ = epoch_;
+    release_tries_ = 0;
+    LoseOwnership(Error::kNotOwner);
   } else {
-    leave_line_ = true;
+    leave_queue_ = true;
   }
   next_at_ = 0;
 }
 
-void Holder::Lose(Error why) {
-  over_ = std::max(over_, epoch_);
+void LeaseHolder::LoseOwnership(Error why) {
+  last_lost_epoch_ = std::max(last_lost_epoch_, epoch_);
   epoch_ = 0;
-  until_ = 0;
+  lease_until_ = 0;
   stopping_ = false;
-  asked_in_vain_ = false;
-  asked_.clear();
-  lost_ = why;
+  unanswered_ = false;
+  request_times_.clear();
+  not_owner_reason_ = why;
 }
 
-std::vector<Command> Holder::Tick(Micros now) {
+std::vector<Command> LeaseHolder::Tick(Micros now) {
   std::vector<Command> commands;
   if (now < next_at_) return commands;
   Command command;
-  command.work = work_;
+  command.task = task_;
   command.who = self_;
   next_at_ = kNever;
-  if (give_up_ != 0 || leave_line_) {
-    command.kind = Command::Kind::kGiveUp;
-    command.epoch = give_up_;
+  if (release_epoch_ != 0 || leave_queue_) {
+    command.kind = Command::Kind::kRelease;
+    command.epoch = release_epoch_;
     commands.push_back(command);
-    leave_line_ = false;
-    if (++give_up_tries_ >= kGiveUpTries) give_up_ = 0;
-    next_at_ = now + rules_.ask_again;
+    leave_queue_ = false;
+    if (++release_tries_ >= kMaxReleaseTries) release_epoch_ = 0;
+    next_at_ = now + rules_.retry_interval;
   }
   if (!wants_ || stopping_) return commands;
   command.request = next_request_++;
-  command.kind = epoch_ != 0 ? Command::Kind::kRenew : Command::Kind::kWant;
+  command.kind = epoch_ != 0 ? Command::Kind::kRenew : Command::Kind::kAcquire;
   command.epoch = epoch_;
-  asked_[command.request] = now;
-  while (asked_.size() > kMostAsked) asked_.erase(asked_.begin());
-  asked_in_vain_ = true;
+  request_times_[command.request] = now;
+  while (request_times_.size() > kMaxRememberedRequests) request_times_.erase(request_times_.begin());
+  unanswered_ = true;
   commands.push_back(command);
-  next_at_ = now + rules_.ask_again;
+  next_at_ = now + rules_.retry_interval;
   return commands;
 }
 
-void Holder::Heard(Micros now, const Effect& effect) {
-  if (effect.work != work_ || effect.who != self_) return;
-  const auto asked = asked_.find(effect.request);
-  const bool known = asked != asked_.end();
-  // What answers a question that is not remembered gives no time: it has to be renewed first.
-  const Micros until = known ? asked->second + effect.lease - rules_.margin : 0;
+void LeaseHolder::OnEffect(Micros now, const Effect& effect) {
+  if (effect.task != task_ || effect.who != self_) return;
+  const auto sent = request_times_.find(effect.request);
+  const bool known = sent != request_times_.end();
+  // An effect that answers no remembered request gives no lease time: the lease has to be renewed first.
+  const Micros until = known ? sent->second + effect.lease - rules_.margin : 0;
   switch (effect.what) {
     case Effect::What::kGranted:
     case Effect::What::kRenewed:
-      if (effect.epoch <= over_ || effect.epoch < epoch_) return;
+      if (effect.epoch <= last_lost_epoch_ || effect.epoch < epoch_) return;
       if (!wants_) {
-        if (effect.epoch == give_up_) return;  // it is being told already
-        give_up_ = effect.epoch;
-        give_up_tries_ = 0;
+        if (effect.epoch == release_epoch_) return;  // the release is already being sent
+        release_epoch_ = effect.epoch;
+        release_tries_ = 0;
         next_at_ = now;
         return;
       }
       if (effect.epoch > epoch_) {
         epoch_ = effect.epoch;
-        until_ = 0;
+        lease_until_ = 0;
         stopping_ = false;
       }
-      until_ = std::max(until_, until);
-      if (known) asked_in_vain_ = false;
-      next_at_ = std::max(now, known ? asked->second + static_cast<Micros>(static_cast<double>(effect.lease) *
-                                                                           rules_.renew_at)
+      lease_until_ = std::max(lease_until_, until);
+      if (known) unanswered_ = false;
+      next_at_ = std::max(now, known ? sent->second + static_cast<Micros>(static_cast<double>(effect.lease) *
+                                                                          rules_.renew_after_share)
                                      : now);
       return;
     case Effect::What::kRefused:
       if (!known) return;
-      asked_in_vain_ = false;
+      unanswered_ = false;
       if (epoch_ == 0) {
-        lost_ = effect.error;
+        not_owner_reason_ = effect.error;
       } else if (effect.error == Error::kHandedOver || effect.error == Error::kTakenAway) {
         stopping_ = true;
       } else if (effect.error != Error::kTooMany) {
-        Lose(effect.error);
+        LoseOwnership(effect.error);
         next_at_ = now;
       }
       return;
     case Effect::What::kQueued:
-      if (known) asked_in_vain_ = false;
+      if (known) unanswered_ = false;
       return;
     case Effect::What::kStop:
       if (effect.epoch == epoch_ && epoch_ != 0) stopping_ = true;
       return;
-    case Effect::What::kOver:
-      if (effect.epoch == give_up_) give_up_ = 0;
+    case Effect::What::kEnded:
+      if (effect.epoch == release_epoch_) release_epoch_ = 0;
       if (effect.epoch == epoch_ && epoch_ != 0) {
-        Lose(effect.error == Error::kNone ? Error::kNotOwner : effect.error);
+        LoseOwnership(effect.error == Error::kNone ? Error::kNotOwner : effect.error);
         next_at_ = now;
       }
       return;
   }
 }
 
-Permit Holder::MayAct(Micros now) {
-  if (epoch_ == 0) return {lost_, 0, 0};
-  if (now >= until_) return {asked_in_vain_ ? Error::kNoCouncil : Error::kLeaseOver, epoch_, 0};
-  return {Error::kNone, epoch_, until_ - now};
+Permit LeaseHolder::MayAct(Micros now) {
+  if (epoch_ == 0) return {not_owner_reason_, 0, 0};
+  if (now >= lease_until_) return {unanswered_ ? Error::kNoCouncil : Error::kLeaseOver, epoch_, 0};
+  return {Error::kNone, epoch_, lease_until_ - now};
 }
 
-void Holder::Fenced(uint64_t epoch) {
+void LeaseHolder::OnFenced(uint64_t epoch) {
   if (epoch != epoch_ || epoch_ == 0) return;
-  Lose(Error::kFenced);
+  LoseOwnership(Error::kFenced);
   next_at_ = 0;
 }
 
--- a/src/owner/holder.h
+++ b/src/owner/holder.h
@@ -1,7 +1,7 @@
-// The owner's own side of a work: when it asks, when it renews, and whether it may act now. It counts its
-// lease on its own monotonic clock from before it asked, so that no delay of the answer makes it longer. The
-// clock must count while the machine sleeps, or a machine that slept acts on; the executor's check holds then
-// too.
+// The owner's side of a task lease: when to request it, when to renew it, and whether the owner may act now.
+// The lease is counted on the own monotonic clock from before the request was sent, so that a delayed answer
+// can't extend it. The clock must also count while the machine is suspended; otherwise a machine that was
+// suspended acts on, and only the executor's check stops it.
 #ifndef BURLFALL_OWNER_HOLDER_H_
 #define BURLFALL_OWNER_HOLDER_H_
 
@@ -18,64 +18,67 @@
 namespace burlfall::owner {
 
 struct HolderRules {
-  double renew_at = 0.34;        // share of the lease after which it renews
-  Micros ask_again = 500 * kMs;  // without an answer, and when in line
-  Micros margin = 0;             // the lease ends so much earlier here: the time that an act takes
+  double renew_after_share = 0.34;    // share of the lease after which it renews
+  Micros retry_interval = 500 * kMs;  // without an answer, and while queued
+  Micros margin = 0;  // the lease ends this much earlier here, to allow for the duration of an action
 };
 
-// Whether an act may be sent now, and under which epoch.
+// Whether an action may be sent now, and under which epoch.
 struct Permit {
   Error error = Error::kNotOwner;  // kNone: it may
-  uint64_t epoch = 0;              // goes with the act
-  Micros left = 0;                 // of the lease, on the own clock
+  uint64_t epoch = 0;              // sent with the action
+  Micros remaining = 0;            // of the lease, on the own clock
   bool ok() const { return error == Error::kNone; }
 };
 
-class Holder {
+// Acquires, renews and releases the lease of one task.
+class LeaseHolder {
  public:
-  // `first_request`: above all that this life has used for this work; 1 in a new life.
-  Holder(Who self, std::string work, HolderRules rules, uint64_t first_request = 1);
+  // `first_request`: above all request numbers that this incarnation used for this task; 1 in a new
+  // incarnation.
+  LeaseHolder(ProcessId self, std::string task, HolderRules rules, uint64_t first_request = 1);
 
-  void Want();  // from now on it asks, in Tick()
-  // It has stopped; Tick() tells the council. Acts are refused from now on.
-  void GiveUp();
-  // Commands that are to go to the leader now. What is lost is asked again by itself.
+  void Acquire();  // from now on Tick() requests the task
+  // The owner has stopped: Tick() notifies the council, and MayAct() refuses from now on.
+  void Release();
+  // Commands to send to the leader now. Lost commands are repeated by later calls.
   std::vector<Command> Tick(Micros now);
-  Micros next_at() const { return next_at_; }  // Tick() has something to do then
+  Micros next_at() const { return next_at_; }  // when Tick() next has something to do
 
-  // What came back, or what the own replica applied: only effects for this life and work are taken.
-  void Heard(Micros now, const Effect& effect);
-  // Before each act, and again after anything that takes long. Too late: kLeaseOver (kNoCouncil where the
-  // council was asked and has not answered). It may act again, under the same epoch, once the council has
-  // renewed it.
+  // Handles an answer or an effect that the own replica applied. Only effects for this incarnation and task
+  // count.
+  void OnEffect(Micros now, const Effect& effect);
+  // Call before each action, and again after anything that takes long. Returns kLeaseOver after expiry, or
+  // kNoCouncil if a request is unanswered. It may act again, under the same epoch, once the council has
+  // renewed the lease.
   Permit MayAct(Micros now);
-  // An executor refused this epoch: somebody else owns it.
-  void Fenced(uint64_t epoch);
+  // An executor refused this epoch, so another process owns the task.
+  void OnFenced(uint64_t epoch);
 
   bool owns() const { return epoch_ != 0; }    // as far as known; MayAct() decides
-  bool stopping() const { return stopping_; }  // to be handed over or taken away: finish, then GiveUp()
+  bool stopping() const { return stopping_; }  // handed over or revoked: finish, then Release()
   uint64_t epoch() const { return epoch_; }
-  Micros until() const { return until_; }
+  Micros lease_until() const { return lease_until_; }
 
  private:
-  void Lose(Error why);
+  void LoseOwnership(Error why);
 
-  const Who self_;
-  const std::string work_;
+  const ProcessId self_;
+  const std::string task_;
   const HolderRules rules_;
   bool wants_ = false;
   bool stopping_ = false;
   uint64_t epoch_ = 0;
-  uint64_t over_ = 0;     // no epoch up to this one is its own any more
-  uint64_t give_up_ = 0;  // the epoch that the council is to be told of
-  int give_up_tries_ = 0;
-  bool leave_line_ = false;
-  Micros until_ = 0;  // on the own clock
+  uint64_t last_lost_epoch_ = 0;  // epochs up to this one are no longer its own
+  uint64_t release_epoch_ = 0;    // the epoch of which the council is to be notified
+  int release_tries_ = 0;
+  bool leave_queue_ = false;
+  Micros lease_until_ = 0;  // on the own clock
   Micros next_at_ = 0;
   uint64_t next_request_;
-  bool asked_in_vain_ = false;        // since the last answer
-  std::map<uint64_t, Micros> asked_;  // request -> when, before it left; the last few
-  Error lost_ = Error::kNotOwner;     // why it does not own it
+  bool unanswered_ = false;                    // since the last answer
+  std::map<uint64_t, Micros> request_times_;   // request -> time before it was sent; the last few
+  Error not_owner_reason_ = Error::kNotOwner;  // why it does not own the task
 };
 
 }  // namespace burlfall::owner
--- a/src/owner/owner.cpp
+++ b/src/owner/owner.cpp
@@ -7,65 +7,65 @@
 namespace burlfall::owner {
 namespace {
 
-constexpr std::string_view kCommandBytes = "bfoc";
-constexpr std::string_view kStateBytes = "bfos";
-constexpr Micros kLongestLease = 3600 * kSecond;
-constexpr uint64_t kMostWorks = 1024;
-constexpr uint64_t kMostWaiting = 256;
-constexpr size_t kMostValues = 1 << 20;
-constexpr uint64_t kHighestFloor = uint64_t{1} << 62;  // leaves room above
+constexpr std::string_view kCommandTag = "bfoc";
+constexpr std::string_view kStateTag = "bfos";
+constexpr Micros kMaxLease = 3600 * kSecond;
+constexpr uint64_t kMaxTasks = 1024;
+constexpr uint64_t kMaxWaiters = 256;
+constexpr size_t kMaxValues = 1 << 20;
+constexpr uint64_t kMaxFloor = uint64_t{1} << 62;  // leaves room for epochs above it
 
-void Put(Writer& to, const Who& who) { to.Text(who.name).Number(who.life); }
-Who TakeWho(Reader& from) {
-  Who who;
-  who.name = from.Text(kLongestName);
-  who.life = from.Number();
+void Put(Writer& to, const ProcessId& who) { to.Text(who.name).Number(who.incarnation); }
+ProcessId ReadProcessId(Reader& from) {
+  ProcessId who;
+  who.name = from.Text(kMaxNameSize);
+  who.incarnation = from.Number();
   return who;
 }
 
-void Put(Writer& to, const std::optional<Who>& who) {
+void Put(Writer& to, const std::optional<ProcessId>& who) {
   to.Flag(who.has_value());
-  Put(to, who.value_or(Who{}));
+  Put(to, who.value_or(ProcessId{}));
 }
-std::optional<Who> TakeWhoOrNone(Reader& from) {
+std::optional<ProcessId> ReadOptionalProcessId(Reader& from) {
   const bool some = from.Flag();
-  Who who = TakeWho(from);
-  return some ? std::optional<Who>(std::move(who)) : std::nullopt;
+  ProcessId who = ReadProcessId(from);
+  return some ? std::optional<ProcessId>(std::move(who)) : std::nullopt;
 }
 
 void Put(Writer& to, const Rules& rules) {
-  to.Span(rules.lease).Number(rules.most_works).Number(rules.most_waiting);
+  to.Duration(rules.lease).Number(rules.max_tasks).Number(rules.max_waiters);
 }
-Rules TakeRules(Reader& from) {
+Rules ReadRules(Reader& from) {
   Rules rules;
-  rules.lease = from.Span();
-  rules.most_works = from.Number(kMostWorks);
-  rules.most_waiting = from.Number(kMostWaiting);
+  rules.lease = from.Duration();
+  rules.max_tasks = from.Number(kMaxTasks);
+  rules.max_waiters = from.Number(kMaxWaiters);
   return rules;
 }
 
-bool IsName(const std::string& name) { return !name.empty() && name.size() <= kLongestName; }
+bool IsName(const std::string& name) { return !name.empty() && name.size() <= kMaxNameSize; }
 
-bool CanBe(const Command& command) {
-  if (command.reason.size() > kLongestReason || command.by.size() > kLongestName) return false;
-  const bool work = IsName(command.work);
+bool IsValid(const Command& command) {
+  if (command.reason.size() > kMaxReasonSize || command.by.size() > kMaxNameSize) return false;
+  const bool task = IsName(command.task);
   switch (command.kind) {
-    case Command::Kind::kWant:
+    case Command::Kind::kAcquire:
     case Command::Kind::kRenew:
-    case Command::Kind::kGiveUp:
-      return work && IsName(command.who.name);
+    case Command::Kind::kRelease:
+      return task && IsName(command.who.name);
     case Command::Kind::kHandOver:
-      return work && IsName(command.to.name);
-    case Command::Kind::kTakeAway:
-      return work && !command.by.empty() && !command.reason.empty();
-    case Command::Kind::kRunOut:
-      return work;
+      return task && IsName(command.to.name);
+    case Command::Kind::kRevoke:
+      return task && !command.by.empty() && !command.reason.empty();
+    case Command::Kind::kExpire:
+      return task;
     case Command::Kind::kFloor:
-      return command.epoch <= kHighestFloor && !command.by.empty();
+      return command.epoch <= kMaxFloor && !command.by.empty();
     case Command::Kind::kRules:
-      return command.rules.lease > 0 && command.rules.lease <= kLongestLease &&
-             command.rules.most_works >= 1 && command.rules.most_works <= kMostWorks &&
-             command.rules.most_waiting >= 1 && command.rules.most_waiting <= kMostWaiting;
+      return command.rules.lease > 0 && command.rules.lease <= kMaxLease && command.rules.max_tasks >= 1 &&
+             command.rules.max_tasks <= kMaxTasks && command.rules.max_waiters >= 1 &&
+             command.rules.max_waiters <= kMaxWaiters;
   }
   return false;
 }
@@ -73,7 +73,7 @@
 Effect Answer(Effect::What what, const Command& command) {
   Effect effect;
   effect.what = what;
-  effect.work = command.work;
+  effect.task = command.task;
   effect.who = command.who;
   effect.request = command.request;
   effect.by = command.by;
@@ -90,84 +90,84 @@
 
 std::string Write(const Command& command) {
   Writer to;
-  to.Name(command.kind).Text(command.work);
+  to.EnumValue(command.kind).Text(command.task);
   Put(to, command.who);
-  to.Number(command.epoch).Number(command.request).Number(command.renewed);
+  to.Number(command.epoch).Number(command.request).Number(command.renewed_index);
   Put(to, command.to);
   to.Text(command.by).Text(command.reason);
   Put(to, command.rules);
-  return to.Finish(kCommandBytes);
+  return to.Finish(kCommandTag);
 }
 
 std::optional<Command> ReadCommand(std::string_view bytes) {
-  Reader from(bytes, kCommandBytes, 32);
+  Reader from(bytes, kCommandTag, 32);
   Command command;
-  command.kind = from.Name(Command::Kind::kRules);
-  command.work = from.Text(kLongestName);
-  command.who = TakeWho(from);
+  command.kind = from.EnumValue(Command::Kind::kRules);
+  command.task = from.Text(kMaxNameSize);
+  command.who = ReadProcessId(from);
   command.epoch = from.Number();
   command.request = from.Number();
-  command.renewed = from.Number();
-  command.to = TakeWho(from);
-  command.by = from.Text(kLongestName);
-  command.reason = from.Text(kLongestReason);
-  command.rules = TakeRules(from);
+  command.renewed_index = from.Number();
+  command.to = ReadProcessId(from);
+  command.by = from.Text(kMaxNameSize);
+  command.reason = from.Text(kMaxReasonSize);
+  command.rules = ReadRules(from);
   return from.Done() ? std::optional<Command>(std::move(command)) : std::nullopt;
 }
 
-void State::Grant(uint64_t index, Micros at, const std::string& name, const Who& who, uint64_t request,
+void State::Grant(uint64_t index, Micros at, const std::string& name, const ProcessId& who, uint64_t request,
                   Effects& effects) {
-  Work& work = works_[name];
+  OwnedTask& task = tasks_[name];
   last_epoch_ = std::max({index, floor_ + 1, last_epoch_ + 1});
-  work.owner = who;
-  work.epoch = last_epoch_;
-  work.renewed = index;
-  work.since = at;
-  work.lease = rules_.lease;
-  work.ending = Error::kNone;
-  work.heir.reset();
-  if (work.barred != work.owner) work.barred.reset();
-  std::erase_if(work.line, [&](const Waiting& waiting) { return waiting.who.name == who.name; });
+  task.owner = who;
+  task.epoch = last_epoch_;
+  task.renewed_index = index;
+  task.since = at;
+  task.lease = rules_.lease;
+  task.stop_reason = Error::kNone;
+  task.successor.reset();
+  if (task.barred != task.owner) task.barred.reset();
+  std::erase_if(task.queue, [&](const Waiter& waiter) { return waiter.who.name == who.name; });
   Effect effect;
   effect.what = Effect::What::kGranted;
-  effect.work = name;
+  effect.task = name;
   effect.who = who;
-  effect.epoch = work.epoch;
+  effect.epoch = task.epoch;
   effect.request = request;
-  effect.lease = work.lease;
-  effect.renewed = index;
+  effect.lease = task.lease;
+  effect.renewed_index = index;
   effects.push_back(std::move(effect));
 }
 
-void State::End(uint64_t index, Micros at, const std::string& name, Error why, Effects& effects) {
-  Work& work = works_[name];
+void State::EndOwnership(uint64_t index, Micros at, const std::string& name, Error why, Effects& effects) {
+  OwnedTask& task = tasks_[name];
   Effect effect;
-  effect.what = Effect::What::kOver;
-  effect.work = name;
-  effect.who = *work.owner;
-  effect.epoch = work.epoch;
+  effect.what = Effect::What::kEnded;
+  effect.task = name;
+  effect.who = *task.owner;
+  effect.epoch = task.epoch;
   effect.error = why;
   effects.push_back(std::move(effect));
-  work.owner.reset();
-  work.ending = Error::kNone;
-  if (work.heir) {
-    const Who heir = *work.heir;
+  task.owner.reset();
+  task.stop_reason = Error::kNone;
+  if (task.successor) {
+    const ProcessId successor = *task.successor;
     uint64_t request = 0;
-    for (const Waiting& waiting : work.line) {
-      if (waiting.who == heir) request = waiting.request;
+    for (const Waiter& waiter : task.queue) {
+      if (waiter.who == successor) request = waiter.request;
     }
-    Grant(index, at, name, heir, request, effects);
+    Grant(index, at, name, successor, request, effects);
     return;
   }
-  for (const Waiting& waiting : std::deque<Waiting>(work.line)) {
-    if (work.barred == waiting.who) continue;
-    Grant(index, at, name, waiting.who, waiting.request, effects);
+  for (const Waiter& waiter : std::deque<Waiter>(task.queue)) {
+    if (task.barred == waiter.who) continue;
+    Grant(index, at, name, waiter.who, waiter.request, effects);
     return;
   }
 }
 
 Effects State::Apply(uint64_t index, Micros at, const Command& command) {
-  at_ = std::max(at_, at);
+  council_time_ = std::max(council_time_, at);
   Effects effects;
   const auto refuse = [&](Error error, uint64_t epoch = 0) {
     Effect effect = Answer(Effect::What::kRefused, command);
@@ -175,7 +175,7 @@
     effect.epoch = epoch;
     effects.push_back(std::move(effect));
   };
-  if (!CanBe(command)) {
+  if (!IsValid(command)) {
     refuse(Error::kMalformed);
     return effects;
   }
@@ -185,134 +185,135 @@
   }
   if (command.kind == Command::Kind::kFloor) {
     floor_ = std::max(floor_, command.epoch);
-    for (auto& [name, work] : works_) {
-      if (!work.owner || work.epoch > floor_) continue;
-      work.ending = Error::kFenced;
+    for (auto& [name, task] : tasks_) {
+      if (!task.owner || task.epoch > floor_) continue;
+      task.stop_reason = Error::kFenced;
       Effect effect = Answer(Effect::What::kStop, command);
-      effect.work = name;
-      effect.who = *work.owner;
-      effect.epoch = work.epoch;
+      effect.task = name;
+      effect.who = *task.owner;
+      effect.epoch = task.epoch;
       effect.error = Error::kFenced;
       effects.push_back(std::move(effect));
     }
     return effects;
   }
-  auto found = works_.find(command.work);
-  if (found == works_.end()) {
-    if (command.kind != Command::Kind::kWant) {
+  auto found = tasks_.find(command.task);
+  if (found == tasks_.end()) {
+    if (command.kind != Command::Kind::kAcquire) {
       refuse(Error::kUnknownWork);
       return effects;
     }
-    if (works_.size() >= rules_.most_works) {
+    if (tasks_.size() >= rules_.max_tasks) {
       refuse(Error::kTooMany);
       return effects;
     }
-    found = works_.try_emplace(command.work).first;
+    found = tasks_.try_emplace(command.task).first;
   }
-  Work& work = found->second;
-  const bool owns = work.owner == command.who && command.epoch == work.epoch;
+  OwnedTask& task = found->second;
+  const bool owns = task.owner == command.who && command.epoch == task.epoch;
   const auto refuse_epoch = [&] {
-    refuse(command.epoch < work.epoch ? Error::kFenced
-           : work.owner               ? Error::kNotOwner
+    refuse(command.epoch < task.epoch ? Error::kFenced
+           : task.owner               ? Error::kNotOwner
                                       : Error::kLeaseOver,
-           work.epoch);
+           task.epoch);
   };
   switch (command.kind) {
-    case Command::Kind::kWant: {
-      if (work.owner == command.who) {
-        // Its answer was lost: the same grant again, as a renewal.
-        if (work.ending != Error::kNone) {
-          refuse(work.ending, work.epoch);
+    case Command::Kind::kAcquire: {
+      if (task.owner == command.who) {
+        // The answer was lost: repeats the same grant, as a renewal.
+        if (task.stop_reason != Error::kNone) {
+          refuse(task.stop_reason, task.epoch);
           break;
         }
-        work.renewed = index;
+        task.renewed_index = index;
         Effect effect = Answer(Effect::What::kGranted, command);
-        effect.epoch = work.epoch;
-        effect.lease = work.lease;
-        effect.renewed = index;
+        effect.epoch = task.epoch;
+        effect.lease = task.lease;
+        effect.renewed_index = index;
         effects.push_back(std::move(effect));
         break;
       }
-      if (work.barred == command.who) {
-        refuse(Error::kTakenAway, work.epoch);
+      if (task.barred == command.who) {
+        refuse(Error::kTakenAway, task.epoch);
         break;
       }
-      if (!work.owner) {
-        Grant(index, at_, command.work, command.who, command.request, effects);
+      if (!task.owner) {
+        Grant(index, council_time_, command.task, command.who, command.request, effects);
         break;
       }
-      const auto mine = std::find_if(work.line.begin(), work.line.end(), [&](const Waiting& waiting) {
-        return waiting.who.name == command.who.name;
+      const auto queued = std::find_if(task.queue.begin(), task.queue.end(), [&](const Waiter& waiter) {
+        return waiter.who.name == command.who.name;
       });
-      if (mine != work.line.end()) {
-        // A word of an earlier life that comes late does not take the place of the later one.
-        if (mine->who.life <= command.who.life) *mine = {command.who, command.request};
-      } else if (work.line.size() >= rules_.most_waiting) {
-        refuse(Error::kTooMany, work.epoch);
+      if (queued != task.queue.end()) {
+        // A late message of an earlier incarnation does not replace the later one.
+        if (queued->who.incarnation <= command.who.incarnation) *queued = {command.who, command.request};
+      } else if (task.queue.size() >= rules_.max_waiters) {
+        refuse(Error::kTooMany, task.epoch);
         break;
       } else {
-        work.line.push_back({command.who, command.request});
+        task.queue.push_back({command.who, command.request});
       }
       Effect effect = Answer(Effect::What::kQueued, command);
-      effect.epoch = work.epoch;
+      effect.epoch = task.epoch;
       effects.push_back(std::move(effect));
       break;
     }
     case Command::Kind::kRenew: {
       if (!owns) {
         refuse_epoch();
-      } else if (work.ending != Error::kNone) {
-        refuse(work.ending, work.epoch);
+      } else if (task.stop_reason != Error::kNone) {
+        refuse(task.stop_reason, task.epoch);
       } else {
-        work.renewed = index;
-        work.lease = rules_.lease;
+        task.renewed_index = index;
+        task.lease = rules_.lease;
         Effect effect = Answer(Effect::What::kRenewed, command);
-        effect.epoch = work.epoch;
-        effect.lease = work.lease;
-        effect.renewed = index;
+        effect.epoch = task.epoch;
+        effect.lease = task.lease;
+        effect.renewed_index = index;
         effects.push_back(std::move(effect));
       }
       break;
     }
-    case Command::Kind::kGiveUp:
+    case Command::Kind::kRelease:
       if (command.epoch == 0) {
-        std::erase_if(work.line, [&](const Waiting& waiting) { return waiting.who == command.who; });
-        if (work.heir == command.who) work.heir.reset();
+        std::erase_if(task.queue, [&](const Waiter& waiter) { return waiter.who == command.who; });
+        if (task.successor == command.who) task.successor.reset();
       } else if (!owns) {
         refuse_epoch();
       } else {
-        End(index, at_, command.work, Error::kNone, effects);
+        EndOwnership(index, council_time_, command.task, Error::kNone, effects);
       }
       break;
     case Command::Kind::kHandOver:
-    case Command::Kind::kTakeAway: {
+    case Command::Kind::kRevoke: {
       const bool hand_over = command.kind == Command::Kind::kHandOver;
-      if (!work.owner || (command.epoch != work.epoch && (hand_over || command.epoch != 0))) {
+      if (!task.owner || (command.epoch != task.epoch && (hand_over || command.epoch != 0))) {
         refuse_epoch();
         break;
       }
-      if (hand_over && command.to == work.owner) {
-        refuse(Error::kMalformed, work.epoch);
+      if (hand_over && command.to == task.owner) {
+        refuse(Error::kMalformed, task.epoch);
         break;
       }
       if (hand_over) {
-        work.heir = command.to;
+        task.successor = command.to;
       } else {
-        work.barred = work.owner;
-        if (work.heir == work.barred) work.heir.reset();
+        task.barred = task.owner;
+        if (task.successor == task.barred) task.successor.reset();
       }
-      work.ending = hand_over ? Error::kHandedOver : Error::kTakenAway;
+      task.stop_reason = hand_over ? Error::kHandedOver : Error::kTakenAway;
       Effect effect = Answer(Effect::What::kStop, command);
-      effect.who = *work.owner;
-      effect.epoch = work.epoch;
-      effect.error = work.ending;
+      effect.who = *task.owner;
+      effect.epoch = task.epoch;
+      effect.error = task.stop_reason;
       effects.push_back(std::move(effect));
       break;
     }
-    case Command::Kind::kRunOut:
-      // A renewal that overtook it in the log has told the owner of a longer lease: then it says nothing.
-      if (work.owner && command.epoch == work.epoch && command.renewed == work.renewed) {
-        End(index, at_, command.work, Error::kLeaseOver, effects);
+    case Command::Kind::kExpire:
+      // If a renewal overtook it in the log, the owner was told of a longer lease, and the expiry has no
+      // effect.
+      if (task.owner && command.epoch == task.epoch && command.renewed_index == task.renewed_index) {
+        EndOwnership(index, council_time_, command.task, Error::kLeaseOver, effects);
       }
       break;
     case Command::Kind::kFloor:
@@ -322,79 +323,83 @@
   return effects;
 }
 
-uint64_t State::EpochOf(const std::string& work) const {
-  const auto found = works_.find(work);
-  return std::max(floor_, found == works_.end() ? 0 : found->second.epoch);
+uint64_t State::EpochOf(const std::string& task) const {
+  const auto found = tasks_.find(task);
+  return std::max(floor_, found == tasks_.end() ? 0 : found->second.epoch);
 }
 
 std::vector<Lease> State::Leases() const {
   std::vector<Lease> leases;
-  for (const auto& [name, work] : works_) {
-    if (work.owner) leases.push_back({name, work.epoch, work.renewed, work.lease});
+  for (const auto& [name, task] : tasks_) {
+    if (task.owner) leases.push_back({name, task.epoch, task.renewed_index, task.lease});
   }
   return leases;
 }
 
-void Count(Lapse& lapse, Micros now, const Effects& effects) {
+void TrackLeases(LeaseExpiry& lapse, Micros now, const Effects& effects) {
   for (const Effect& effect : effects) {
     if (effect.what == Effect::What::kGranted || effect.what == Effect::What::kRenewed) {
-      lapse.Began(now, {effect.work, effect.epoch, effect.renewed, effect.lease});
-    } else if (effect.what == Effect::What::kOver) {
-      lapse.Ended(effect.work);
+      lapse.OnRenewed(now, {effect.task, effect.epoch, effect.renewed_index, effect.lease});
+    } else if (effect.what == Effect::What::kEnded) {
+      lapse.OnEnded(effect.task);
     }
   }
 }
 
-Command RunOutOf(const Lease& lease) {
+Command MakeExpireCommand(const Lease& lease) {
   Command command;
-  command.kind = Command::Kind::kRunOut;
-  command.work = lease.key;
+  command.kind = Command::Kind::kExpire;
+  command.task = lease.key;
   command.epoch = lease.epoch;
-  command.renewed = lease.renewed;
+  command.renewed_index = lease.renewed_index;
   return command;
 }
 
 std::string State::Save() const {
   Writer to;
   Put(to, rules_);
-  to.Number(floor_).Number(last_epoch_).Span(at_).Number(works_.size());
-  for (const auto& [name, work] : works_) {
+  to.Number(floor_).Number(last_epoch_).Duration(council_time_).Number(tasks_.size());
+  for (const auto& [name, task] : tasks_) {
     to.Text(name);
-    Put(to, work.owner);
-    to.Number(work.epoch).Number(work.renewed).Span(work.since).Span(work.lease).Name(work.ending);
-    Put(to, work.heir);
-    Put(to, work.barred);
-    to.Number(work.line.size());
-    for (const Waiting& waiting : work.line) {
-      Put(to, waiting.who);
-      to.Number(waiting.request);
+    Put(to, task.owner);
+    to.Number(task.epoch)
+        .Number(task.renewed_index)
+        .Duration(task.since)
+        .Duration(task.lease)
+        .EnumValue(task.stop_reason);
+    Put(to, task.successor);
+    Put(to, task.barred);
+    to.Number(task.queue.size());
+    for (const Waiter& waiter : task.queue) {
+      Put(to, waiter.who);
+      to.Number(waiter.request);
     }
   }
-  return to.Finish(kStateBytes);
+  return to.Finish(kStateTag);
 }
 
 std::optional<State> State::Load(std::string_view bytes) {
-  Reader from(bytes, kStateBytes, kMostValues);
+  Reader from(bytes, kStateTag, kMaxValues);
   State state;
-  state.rules_ = TakeRules(from);
+  state.rules_ = ReadRules(from);
   state.floor_ = from.Number();
   state.last_epoch_ = from.Number();
-  state.at_ = from.Span();
-  const size_t works = from.Count(kMostWorks);
-  for (size_t i = 0; i < works && from.ok(); ++i) {
-    Work& work = state.works_[from.Text(kLongestName)];
-    work.owner = TakeWhoOrNone(from);
-    work.epoch = from.Number();
-    work.renewed = from.Number();
-    work.since = from.Span();
-    work.lease = from.Span();
-    work.ending = from.Name(Error::kStale);
-    work.heir = TakeWhoOrNone(from);
-    work.barred = TakeWhoOrNone(from);
-    const size_t line = from.Count(kMostWaiting);
-    for (size_t j = 0; j < line && from.ok(); ++j) {
-      Who who = TakeWho(from);
-      work.line.push_back({std::move(who), from.Number()});
+  state.council_time_ = from.Duration();
+  const size_t tasks = from.Count(kMaxTasks);
+  for (size_t i = 0; i < tasks && from.ok(); ++i) {
+    OwnedTask& task = state.tasks_[from.Text(kMaxNameSize)];
+    task.owner = ReadOptionalProcessId(from);
+    task.epoch = from.Number();
+    task.renewed_index = from.Number();
+    task.since = from.Duration();
+    task.lease = from.Duration();
+    task.stop_reason = from.EnumValue(Error::kStale);
+    task.successor = ReadOptionalProcessId(from);
+    task.barred = ReadOptionalProcessId(from);
+    const size_t queue = from.Count(kMaxWaiters);
+    for (size_t j = 0; j < queue && from.ok(); ++j) {
+      ProcessId who = ReadProcessId(from);
+      task.queue.push_back({std::move(who), from.Number()});
     }
   }
   return from.Done() ? std::optional<State>(std::move(state)) : std::nullopt;
--- a/src/owner/owner.h
+++ b/src/owner/owner.h
@@ -1,14 +1,16 @@
-// Who owns a named piece of work: the part of the council's state that the log carries. A function of the
-// entries alone: no clock, no chance, no I/O. `docs/design/council_owner.md` tells why it is so.
+// Ownership of named tasks: the part of the council's state that is replicated by the log. It is a
+// deterministic function of the entries and uses no clock, no randomness and no I/O.
+// `docs/design/council_owner.md` gives the reasons for this design.
 //
-// - A grant has an *epoch*: the fencing token, taken from the index of the entry that made it, above all that
-//   were given before, of any work, and above the floor that an operator sets when a lost council begins
-//   anew.
-// - A grant has a *lease*, which this state does not count. Its holder counts it from before it asked
-//   (`owner/holder.h`), the leader from when it applied the grant (`owner/lapse.h`), and proposes kRunOut.
-//   kRunOut names the last renewal that its proposer knew: one that overtook it in the log makes it void.
-// - Nobody is granted a work before its earlier owner gave it up or its lease ran out by the council's count.
-//   Safety does not rest on that: whoever is acted upon refuses lower epochs (`owner/executor.h`).
+// - A grant has an *epoch*, the fencing token. It derives from the index of the log entry that made the
+//   grant, and is above all earlier epochs of any task and above the floor that an operator sets when a lost
+//   council is rebuilt.
+// - A grant has a *lease*, which this state does not time. The holder counts it from before its request
+//   (`owner/holder.h`), the leader from when it applied the grant (`owner/lease_expiry.h`); the leader then
+//   proposes kExpire, which names the last renewal that it knew. If a renewal overtook it in the log, it has
+//   no effect.
+// - A task is granted to another process only after its owner released it or the lease expired at the leader.
+//   Safety does not depend on that, since executors refuse lower epochs (`owner/executor.h`).
 #ifndef BURLFALL_OWNER_OWNER_H_
 #define BURLFALL_OWNER_OWNER_H_
 
@@ -24,78 +26,81 @@
 
 #include "io/time.h"
 #include "owner/errors.h"
-#include "owner/lapse.h"
+#include "owner/lease_expiry.h"
 
 namespace burlfall::owner {
 
-constexpr size_t kLongestName = 128;    // bytes: of a work, a member, an operator
-constexpr size_t kLongestReason = 512;  // bytes
+constexpr size_t kMaxNameSize = 128;    // bytes; name of a task, a member or an operator
+constexpr size_t kMaxReasonSize = 512;  // bytes
 
-// Works that have an owner from the start.
-constexpr const char* kFreezeWork = "freeze";       // the coordinator: what the fleet sees becomes incidents
-constexpr const char* kEjectionWork = "ejection";   // counts the votes
-constexpr const char* kListCallWork = "list_call";  // asks the list service for all
+// Tasks that have an owner from the start. the coordinator, which turns observations of the fleet into
+// incidents
+constexpr const char* kFreezeTask = "freeze";
+constexpr const char* kEjectionTask = "ejection";   // counts the ejection votes
+constexpr const char* kListCallTask = "list_call";  // fetches the full list from the list service
 
-// A process: a member's name and its life's start number. Another life is another.
-struct Who {
+// Identifies a process: the name of a member and the start number of the process. A restarted process is
+// another.
+struct ProcessId {
   std::string name;
-  uint64_t life = 0;
-  auto operator<=>(const Who&) const = default;
+  uint64_t incarnation = 0;
+  auto operator<=>(const ProcessId&) const = default;
 };
 
-// The same at all replicas: they stand in the log (kRules), proposed by a leader whose settings say
-// otherwise.
+// Equal at all replicas, since they are part of the log (kRules). A leader whose settings differ proposes its
+// own.
 struct Rules {
   Micros lease = 2 * kSecond;
-  uint64_t most_works = 64;
-  uint64_t most_waiting = 16;  // for one work
+  uint64_t max_tasks = 64;
+  uint64_t max_waiters = 16;  // per task
   bool operator==(const Rules&) const = default;
 };
 
 struct Command {
   enum class Kind : uint8_t {
-    kWant,      // work, who, request: to own it; waits in line where it is another's
-    kRenew,     // work, who, epoch, request
-    kGiveUp,    // work, who, epoch: it has stopped. With epoch 0: leaves the line
-    kHandOver,  // work, epoch, to: the owner is to stop; `to` is granted it after it gave up or ran out
-    kTakeAway,  // work, by, reason: likewise, and that life gets it again only after another one had it
-    kRunOut,    // work, epoch, renewed: proposed by the leader
-    kFloor,     // epoch, by: all epochs from now on are above it; each owner is to stop. Beginning anew
+    kAcquire,   // task, who, request: asks for the task; queued if another process owns it
+    kRenew,     // task, who, epoch, request
+    kRelease,   // task, who, epoch: the owner has stopped. With epoch 0: leaves the queue
+    kHandOver,  // task, epoch, to: the owner must stop; `to` gets the task after release or expiry
+    kRevoke,    // task, by, reason: the owner must stop, and gets the task again only after another owner
+    kExpire,    // task, epoch, renewed_index: proposed by the leader
+    kFloor,     // epoch, by: all later epochs are above it, and each owner must stop; for a rebuilt council
     kRules,     // rules
   };
-  Kind kind = Kind::kWant;
-  std::string work;
-  Who who;
+  Kind kind = Kind::kAcquire;
+  std::string task;
+  ProcessId who;
   uint64_t epoch = 0;
-  uint64_t request = 0;  // of the asker; its answers name it
-  uint64_t renewed = 0;  // kRunOut: Work::renewed, as its proposer saw it
-  Who to;
+  uint64_t request = 0;        // chosen by the sender; its answers repeat it
+  uint64_t renewed_index = 0;  // kExpire: OwnedTask::renewed_index as the proposer saw it
+  ProcessId to;
   std::string by;
   std::string reason;
   Rules rules;
 };
-// What is proposed is what ReadCommand() makes of these bytes, at all replicas alike: the proposer reads them
-// back first, and refuses as malformed what it can't read (a text with control characters, one that is too
-// long).
+// The leader proposes what ReadCommand() makes of these bytes, so that all replicas apply the same. It reads
+// them back first and refuses as malformed what it can't read (control characters, a text that is too long).
 std::string Write(const Command& command);
-std::optional<Command> ReadCommand(std::string_view bytes);  // empty: damaged, of another version, too long
+// empty: corrupted, of another version, or too long
+std::optional<Command> ReadCommand(std::string_view bytes);
 
+// A result of Apply(), addressed to `who`. The comment of each kind lists the fields that it sets.
 struct Effect {
   enum class What : uint8_t {
-    kGranted,  // who, epoch, lease, renewed, request: of the kWant that it answers
-    kRenewed,  // likewise
-    kQueued,   // who, request: behind `epoch`'s owner
-    kRefused,  // who, request, error; `epoch` is the present one
-    kStop,     // who, epoch, error: the owner is to stop and give up; renewals are refused
-    kOver,     // who, epoch: given up (error kNone), run out (kLeaseOver)
+    kGranted,  // who, epoch, lease, renewed_index, request: of the kAcquire that it answers
+    kRenewed,  // who, epoch, lease, renewed_index, request
+    kQueued,   // who, request: waits behind the owner with `epoch`
+    kRefused,  // who, request, error; `epoch` is the current one
+    kStop,     // who, epoch, error: the owner must stop and release; renewals are refused
+    kEnded,    // who, epoch: released (error kNone) or expired (kLeaseOver)
   };
   What what = What::kRefused;
-  std::string work;
-  Who who;
+  std::string task;
+  ProcessId who;
   uint64_t epoch = 0;
   uint64_t request = 0;
   Micros lease = 0;
-  uint64_t renewed = 0;  // index of the entry that gave the lease: for Lapse
+  uint64_t renewed_index = 0;  // index of the entry that gave the lease, for LeaseExpiry
   Error error = Error::kNone;
   std::string by;
   std::string reason;
@@ -103,58 +108,61 @@
 using Effects = std::vector<Effect>;
 const char* NameOf(Effect::What what);
 
-struct Waiting {
-  Who who;
+// A process that waits for a task.
+struct Waiter {
+  ProcessId who;
   uint64_t request = 0;
 };
 
-struct Work {
-  std::optional<Who> owner;
-  uint64_t epoch = 0;           // the last one given, also when nobody owns it now
-  uint64_t renewed = 0;         // index of the entry that granted or last renewed it
-  Micros since = 0;             // council time of the grant
-  Micros lease = 0;             // as granted
-  Error ending = Error::kNone;  // kHandedOver, kTakenAway, kFenced (by a floor): no renewal
-  std::optional<Who> heir;      // of a hand-over: before the line
-  std::optional<Who> barred;    // taken away from this life
-  std::deque<Waiting> line;
+// The ownership of one task.
+struct OwnedTask {
+  std::optional<ProcessId> owner;
+  uint64_t epoch = 0;                  // the last one granted, also while nobody owns the task
+  uint64_t renewed_index = 0;          // index of the entry that granted or last renewed it
+  Micros since = 0;                    // council time of the grant
+  Micros lease = 0;                    // as granted
+  Error stop_reason = Error::kNone;    // kHandedOver, kTakenAway or kFenced (by a floor): no renewal
+  std::optional<ProcessId> successor;  // of a hand-over; served before the queue
+  std::optional<ProcessId> barred;     // the incarnation that it was revoked from
+  std::deque<Waiter> queue;
 };
 
+// The replicated state. All replicas that apply the same entries hold the same state.
 class State {
  public:
-  // `index` grows from entry to entry; `at` is council time. An entry that can't be changes nothing but an
-  // answer kRefused. Appends nothing to disk, keeps nothing outside itself.
+  // `index` increases from entry to entry; `at` is council time. An invalid entry changes nothing and is
+  // answered with kRefused. Has no effects outside this object.
   Effects Apply(uint64_t index, Micros at, const Command& command);
 
   std::string Save() const;
   static std::optional<State> Load(std::string_view bytes);
 
-  const std::map<std::string, Work>& works() const { return works_; }
-  // The last epoch given for it, 0 where there never was one: what an executor without a disk is told, from a
-  // read that claims to be current. Never below the floor.
-  uint64_t EpochOf(const std::string& work) const;
-  // All that stand, for Lapse: the key is the work's name.
+  const std::map<std::string, OwnedTask>& tasks() const { return tasks_; }
+  // The last epoch granted for this task, or 0 if there was none, and never below the floor. An executor
+  // without a disk gets it through a linearizable read.
+  uint64_t EpochOf(const std::string& task) const;
+  // All current leases, for LeaseExpiry; the key is the name of the task.
   std::vector<Lease> Leases() const;
   const Rules& rules() const { return rules_; }
   uint64_t floor() const { return floor_; }
   uint64_t last_epoch() const { return last_epoch_; }
 
  private:
-  void Grant(uint64_t index, Micros at, const std::string& name, const Who& who, uint64_t request,
+  void Grant(uint64_t index, Micros at, const std::string& name, const ProcessId& who, uint64_t request,
              Effects& effects);
-  void End(uint64_t index, Micros at, const std::string& name, Error why, Effects& effects);
+  void EndOwnership(uint64_t index, Micros at, const std::string& name, Error why, Effects& effects);
 
   Rules rules_;
   uint64_t floor_ = 0;
-  uint64_t last_epoch_ = 0;  // of any work
-  Micros at_ = 0;
-  std::map<std::string, Work> works_;
+  uint64_t last_epoch_ = 0;  // of any task
+  Micros council_time_ = 0;
+  std::map<std::string, OwnedTask> tasks_;
 };
 
-// For whoever leads: what was applied, into its count of leases; and the command that a due lease is proposed
-// by.
-void Count(Lapse& lapse, Micros now, const Effects& effects);
-Command RunOutOf(const Lease& lease);
+// For the leader: TrackLeases() feeds applied effects into its lease timers, and MakeExpireCommand() makes
+// the command to propose for an expired lease.
+void TrackLeases(LeaseExpiry& lapse, Micros now, const Effects& effects);
+Command MakeExpireCommand(const Lease& lease);
 
 }  // namespace burlfall::owner
 
--- a/tests/council/page_test.cpp
+++ b/tests/council/page_test.cpp
@@ -13,7 +13,7 @@
 TEST(CouncilPage, TellsEachErrorAsTheProgramDoes) {
   std::ifstream file(DEPLOY "/../docs/council.md");
   const std::string page{std::istreambuf_iterator<char>(file), {}};
-  for (int i = 1; i < kErrors; ++i) {
+  for (int i = 1; i < kErrorCount; ++i) {
     const auto error = static_cast<Error>(i);
     std::string row = "| `";
     row.append(NameOf(error))
--- a/tests/council/state_test.cpp
+++ b/tests/council/state_test.cpp
@@ -8,8 +8,8 @@
 
 owner::Command Want(const std::string& who) {
   owner::Command command;
-  command.kind = owner::Command::Kind::kWant;
-  command.work = owner::kFreezeWork;
+  command.kind = owner::Command::Kind::kAcquire;
+  command.task = owner::kFreezeTask;
   command.who = {who, 1};
   command.request = 1;
   return command;
@@ -19,13 +19,13 @@
   State state;
   ASSERT_TRUE(state.Apply(4, kSecond, Envelope(Want("b1"))).known);
   freeze::Command open;
-  open.kind = freeze::Command::Kind::kOpen;
+  open.kind = freeze::Command::Kind::kOpenIncident;
   open.by = "staff";
   open.reason = "a test";
   ASSERT_FALSE(state.Apply(5, 2 * kSecond, Envelope(open)).freeze.empty());
   std::optional<State> loaded = State::Load(state.Save());
   ASSERT_TRUE(loaded);
-  EXPECT_EQ(loaded->owner().EpochOf(owner::kFreezeWork), 4u);
+  EXPECT_EQ(loaded->owner().EpochOf(owner::kFreezeTask), 4u);
   EXPECT_EQ(loaded->freeze().incidents().size(), 1u);
   EXPECT_EQ(loaded->Save(), state.Save());
   EXPECT_EQ(loaded->Apply(6, 3 * kSecond, Envelope(Want("b2"))).owner.size(),
--- a/tests/freeze/judge_test.cpp
+++ b/tests/freeze/judge_test.cpp
@@ -1,3 +1,4 @@
+// Tests of the checker of council histories: it accepts a correct history and reports each broken invariant.
 #include "lab/council_judge/judge.h"
 
 #include <gtest/gtest.h>
@@ -38,7 +39,7 @@
     seen.scope = Scope::Zone("z0");
     return seen;
   }
-  // Of the invariants, those that are broken, in their order.
+  // Numbers of the invariants that are broken, in the order found.
   std::vector<int> Found() {
     std::vector<int> found;
     for (const Broken& broken : JudgeCouncil(history_, {})) found.push_back(broken.invariant);
@@ -51,7 +52,7 @@
 
 TEST_F(CouncilJudge, PassesAGoodHistory) {
   See(What::kOwned).epoch = 3;
-  See(What::kOwned).epoch = 3;  // told again
+  See(What::kOwned).epoch = 3;  // reported twice
   Act(What::kObeyed, 3, 1);
   Act(What::kHadEffect, 3, 1);
   Act(What::kObeyed, 4, 2);
@@ -63,7 +64,7 @@
   Incident(What::kIncidentStands);
   Change(What::kStepEnded, 1);
   Incident(What::kIncidentYes);
-  Change(What::kStepBegan, 1).undoing = true;  // it ran as the incident opened
+  Change(What::kStepBegan, 1).undoing = true;  // it ran when the incident opened
   Change(What::kStepEnded, 1);
   Change(What::kChangeEnded, 1);
   Seen& refused = See(What::kAsked);
@@ -102,14 +103,14 @@
   EXPECT_EQ(Found(), Numbers{2});
 }
 
-TEST_F(CouncilJudge, Rejects3AStepAfterTheYesAndAnEmergencyOffTheRecord) {
+TEST_F(CouncilJudge, Rejects3AStepWhileAnIncidentIsInForceAndAnUnrecordedEmergency) {
   Change(What::kChangeBegan, 1);
   Incident(What::kIncidentStands);
   Incident(What::kIncidentYes);
   Change(What::kStepBegan, 1);
   Change(What::kStepEnded, 1);
   Incident(What::kIncidentOver);
-  Change(What::kStepBegan, 1);  // none any more
+  Change(What::kStepBegan, 1);  // no incident is open any more
   Change(What::kStepEnded, 1);
   Change(What::kChangeEnded, 1);
   EXPECT_EQ(Found(), Numbers{3});
@@ -123,7 +124,7 @@
   Change(What::kChangeBegan, 2);
   Change(What::kChangeEnded, 1);
   Change(What::kChangeEnded, 1);
-  EXPECT_EQ(Found(), (Numbers{4, 4, 4}));  // together, twice, never
+  EXPECT_EQ(Found(), (Numbers{4, 4, 4}));  // both under way, ended twice, never ended
   history_.clear();
   Change(What::kChangeBegan, 1);
   Change(What::kMayGoOn, 1).until = kSecond;
@@ -134,7 +135,7 @@
   Change(What::kStepBegan, 1);
   Change(What::kChangeEnded, 1);
   Change(What::kChangeBegan, 2);
-  Change(What::kStepBegan, 2);  // the first goes on past its change's end
+  Change(What::kStepBegan, 2);  // the first step continues after its change has ended
   Change(What::kChangeEnded, 2);
   EXPECT_EQ(Found(), Numbers{4});
   history_.clear();
--- a/tests/freeze/play_test.cpp
+++ b/tests/freeze/play_test.cpp
@@ -1,3 +1,4 @@
+// Simulates changes on random schedules and checks their histories; injected faults must be found.
 #include "lab/council_judge/play.h"
 
 #include <gtest/gtest.h>
@@ -5,7 +6,7 @@
 namespace burlfall::lab {
 namespace {
 
-TEST(ChangePlay, NothingIsFoundAndAllOfItHappened) {
+TEST(ChangePlay, NoInvariantIsBrokenAndAllEventsOccur) {
   Played sum;
   for (uint64_t seed = 1; seed <= 200; ++seed) {
     PlayOptions options;
@@ -42,9 +43,9 @@
 
 struct Case {
   FreezeFault fault;
-  uint64_t seeds;  // within which it is found
+  uint64_t seeds;  // number of seeds within which it is found
   int invariant;
-  double apart = 0.1;  // clocks, and the bound that the settings name
+  double apart = 0.1;  // clock drift, and the bound that the settings name
 };
 class PlantedInChanges : public ::testing::TestWithParam<Case> {};
 
--- a/tests/owner/errors_test.cpp
+++ b/tests/owner/errors_test.cpp
@@ -1,3 +1,4 @@
+// Tests of the table of council errors.
 #include "owner/errors.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +11,7 @@
 
 TEST(CouncilErrors, EachHasAStableNameAndSaysWhatToDo) {
   std::set<std::string> names;
-  for (int i = 0; i < kErrors; ++i) {
+  for (int i = 0; i < kErrorCount; ++i) {
     const auto error = static_cast<Error>(i);
     const std::string name = NameOf(error);
     EXPECT_TRUE(names.insert(name).second) << name << " twice";
--- a/tests/owner/play_test.cpp
+++ b/tests/owner/play_test.cpp
@@ -1,3 +1,4 @@
+// Simulates owners on random schedules and checks their histories; injected faults must be found.
 #include "lab/council_judge/play.h"
 
 #include <gtest/gtest.h>
@@ -5,12 +6,12 @@
 namespace burlfall::lab {
 namespace {
 
-TEST(OwnerPlay, NothingIsFoundAndAllOfItHappened) {
+TEST(OwnerPlay, NoInvariantIsBrokenAndAllEventsOccur) {
   Played sum;
   for (uint64_t seed = 1; seed <= 200; ++seed) {
     PlayOptions options;
     options.seed = seed;
-    // Up to the bound, and twice as far: epochs don't rest on clocks.
+    // Up to the drift bound and twice as far, since epochs don't depend on clocks.
     options.apart = seed % 2 == 0 ? options.drift : 2 * options.drift;
     const Played played = PlayOwners(options);
     for (const Broken& broken : JudgeCouncil(played.history, played.facts)) {
@@ -31,7 +32,7 @@
 
 struct Case {
   OwnerFault fault;
-  uint64_t seeds;  // within which it is found
+  uint64_t seeds;  // number of seeds within which it is found
   int invariant;
 };
 class PlantedInOwners : public ::testing::TestWithParam<Case> {};
