--- a/src/council/council.cpp
+++ b/src/council/coordinator_member.cpp
@@ -1,4 +1,4 @@
-#include "council/council.h"
+#include "council/coordinator_member.h"
 
 #include <algorithm>
 #include <charconv>
--- a/src/council/council.h
+++ b/src/council/coordinator_member.h
@@ -1,8 +1,8 @@
 // The council as a member runs it: the core (src/consensus) between files, connections and timers; the state
 // that the log makes; the works that this member asks to own, and its acts under their epochs; what it obeys
 // of others' acts. Nothing is decided here. A balancer's own service waits for none of it.
-#ifndef BURLFALL_COUNCIL_COUNCIL_H_
-#define BURLFALL_COUNCIL_COUNCIL_H_
+#ifndef BURLFALL_COUNCIL_COORDINATOR_MEMBER_H_
+#define BURLFALL_COUNCIL_COORDINATOR_MEMBER_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -18,11 +18,11 @@
 
 #include "config/council_settings.h"
 #include "consensus/core.h"
-#include "council/links.h"
+#include "council/member_connections.h"
+#include "council/member_message.h"
 #include "council/state.h"
 #include "council/store.h"
 #include "council/view.h"
-#include "council/word.h"
 #include "freeze/local_gate.h"
 #include "freeze/permit.h"
 #include "freeze/sights.h"
@@ -254,4 +254,4 @@
 
 }  // namespace burlfall
 
-#endif  // BURLFALL_COUNCIL_COUNCIL_H_
+#endif  // BURLFALL_COUNCIL_COORDINATOR_MEMBER_H_
--- a/src/council/links.cpp
+++ b/src/council/member_connections.cpp
@@ -1,4 +1,4 @@
-#include "council/links.h"
+#include "council/member_connections.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/council/links.h
+++ b/src/council/member_connections.h
@@ -2,8 +2,8 @@
 // direction that is spoken in: what is said unasked goes on the connection that one made oneself, an answer
 // on the one that the question came on. Bounded queues: whoever does not take what it is sent loses the
 // oldest of what repeats itself, then what is new; all that is sent here may be lost.
-#ifndef BURLFALL_COUNCIL_LINKS_H_
-#define BURLFALL_COUNCIL_LINKS_H_
+#ifndef BURLFALL_COUNCIL_MEMBER_CONNECTIONS_H_
+#define BURLFALL_COUNCIL_MEMBER_CONNECTIONS_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -88,4 +88,4 @@
 
 }  // namespace burlfall::council
 
-#endif  // BURLFALL_COUNCIL_LINKS_H_
+#endif  // BURLFALL_COUNCIL_MEMBER_CONNECTIONS_H_
--- a/src/council/word.cpp
+++ b/src/council/member_message.cpp
@@ -1,4 +1,4 @@
-#include "council/word.h"
+#include "council/member_message.h"
 
 #include "council/packing.h"
 
--- a/src/council/word.h
+++ b/src/council/member_message.h
@@ -2,8 +2,8 @@
 // reads, acts under an epoch, and operators' calls. A frame is "bfn", the version of the format, a checksum
 // of the body (XXH3, 64 bits, the low byte first), and the body, one MessagePack array that begins with the
 // site's name.
-#ifndef BURLFALL_COUNCIL_WORD_H_
-#define BURLFALL_COUNCIL_WORD_H_
+#ifndef BURLFALL_COUNCIL_MEMBER_MESSAGE_H_
+#define BURLFALL_COUNCIL_MEMBER_MESSAGE_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -57,4 +57,4 @@
 
 }  // namespace burlfall::council
 
-#endif  // BURLFALL_COUNCIL_WORD_H_
+#endif  // BURLFALL_COUNCIL_MEMBER_MESSAGE_H_
--- a/src/serve/program.h
+++ b/src/serve/program.h
@@ -17,7 +17,7 @@
 #include "config/start_settings.h"
 #include "control/control_front.h"
 #include "control/operations.h"
-#include "council/council.h"
+#include "council/coordinator_member.h"
 #include "dispatch/dispatcher.h"
 #include "front/http_front.h"
 #include "gates/rate_limiter.h"
--- a/tests/council/links_test.cpp
+++ b/tests/council/member_connections_test.cpp
@@ -1,5 +1,5 @@
 // Frames between two members of a virtual world.
-#include "council/links.h"
+#include "council/member_connections.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/council/word_test.cpp
+++ b/tests/council/member_message_test.cpp
@@ -1,5 +1,5 @@
 // Words between members: read back as written, and refused by name where they are not.
-#include "council/word.h"
+#include "council/member_message.h"
 
 #include <gtest/gtest.h>
 
