--- a/src/council/council.h
+++ b/src/council/coordinator_member.h
@@ -22,7 +22,6 @@
 #include "council/state.h"
 #include "council/store.h"
 #include "council/view.h"
-#include "council/word.h"
 #include "freeze/incident_detector.h"
 #include "freeze/local_gate.h"
 #include "freeze/permit.h"
