--- a/src/council/coordinator_member.cpp
+++ b/src/council/coordinator_member.cpp
@@ -11,28 +11,28 @@
 
 namespace burlfall {
 
-using council::Word;
+using council::MemberMessage;
 using owner::Error;
 
 namespace {
 
-constexpr Micros kBindAgain = 100 * kMs;
-constexpr Micros kTurnPause = 20 * kMs;    // before another voter is asked
-constexpr Micros kAnswerWithin = kSecond;  // of one voter, before another is asked
-constexpr Micros kLeadOnEvery = 100 * kMs;
-constexpr Micros kTalkWithin = 20 * kSecond;  // of an operator's call
-constexpr uint64_t kPassedOn = 1;             // in an act's `disk`
-constexpr size_t kMostAskers = 8;
-constexpr size_t kMostActs = 256;      // that wait for the disk or the council
-constexpr size_t kMostWaiting = 2048;  // proposals and reads of others
-constexpr size_t kMostJoining = 16;
-constexpr size_t kMostRecent = 512;
-constexpr size_t kMostFinishing = 256;
-constexpr Micros kDoneWithin = kSecond;
-constexpr Micros kFinishEvery = 300 * kMs;
-constexpr Micros kYesWithin = 15 * kSecond;
-constexpr size_t kHistoryLines = 400;
-constexpr size_t kPiece = 32 * 1024;  // of an answer on the Unix socket
+constexpr Micros kBindRetryInterval = 100 * kMs;
+constexpr Micros kNextVoterDelay = 20 * kMs;  // before the next voter is asked
+constexpr Micros kAnswerTimeout = kSecond;    // for one voter, before the next is asked
+constexpr Micros kLeaderProposalInterval = 100 * kMs;
+constexpr Micros kOperatorTimeout = 20 * kSecond;  // for one operator's call
+constexpr uint64_t kForwarded = 1;                 // in the `disk` field of an action
+constexpr size_t kMaxOperatorSessions = 8;
+constexpr size_t kMaxPendingActions = 256;  // actions that wait for the disk or for the group's epoch
+constexpr size_t kMaxPendingCalls = 2048;   // proposals and reads that wait for an answer
+constexpr size_t kMaxJoining = 16;
+constexpr size_t kMaxRecentResults = 512;
+constexpr size_t kMaxFinishingChanges = 256;
+constexpr Micros kDoneTimeout = kSecond;
+constexpr Micros kFinishReportInterval = 300 * kMs;
+constexpr Micros kIncidentTimeout = 15 * kSecond;
+constexpr size_t kMaxHistoryLines = 400;
+constexpr size_t kAnswerChunkBytes = 32 * 1024;  // per write to the Unix socket
 
 consensus::Rules RulesOf(const CouncilSettings& settings) {
   consensus::Rules rules;
@@ -44,7 +44,7 @@
   return rules;
 }
 
-// The value of an enum by its name; the settings were checked.
+// The enumerator of this name. Nothing for an unknown name, which the check of the settings excludes.
 template <class Enum>
 std::optional<Enum> ByName(const std::string& name, size_t count) {
   for (size_t i = 0; i < count; ++i) {
@@ -82,7 +82,7 @@
   return static_cast<Micros>(settings.lease_s * static_cast<double>(kSecond));
 }
 
-Address Needed(const std::string& text) {
+Address RequiredAddress(const std::string& text) {
   const std::optional<Address> address = ReadAddress(text);
   if (!address) throw std::runtime_error("council: no address: " + text);
   return *address;
@@ -111,75 +111,78 @@
   }
 }
 
-std::string FirstWord(std::string& words) {
+std::string TakeFirstWord(std::string& words) {
   const size_t blank = words.find(' ');
   std::string first = words.substr(0, blank);
   words.erase(0, blank == std::string::npos ? words.size() : blank + 1);
   return first;
 }
 
-std::string Failed(Error error, const std::string& more = "") {
+std::string ErrorText(Error error, const std::string& more = "") {
   return std::string("!") + owner::NameOf(error) + ": " + owner::WhatToDo(error) +
          (more.empty() ? "" : " " + more) + "\n";
 }
 
 }  // namespace
 
-Council::Council(Machine& machine, const CouncilSettings& settings, Setup setup, Log& log, Counters& counters)
+CoordinatorMember::CoordinatorMember(Machine& machine, const CouncilSettings& settings, Setup setup, Log& log,
+                                     Counters& counters)
     : machine_(machine),
       settings_(settings),
       setup_(std::move(setup)),
       log_(log),
       counters_(counters),
-      listen_(Needed(settings.listen)),
+      listen_(RequiredAddress(settings.listen)),
       self_{setup_.name, static_cast<uint64_t>(std::max<Micros>(machine.WallClock(), 1))},
-      lapse_(settings.drift),
-      freeze_lapse_(settings.drift),
+      lease_expiry_(settings.drift),
+      freeze_lease_expiry_(settings.drift),
       freeze_rules_(FreezeRulesOf(settings.freeze)),
-      gate_(freeze_rules_, self_),
-      sights_(freeze_rules_),
-      stir_(machine.scheduler()),
-      learn_(machine.scheduler()),
-      begun_(machine.scheduler()),
-      late_(machine.scheduler()) {}
+      local_gate_(freeze_rules_, self_),
+      observations_(freeze_rules_),
+      timer_wakeup_(machine.scheduler()),
+      learn_wakeup_(machine.scheduler()),
+      bootstrap_event_(machine.scheduler()),
+      delay_(machine.scheduler()) {}
 
-Council::~Council() = default;
+CoordinatorMember::~CoordinatorMember() = default;
 
-// ---- The ways in -----------------------------------------------------------------------------------------
+// ---- Start and input -------------------------------------------------------------------------------------
 
-void Council::Start() {
-  opening_ = Open();
-  opening_.Start();
+void CoordinatorMember::Start() {
+  open_task_ = Open();
+  open_task_.Start();
 }
 
-Task<> Council::Open() {
-  bool told = false;
+Task<> CoordinatorMember::Open() {
+  bool bind_failure_logged = false;
   while (!open_) {
     std::string why;
-    links_.emplace(machine_, listen_,
-                   council::Links::Hears{
-                       [this](council::Links::Link& from, std::string_view frame) { Heard(from, frame); },
-                       [this] { return Hello(Word::Kind::kHello); }});
+    connections_.emplace(
+        machine_, listen_,
+        council::MemberConnections::Callbacks{[this](council::MemberConnections::Connection& from,
+                                                     std::string_view frame) { OnFrame(from, frame); },
+                                              [this] { return EncodeHello(MemberMessage::Kind::kHello); }});
     try {
-      links_->Open();
+      connections_->Listen();
       open_ = true;
     } catch (const std::system_error& e) {
       why = e.what();
     }
     if (open_) break;
-    if (!std::exchange(told, true)) log_.Tell<"council_unavailable">(settings_.listen, why);
-    co_await late_.Wait(machine_.Now() + kBindAgain);
+    if (!std::exchange(bind_failure_logged, true)) log_.Tell<"council_unavailable">(settings_.listen, why);
+    co_await delay_.Wait(machine_.Now() + kBindRetryInterval);
   }
-  const std::optional<std::string> kept = machine_.files().Read(setup_.stem + ".epochs");
+  const std::optional<std::string> saved_epochs = machine_.files().Read(setup_.stem + ".epochs");
   executor_.emplace(owner::ExecutorRules{.disk = true},
-                    kept ? std::optional<std::string_view>(*kept) : std::nullopt);
+                    saved_epochs ? std::optional<std::string_view>(*saved_epochs) : std::nullopt);
   if (executor_->damaged()) log_.Tell<"council_disk">("damaged", setup_.stem + ".epochs");
-  if (const std::optional<std::string> told_not = machine_.files().Read(setup_.stem + ".emergencies");
-      told_not && !gate_.Take(*told_not)) {
+  if (const std::optional<std::string> saved_emergencies =
+          machine_.files().Read(setup_.stem + ".emergencies");
+      saved_emergencies && !local_gate_.Take(*saved_emergencies)) {
     log_.Tell<"council_disk">("damaged", setup_.stem + ".emergencies");
   }
-  hearing_epochs_ = HearEpochDisk();
-  hearing_epochs_.Start();
+  epoch_disk_task_ = WatchEpochDisk();
+  epoch_disk_task_.Start();
   const bool votes =
       std::ranges::any_of(settings_.voters, [this](const auto& v) { return v.name == setup_.name; });
   if (votes) OpenDisk();
@@ -190,378 +193,396 @@
   follower_.emplace(consensus::FollowerRules{}, setup_.name, seeds, machine_.Entropy());
   follower_->Begin(machine_.Now());
   std::string why;
-  asked_at_ = machine_.network().Await(setup_.stem + ".council", why);
-  if (asked_at_) {
-    awaiting_ = Await();
-    awaiting_.Start();
+  operator_listener_ = machine_.network().Await(setup_.stem + ".council", why);
+  if (operator_listener_) {
+    accept_operators_task_ = AcceptOperators();
+    accept_operators_task_.Start();
   } else {
     log_.Tell<"council_socket_unavailable">(setup_.stem + ".council", why);
   }
   log_.Tell<"council_serving">(settings_.site, settings_.told.empty() ? settings_.listen : settings_.told,
                                votes ? "votes" : "follows", store_ ? store_->disk() : 0);
   for (const std::string& work : settings_.wants) {
-    held_.push_back(std::make_unique<Held>(machine_.scheduler(), owner::Holder(self_, work, {})));
-    Held& held = *held_.back();
-    held.holder.Want();
-    held.task = Own(held);
-    held.task.Start();
-  }
-  beating_ = Beat();
-  beating_.Start();
-  learning_ = Learn();
-  learning_.Start();
+    wanted_tasks_.push_back(
+        std::make_unique<WantedTask>(machine_.scheduler(), owner::Holder(self_, work, {})));
+    WantedTask& wanted = *wanted_tasks_.back();
+    wanted.holder.Want();
+    wanted.coroutine = RunWantedTask(wanted);
+    wanted.coroutine.Start();
+  }
+  timers_task_ = RunTimers();
+  timers_task_.Start();
+  learn_task_ = LearnEpochs();
+  learn_task_.Start();
 }
 
-void Council::OpenDisk() {
+void CoordinatorMember::OpenDisk() {
   store_.emplace(setup_.stem, setup_.name);
   council::Store::Opened opened = store_->Open(machine_.files(), setup_.folder, machine_.Entropy());
-  const bool fit = opened.fault == council::StoreFault::kNone;
-  if (!fit) {
-    fault_ = std::string(council::NameOf(opened.fault)) + ", " + opened.why;
-    log_.Tell<"council_disk">(council::NameOf(opened.fault), opened.why);
-    opened.held = {};
+  const bool usable = opened.fault == council::StoreFault::kNone;
+  if (!usable) {
+    disk_fault_ = std::string(council::NameOf(opened.fault)) + ", " + opened.reason;
+    log_.Tell<"council_disk">(council::NameOf(opened.fault), opened.reason);
+    opened.state = {};
   } else {
-    disk_ = machine_.Durable();
-    hearing_disk_ = HearDisk();
-    hearing_disk_.Start();
+    log_disk_ = machine_.Durable();
+    log_disk_task_ = WatchLogDisk();
+    log_disk_task_.Start();
   }
-  if (opened.cut > 0) log_.Tell<"council_disk_cut">(opened.cut);
-  BeginCore(std::move(opened.held), fit);
+  if (opened.truncated_bytes > 0) log_.Tell<"council_disk_cut">(opened.truncated_bytes);
+  BeginCore(std::move(opened.state), usable);
 }
 
-void Council::BeginCore(consensus::PersistentState held, bool may_vote) {
+void CoordinatorMember::BeginCore(consensus::PersistentState state, bool may_vote) {
   core_.emplace(consensus::Setup{.self = {setup_.name, store_->disk()},
                                  .rules = RulesOf(settings_),
                                  .seed = machine_.Entropy(),
                                  .initial_log_time = machine_.WallClock()});
-  saved_ = held.snapshot.index;
-  core_->Begin(machine_.Now(), std::move(held), may_vote);
-  Settle();
+  snapshot_index_ = state.snapshot.index;
+  core_->Begin(machine_.Now(), std::move(state), may_vote);
+  ProcessOutputs();
 }
 
-Task<> Council::Beat() {
+Task<> CoordinatorMember::RunTimers() {
   while (true) {
     const Micros now = machine_.Now();
     if (core_ && now >= core_->next_at()) core_->Tick(now);
-    // Whoever votes has the log from the leader. One that hears of none may have been left out by a change of
-    // voters that was lost: what is agreed is the same from outside.
-    const bool outside = !VotedIn() || !core_->may_vote() || !core_->leader();
+    // A voter gets the log from the leader. A voter that knows no leader may have been removed by a change of
+    // voters that it did not receive, so it follows the log as a non-voter: committed entries are the same.
+    const bool outside = !IsVoter() || !core_->may_vote() || !core_->leader();
     if (outside && now >= follower_->next_at()) follower_->Tick(now);
-    if (Leads()) LeadOn();
-    FinishChanges();
-    Settle();
-    std::erase_if(askers_, [](const auto& asker) { return asker->over && asker->task.Done(); });
+    if (IsLeader()) ProposeAsLeader();
+    ReportFinishedChanges();
+    ProcessOutputs();
+    std::erase_if(operator_sessions_,
+                  [](const auto& session) { return session->finished && session->task.Done(); });
     Micros next = kNever;
     if (core_) next = std::min(next, core_->next_at());
     if (outside) next = std::min(next, follower_->next_at());
-    if (Leads())
-      next = std::min({next, lapse_.next_at(), freeze_lapse_.next_at(), led_on_at_ + kLeadOnEvery});
-    if (!finishing_.empty() || gate_.kept() > 0) next = std::min(next, finish_at_);
-    co_await stir_.Wait(std::max(next, now + kMs));
+    if (IsLeader())
+      next = std::min({next, lease_expiry_.next_at(), freeze_lease_expiry_.next_at(),
+                       last_leader_proposals_at_ + kLeaderProposalInterval});
+    if (!finishing_changes_.empty() || local_gate_.kept() > 0) next = std::min(next, next_finish_report_);
+    co_await timer_wakeup_.Wait(std::max(next, now + kMs));
   }
 }
 
-Task<> Council::HearDisk() {
+Task<> CoordinatorMember::WatchLogDisk() {
   while (true) {
-    while (disk_done_ < disk_->done() && !writing_.empty()) {
-      ++disk_done_;
-      const uint64_t number = writing_.front();
-      writing_.pop_front();
+    while (log_disk_done_ < log_disk_->done() && !pending_log_writes_.empty()) {
+      ++log_disk_done_;
+      const uint64_t number = pending_log_writes_.front();
+      pending_log_writes_.pop_front();
       ++counters_.council_flushes;
       if (number == 0) {
-        began_ = true;
-        begun_.Notify();
+        bootstrap_written_ = true;
+        bootstrap_event_.Notify();
       } else if (core_) {
         core_->OnWritten(machine_.Now(), number, true);
       }
     }
-    if (const std::string why = disk_->Why(); !why.empty() && fault_.empty()) {
-      fault_ = "failed, " + why;
+    if (const std::string why = log_disk_->Why(); !why.empty() && disk_fault_.empty()) {
+      disk_fault_ = "failed, " + why;
       log_.Tell<"council_disk">("failed", why);
-      if (core_ && !writing_.empty()) core_->OnWritten(machine_.Now(), writing_.front(), false);
-      begun_.Notify();
+      if (core_ && !pending_log_writes_.empty())
+        core_->OnWritten(machine_.Now(), pending_log_writes_.front(), false);
+      bootstrap_event_.Notify();
     }
-    Settle();
-    stir_.Notify();
-    co_await disk_->Wait();
+    ProcessOutputs();
+    timer_wakeup_.Notify();
+    co_await log_disk_->Wait();
   }
 }
 
-Task<> Council::HearEpochDisk() {
+Task<> CoordinatorMember::WatchEpochDisk() {
   while (true) {
     if (!epoch_disk_) {
       epoch_disk_ = machine_.Durable();
-      epochs_done_ = 0;
+      epoch_disk_done_ = 0;
     }
-    while (epochs_done_ < epoch_disk_->done() && !epochs_writing_.empty()) {
-      ++epochs_done_;
-      executor_->Written(epochs_writing_.front(), true);
-      epochs_writing_.pop_front();
+    while (epoch_disk_done_ < epoch_disk_->done() && !pending_epoch_writes_.empty()) {
+      ++epoch_disk_done_;
+      executor_->Written(pending_epoch_writes_.front(), true);
+      pending_epoch_writes_.pop_front();
     }
     if (const std::string why = epoch_disk_->Why(); !why.empty()) {
       log_.Tell<"council_disk">("failed", why);
-      while (!epochs_writing_.empty()) {
-        executor_->Written(epochs_writing_.front(), false);
-        epochs_writing_.pop_front();
+      while (!pending_epoch_writes_.empty()) {
+        executor_->Written(pending_epoch_writes_.front(), false);
+        pending_epoch_writes_.pop_front();
       }
       epoch_disk_.reset();
-      co_await late_.Wait(machine_.Now() + kBindAgain);
+      co_await delay_.Wait(machine_.Now() + kBindRetryInterval);
       continue;
     }
-    SettleActs();
+    CheckPendingActions();
     co_await epoch_disk_->Wait();
   }
 }
 
-void Council::Dropped(const char* why, const std::string& from) {
-  if (dropped_.insert(why).second) log_.Tell<"council_dropped">(why, from);
+void CoordinatorMember::LogDropped(const char* why, const std::string& from) {
+  if (logged_drops_.insert(why).second) log_.Tell<"council_dropped">(why, from);
 }
 
-void Council::Heard(council::Links::Link& from, std::string_view frame) {
+void CoordinatorMember::OnFrame(council::MemberConnections::Connection& from, std::string_view frame) {
   if (left_) return;
   const std::string who = from.name.empty() ? from.stream->Peer().text : from.name;
-  if (council::IsWord(frame)) {
-    council::ReadWord read = council::Read(frame, settings_.site);
-    if (!read.word) return Dropped(read.why, who);
-    HeardWord(from, std::move(*read.word));
+  if (council::IsMemberMessage(frame)) {
+    council::DecodedMessage decoded = council::DecodeMessage(frame, settings_.site);
+    if (!decoded.message) return LogDropped(decoded.error_text, who);
+    OnMemberMessage(from, std::move(*decoded.message));
   } else {
     consensus::DecodeResult read = consensus::Decode(frame, settings_.site);
-    if (!read.message) return Dropped(read.error, who);
+    if (!read.message) return LogDropped(read.error, who);
     const Micros now = machine_.Now();
     if (auto* message = std::get_if<consensus::Message>(&*read.message)) {
-      if (!core_ || from.stale) return;
-      Promised(*message);
+      if (!core_ || from.has_older_disk) return;
+      RecordPromise(*message);
       core_->OnMessage(now, *message);
     } else if (auto* ask = std::get_if<consensus::FollowRequest>(&*read.message)) {
       if (core_) {
-        // Owners send to voters themselves.
-        from.follows =
+        // Actions are forwarded to followers only, as owners send them to the voters directly.
+        from.is_follower =
             std::ranges::none_of(settings_.voters, [&](const auto& v) { return v.name == from.name; });
-        links_->Answer(from.number, consensus::Encode(core_->HandleFollowRequest(now, *ask), settings_.site));
+        connections_->Reply(from.number,
+                            consensus::Encode(core_->HandleFollowRequest(now, *ask), settings_.site));
       }
     } else if (auto* answer = std::get_if<consensus::FollowResponse>(&*read.message)) {
       follower_->OnResponse(now, *answer);
     }
   }
-  Settle();
-  stir_.Notify();
+  ProcessOutputs();
+  timer_wakeup_.Notify();
 }
 
-void Council::HeardWord(council::Links::Link& from, Word word) {
-  switch (word.kind) {
-    case Word::Kind::kHello:
-    case Word::Kind::kHelloBack:
-      if (word.kind == Word::Kind::kHelloBack && word.error == Error::kVoterUnknown && fault_.empty()) {
-        fault_ = "older, than what it promised to " + word.name;
-        log_.Tell<"council_disk">("older", fault_);
+void CoordinatorMember::OnMemberMessage(council::MemberConnections::Connection& from, MemberMessage message) {
+  switch (message.kind) {
+    case MemberMessage::Kind::kHello:
+    case MemberMessage::Kind::kHelloReply:
+      if (message.kind == MemberMessage::Kind::kHelloReply && message.error == Error::kVoterUnknown &&
+          disk_fault_.empty()) {
+        disk_fault_ = "older, it lost what it acknowledged to " + message.name;
+        log_.Tell<"council_disk">("older", disk_fault_);
         return;
       }
-      from.name = word.name;
-      from.stale = false;
-      if (word.disk != 0) {
-        Known& known = known_[word.name];
-        from.stale = word.disk == known.disk &&
-                     (word.epoch < known.term || (word.epoch == known.term && word.index < known.agreed));
-        if (word.disk != known.disk) known = {};
-        known.disk = word.disk;
-        known.last = word.index;
-        known.address = word.address;
+      from.name = message.name;
+      from.has_older_disk = false;
+      if (message.disk != 0) {
+        KnownVoter& known = known_voters_[message.name];
+        from.has_older_disk = message.disk == known.disk &&
+                              (message.epoch < known.promised_term || (message.epoch == known.promised_term &&
+                                                                       message.index < known.promised_index));
+        if (message.disk != known.disk) known = {};
+        known.disk = message.disk;
+        known.last_index = message.index;
+        known.address = message.address;
       }
-      if (known_.size() > 64) known_.erase(known_.begin());
-      if (word.kind == Word::Kind::kHello)
-        links_->Answer(from.number,
-                       Hello(Word::Kind::kHelloBack, from.stale ? Error::kVoterUnknown : Error::kNone));
+      if (known_voters_.size() > 64) known_voters_.erase(known_voters_.begin());
+      if (message.kind == MemberMessage::Kind::kHello)
+        connections_->Reply(from.number,
+                            EncodeHello(MemberMessage::Kind::kHelloReply,
+                                        from.has_older_disk ? Error::kVoterUnknown : Error::kNone));
       return;
-    case Word::Kind::kPropose:
-    case Word::Kind::kRead:
-    case Word::Kind::kCall:
-      return Handle(word, from.number);
-    case Word::Kind::kProposed:
-    case Word::Kind::kReadBack:
-    case Word::Kind::kCallBack: {
-      if (word.error == Error::kNotLeader) hint_ = word.address;
-      const auto it = asked_.find(word.number);
-      if (it == asked_.end() || it->second->answer) return;
-      it->second->answer = std::move(word);
-      it->second->came.Notify();
+    case MemberMessage::Kind::kPropose:
+    case MemberMessage::Kind::kRead:
+    case MemberMessage::Kind::kOperatorCall:
+      return HandleAtLeader(message, from.number);
+    case MemberMessage::Kind::kProposeReply:
+    case MemberMessage::Kind::kReadReply:
+    case MemberMessage::Kind::kOperatorCallReply: {
+      if (message.error == Error::kNotLeader) leader_hint_ = message.address;
+      const auto it = pending_calls_.find(message.number);
+      if (it == pending_calls_.end() || it->second->answer) return;
+      it->second->answer = std::move(message);
+      it->second->answered.Notify();
       return;
     }
-    case Word::Kind::kAct:
-      return Obey(word, from.number);
-    case Word::Kind::kActBack:
-      if (word.error != Error::kFenced) return;
-      for (const auto& held : held_) {
-        if (held->holder.epoch() != word.epoch) continue;
-        held->holder.Fenced(word.epoch);
-        held->moved.Notify();
+    case MemberMessage::Kind::kAction:
+      return OnAction(message, from.number);
+    case MemberMessage::Kind::kActionReply:
+      if (message.error != Error::kFenced) return;
+      for (const auto& wanted : wanted_tasks_) {
+        if (wanted->holder.epoch() != message.epoch) continue;
+        wanted->holder.Fenced(message.epoch);
+        wanted->changed.Notify();
       }
-      // From one that follows here, of an act that was passed on to it.
-      if (const auto it = act_links_.find(word.work); from.follows && it != act_links_.end())
-        links_->Answer(it->second, Write(word, settings_.site));
+      // A follower of this member rejected an action that was forwarded to it: tell the owner.
+      if (const auto it = action_connections_.find(message.owned_task);
+          from.is_follower && it != action_connections_.end())
+        connections_->Reply(it->second, EncodeMessage(message, settings_.site));
       return;
   }
 }
 
-// An answer rests on the disk of whoever gave it.
-void Council::Promised(const consensus::Message& message) {
+// Remembers what a voter acknowledged. The acknowledgement is valid only as long as the voter has that disk.
+void CoordinatorMember::RecordPromise(const consensus::Message& message) {
   using Kind = consensus::Message::Kind;
   if (!message.accepted || (message.kind != Kind::kAppendResponse && message.kind != Kind::kVoteResponse))
     return;
-  const auto it = known_.find(message.from.name);
-  if (it == known_.end() || it->second.disk != message.from.disk || message.term < it->second.term) return;
-  Known& known = it->second;
-  if (message.term > known.term) known.agreed = 0;
-  known.term = message.term;
-  if (message.kind == Kind::kAppendResponse) known.agreed = std::max(known.agreed, message.index);
+  const auto it = known_voters_.find(message.from.name);
+  if (it == known_voters_.end() || it->second.disk != message.from.disk ||
+      message.term < it->second.promised_term)
+    return;
+  KnownVoter& known = it->second;
+  if (message.term > known.promised_term) known.promised_index = 0;
+  known.promised_term = message.term;
+  if (message.kind == Kind::kAppendResponse)
+    known.promised_index = std::max(known.promised_index, message.index);
 }
 
-// More voters have come back with other disks than the log can bear.
-bool Council::MajorityLost() const {
-  if (!VotedIn()) return false;
+// Whether at least half of the voters have returned with new disks, so that committed entries may be lost.
+bool CoordinatorMember::MajorityLost() const {
+  if (!IsVoter()) return false;
   const auto lost = std::ranges::count_if(core_->voters(), [this](const consensus::Voter& voter) {
-    const auto it = known_.find(voter.id.name);
-    return it != known_.end() && it->second.disk != voter.id.disk;
+    const auto it = known_voters_.find(voter.id.name);
+    return it != known_voters_.end() && it->second.disk != voter.id.disk;
   });
   return 2 * static_cast<size_t>(lost) >= core_->voters().size();
 }
 
-// ---- The core's way round --------------------------------------------------------------------------------
+// ---- Outputs of the consensus core -----------------------------------------------------------------------
 
-void Council::Settle() {
-  if (shut_) return;
-  settle_again_ = true;
-  if (settling_) return;
-  settling_ = true;
-  while (std::exchange(settle_again_, false)) {
+void CoordinatorMember::ProcessOutputs() {
+  if (shut_down_) return;
+  process_outputs_again_ = true;
+  if (processing_outputs_) return;
+  processing_outputs_ = true;
+  while (std::exchange(process_outputs_again_, false)) {
     if (core_) {
       for (const consensus::DiskWrite& write : core_->TakeWrites()) {
-        if (!disk_ || !fault_.empty()) continue;
-        writing_.push_back(write.number);
-        disk_->Write(store_->Next(write));
+        if (!log_disk_ || !disk_fault_.empty()) continue;
+        pending_log_writes_.push_back(write.number);
+        log_disk_->Write(store_->WriteNext(write));
       }
       for (const consensus::Outgoing& out : core_->TakeMessages()) {
         const bool repeats =
             out.message.kind == consensus::Message::Kind::kAppend && out.message.entries.empty();
         const std::string& address = out.address.empty() ? AddressOf(out.message.to.name) : out.address;
-        if (!address.empty()) links_->Send(address, consensus::Encode(out.message, settings_.site), repeats);
+        if (!address.empty())
+          connections_->Send(address, consensus::Encode(out.message, settings_.site), repeats);
       }
-      for (const consensus::Applied& applied : core_->TakeApplied()) Take(applied);
+      for (const consensus::Applied& applied : core_->TakeApplied()) OnApplied(applied);
       for (const consensus::ReadResult& read : core_->TakeReads()) {
-        const auto it = reads_.find(read.token);
-        if (it == reads_.end()) continue;
-        Word back{.kind = Word::Kind::kReadBack, .number = it->second.number, .index = read.index};
-        back.work = it->second.work;
-        back.error = ErrorOf(read.refusal);
-        back.address = read.address;
-        if (back.error == Error::kNone) back.epoch = state_.owner().EpochOf(back.work);
-        const uint64_t link = it->second.link;
-        reads_.erase(it);
-        Reply(link, std::move(back));
+        const auto it = pending_reads_.find(read.token);
+        if (it == pending_reads_.end()) continue;
+        MemberMessage reply{
+            .kind = MemberMessage::Kind::kReadReply, .number = it->second.number, .index = read.index};
+        reply.owned_task = it->second.owned_task;
+        reply.error = ErrorOf(read.refusal);
+        reply.address = read.address;
+        if (reply.error == Error::kNone) reply.epoch = state_.owner().EpochOf(reply.owned_task);
+        const uint64_t connection = it->second.connection;
+        pending_reads_.erase(it);
+        Reply(connection, std::move(reply));
       }
-      for (const consensus::Notice& notice : core_->TakeNotices()) Tell(notice);
+      for (const consensus::Notice& notice : core_->TakeNotices()) OnNotice(notice);
       SnapshotIfDue();
     }
     if (follower_) {
       for (const consensus::Follower::Request& ask : follower_->TakeRequests())
-        links_->Send(ask.address, consensus::Encode(ask.request, settings_.site), true);
-      for (const consensus::Applied& applied : follower_->TakeApplied()) Take(applied);
+        connections_->Send(ask.address, consensus::Encode(ask.request, settings_.site), true);
+      for (const consensus::Applied& applied : follower_->TakeApplied()) OnApplied(applied);
     }
   }
-  settling_ = false;
-  if (links_) counters_.council_bytes_out = links_->counts().bytes_out;
+  processing_outputs_ = false;
+  if (connections_) counters_.council_bytes_out = connections_->counts().bytes_out;
   counters_.council_applied = applied_;
 }
 
-// From the core, or from a voter while it is none itself: the same entries, each once.
-void Council::Take(const consensus::Applied& applied) {
+// Applies an entry or snapshot from the core, or from the follower while this member is no voter. Both
+// deliver the same entries; each is applied once.
+void CoordinatorMember::OnApplied(const consensus::Applied& applied) {
   if (applied.snapshot) {
     if (applied.snapshot->index <= applied_) return;
     std::optional<council::State> state =
         applied.snapshot->data.empty() ? council::State() : council::State::Load(applied.snapshot->data);
     if (!state)
-      return Dropped("a snapshot that can't be read",
-                     applied.snapshot->voters.empty() ? "" : applied.snapshot->voters[0].id.name);
+      return LogDropped("a snapshot that can't be read",
+                        applied.snapshot->voters.empty() ? "" : applied.snapshot->voters[0].id.name);
     state_ = std::move(*state);
     applied_ = applied.snapshot->index;
-    for (Event* waiter : on_applied_) waiter->Notify();
+    for (Event* waiter : applied_waiters_) waiter->Notify();
     return;
   }
   const consensus::Entry& entry = applied.entry;
   if (entry.index <= applied_) return;
   applied_ = entry.index;
   if (entry.kind == consensus::Entry::Kind::kCommand) {
-    const council::Came came = state_.Apply(entry.index, entry.log_time, entry.data);
-    if (!came.known) Dropped("an entry of another build", "the log");
-    Carry(came.owner);
-    CarryFreeze(came.freeze);
-    recent_[entry.index] = came;
-    if (recent_.size() > kMostRecent) recent_.erase(recent_.begin());
-  }
-  for (Event* waiter : on_applied_) waiter->Notify();
-  while (!waiting_.empty() && waiting_.begin()->first <= entry.index) {
-    const auto [index, all] = std::move(*waiting_.begin());
-    waiting_.erase(waiting_.begin());
-    for (const Waiting& one : all) {
-      const bool agreed = index == entry.index && one.term == entry.term;
-      Reply(one.link, {.kind = Word::Kind::kProposed,
-                       .number = one.number,
-                       .index = index,
-                       .error = agreed ? Error::kNone : Error::kNoMajority});
+    const council::ApplyResult result = state_.Apply(entry.index, entry.log_time, entry.data);
+    if (!result.recognized) LogDropped("an entry that this build does not know", "the log");
+    OnOwnerEffects(result.owner);
+    OnFreezeEffects(result.freeze);
+    recent_results_[entry.index] = result;
+    if (recent_results_.size() > kMaxRecentResults) recent_results_.erase(recent_results_.begin());
+  }
+  for (Event* waiter : applied_waiters_) waiter->Notify();
+  while (!pending_proposals_.empty() && pending_proposals_.begin()->first <= entry.index) {
+    const auto [index, all] = std::move(*pending_proposals_.begin());
+    pending_proposals_.erase(pending_proposals_.begin());
+    for (const PendingProposal& one : all) {
+      const bool committed = index == entry.index && one.term == entry.term;
+      Reply(one.connection, {.kind = MemberMessage::Kind::kProposeReply,
+                             .number = one.number,
+                             .index = index,
+                             .error = committed ? Error::kNone : Error::kNoMajority});
     }
   }
 }
 
-void Council::Carry(const owner::Effects& effects) {
+void CoordinatorMember::OnOwnerEffects(const owner::Effects& effects) {
   const Micros now = machine_.Now();
   using What = owner::Effect::What;
   for (const owner::Effect& effect : effects) {
-    if (Leads()) {
+    if (IsLeader()) {
       if (effect.what == What::kGranted || effect.what == What::kRenewed)
-        lapse_.Began(now, {effect.work, effect.epoch, effect.renewed, effect.lease});
-      if (effect.what == What::kOver) lapse_.Ended(effect.work);
+        lease_expiry_.Began(now, {effect.work, effect.epoch, effect.renewed, effect.lease});
+      if (effect.what == What::kOver) lease_expiry_.Ended(effect.work);
     }
     if (effect.what == What::kGranted) {
       log_.Tell<"council_granted">(effect.work, effect.who.name, effect.epoch);
-      Note(effect.work + " goes to " + effect.who.name + ", epoch " + std::to_string(effect.epoch));
+      AddHistory(effect.work + " is granted to " + effect.who.name + ", epoch " +
+                 std::to_string(effect.epoch));
     }
     if (effect.what == What::kOver) {
-      Note(effect.work + " is no more " + effect.who.name + "'s, epoch " + std::to_string(effect.epoch) +
-           ": " + owner::NameOf(effect.error));
+      AddHistory(effect.work + " is no longer owned by " + effect.who.name + ", epoch " +
+                 std::to_string(effect.epoch) + ": " + owner::NameOf(effect.error));
     }
-    for (const auto& held : held_) {
-      const uint64_t had = held->holder.epoch();
-      held->holder.Heard(now, effect);
-      const bool owns = held->holder.owns();
-      if (owns && held->holder.epoch() != had) log_.Tell<"council_owns">(effect.work, held->holder.epoch());
-      if (!owns && had != 0) log_.Tell<"council_lost">(effect.work, had, owner::NameOf(effect.error));
-      held->moved.Notify();
+    for (const auto& wanted : wanted_tasks_) {
+      const uint64_t previous_epoch = wanted->holder.epoch();
+      wanted->holder.Heard(now, effect);
+      const bool owns = wanted->holder.owns();
+      if (owns && wanted->holder.epoch() != previous_epoch)
+        log_.Tell<"council_owns">(effect.work, wanted->holder.epoch());
+      if (!owns && previous_epoch != 0)
+        log_.Tell<"council_lost">(effect.work, previous_epoch, owner::NameOf(effect.error));
+      wanted->changed.Notify();
     }
   }
 }
 
-void Council::Tell(const consensus::Notice& notice) {
+void CoordinatorMember::OnNotice(const consensus::Notice& notice) {
   using Kind = consensus::Notice::Kind;
-  Note(std::string(consensus::NameOf(notice.kind)) + " term " + std::to_string(notice.term) + " " +
-       notice.who.name + " " + notice.text);
+  AddHistory(std::string(consensus::NameOf(notice.kind)) + " term " + std::to_string(notice.term) + " " +
+             notice.who.name + " " + notice.text);
   const std::string none;
   switch (notice.kind) {
     case Kind::kBecameLeader: {
-      std::vector<owner::Lease> standing;
+      std::vector<owner::Lease> active_leases;
       for (const auto& [name, work] : state_.owner().works()) {
-        if (work.owner) standing.push_back({name, work.epoch, work.renewed, work.lease});
+        if (work.owner) active_leases.push_back({name, work.epoch, work.renewed, work.lease});
       }
-      lapse_.TakeOffice(machine_.Now(), standing);
-      freeze_lapse_.TakeOffice(machine_.Now(), {});
+      lease_expiry_.TakeOffice(machine_.Now(), active_leases);
+      freeze_lease_expiry_.TakeOffice(machine_.Now(), {});
       freeze_leases_.clear();
-      SyncLapse();
-      led_on_at_ = 0;
+      SyncFreezeLeases();
+      last_leader_proposals_at_ = 0;
       log_.Tell<"council_leads">(notice.term);
       ++counters_.council_led;
       break;
     }
     case Kind::kSteppedDown:
-      lapse_.TakeOffice(machine_.Now(), {});
-      freeze_lapse_.TakeOffice(machine_.Now(), {});
+      lease_expiry_.TakeOffice(machine_.Now(), {});
+      freeze_lease_expiry_.TakeOffice(machine_.Now(), {});
       joining_.clear();
       log_.Tell<"council_stepped_down">(notice.term, notice.text);
       break;
@@ -579,17 +600,17 @@
       break;
     }
     case Kind::kMessageDropped:
-      Dropped(notice.text.c_str(), notice.who.name);
+      LogDropped(notice.text.c_str(), notice.who.name);
       break;
     case Kind::kJoinFailed:
       log_.Tell<"council_join_failed">(notice.who.name, notice.text);
       break;
-    case Kind::kOlderDisk:  // its own log says so too
-      Dropped("what rests on an older disk", notice.who.name);
+    case Kind::kOlderDisk:  // the voter concerned logs it as well
+      LogDropped("a message that relies on an older disk", notice.who.name);
       break;
-    case Kind::kDiskLost:  // told where it was found; but others may have found it
-      if (!fault_.empty()) break;
-      fault_ = "older, " + notice.text;
+    case Kind::kDiskLost:  // already logged if this member found it itself; otherwise another voter did
+      if (!disk_fault_.empty()) break;
+      disk_fault_ = "older, " + notice.text;
       log_.Tell<"council_disk">("older", notice.text);
       break;
     case Kind::kJoined:
@@ -598,30 +619,30 @@
   }
 }
 
-// Entries that no member asked for: leases that have run out, rules that the settings changed, voters that an
-// operator wants in.
-void Council::LeadOn() {
+// Proposes entries that no member requested: leases that have expired, rules that the settings have changed,
+// and voters that an operator adds.
+void CoordinatorMember::ProposeAsLeader() {
   const Micros now = machine_.Now();
-  for (const owner::Lease& over : lapse_.Due(now)) {
+  for (const owner::Lease& expired : lease_expiry_.Due(now)) {
     owner::Command command;
     command.kind = owner::Command::Kind::kRunOut;
-    command.work = over.key;
-    command.epoch = over.epoch;
-    command.renewed = over.renewed;
+    command.work = expired.key;
+    command.epoch = expired.epoch;
+    command.renewed = expired.renewed;
     core_->Propose(now, council::Envelope(command));
   }
-  for (const owner::Lease& over : freeze_lapse_.Due(now)) {
+  for (const owner::Lease& expired : freeze_lease_expiry_.Due(now)) {
     freeze::Command command;
     command.kind = freeze::Command::Kind::kRunOut;
-    command.change = std::stoull(over.key.substr(over.key.find(' ') + 1));
-    command.epoch = over.epoch;
-    command.renewed = over.renewed;
+    command.change = std::stoull(expired.key.substr(expired.key.find(' ') + 1));
+    command.epoch = expired.epoch;
+    command.renewed = expired.renewed;
     core_->Propose(now, council::Envelope(command));
   }
-  if (now < led_on_at_ + kLeadOnEvery) return;
+  if (now < last_leader_proposals_at_ + kLeaderProposalInterval) return;
   for (const freeze::Command& end : state_.freeze().EndsDue(core_->log_time(now)))
     core_->Propose(now, council::Envelope(end));
-  led_on_at_ = now;
+  last_leader_proposals_at_ = now;
   if (core_->log_time(now) >= state_.ejection().next_at()) {
     ejection::Command command;
     command.what = ejection::Command::What::kRunOut;
@@ -644,9 +665,9 @@
   const std::string name = joining_.front();
   for (const CouncilVoter& voter : settings_.voters) {
     if (voter.name != name) continue;
-    links_->Send(voter.address, Hello(Word::Kind::kHello), true);
-    const auto known = known_.find(name);
-    if (known == known_.end()) return;
+    connections_->Send(voter.address, EncodeHello(MemberMessage::Kind::kHello), true);
+    const auto known = known_voters_.find(name);
+    if (known == known_voters_.end()) return;
     const consensus::VoterId id{name, known->second.disk};
     for (const consensus::Voter& there : core_->voters()) {
       if (there.id.name != name) continue;
@@ -663,18 +684,18 @@
   joining_.pop_front();
 }
 
-void Council::SnapshotIfDue() {
-  if (!core_ || !VotedIn() || core_->commit() < applied_) return;
-  if (applied_ < saved_ + static_cast<uint64_t>(settings_.most_log)) return;
-  saved_ = applied_;
+void CoordinatorMember::SnapshotIfDue() {
+  if (!core_ || !IsVoter() || core_->commit() < applied_) return;
+  if (applied_ < snapshot_index_ + static_cast<uint64_t>(settings_.most_log)) return;
+  snapshot_index_ = applied_;
   core_->SaveSnapshot(machine_.Now(), applied_, state_.Save());
-  settle_again_ = true;
+  process_outputs_again_ = true;
 }
 
 // ---- Proposals, reads and calls --------------------------------------------------------------------------
 
-// By the settings: a new voter has no log yet that would tell it.
-const std::string& Council::AddressOf(const std::string& name) const {
+// From the settings, as a new voter has no log yet that lists the addresses.
+const std::string& CoordinatorMember::AddressOf(const std::string& name) const {
   static const std::string kNone;
   for (const CouncilVoter& voter : settings_.voters) {
     if (voter.name == name) return voter.address;
@@ -682,7 +703,7 @@
   return kNone;
 }
 
-std::string Council::LeaderAddress() const {
+std::string CoordinatorMember::LeaderAddress() const {
   auto address = [](const std::vector<consensus::Voter>& voters,
                     const consensus::VoterId& id) -> std::string {
     for (const consensus::Voter& voter : voters) {
@@ -699,189 +720,193 @@
   return "";
 }
 
-// Whom to ask: the leader as far as it is known, else one voter after the other.
-std::string Council::Target() {
-  if (!hint_.empty()) return hint_;
-  if (turn_ == 0) {
+// The address to ask next: the leader's if known, otherwise the voters' in turn.
+std::string CoordinatorMember::NextTarget() {
+  if (!leader_hint_.empty()) return leader_hint_;
+  if (voter_turn_ == 0) {
     if (std::string leader = LeaderAddress(); !leader.empty()) return leader;
   }
   for (size_t i = 0; i < settings_.voters.size(); ++i) {
-    const CouncilVoter& voter = settings_.voters[(turn_ + i) % settings_.voters.size()];
+    const CouncilVoter& voter = settings_.voters[(voter_turn_ + i) % settings_.voters.size()];
     if (voter.name != setup_.name) return voter.address;
   }
   return "";
 }
 
-void Council::Reply(uint64_t link, Word word) {
-  if (word.number == 0 && word.error != Error::kNotLeader) return;
-  if (link != 0) return links_->Answer(link, Write(word, settings_.site));
-  const auto it = asked_.find(word.number);
-  if (it == asked_.end()) return;
-  it->second->answer = std::move(word);
-  it->second->came.Notify();
+void CoordinatorMember::Reply(uint64_t connection, MemberMessage message) {
+  if (message.number == 0 && message.error != Error::kNotLeader) return;
+  if (connection != 0) return connections_->Reply(connection, EncodeMessage(message, settings_.site));
+  const auto it = pending_calls_.find(message.number);
+  if (it == pending_calls_.end()) return;
+  it->second->answer = std::move(message);
+  it->second->answered.Notify();
 }
 
-void Council::Handle(const Word& word, uint64_t link) {
-  Word back;
-  back.number = word.number;
-  back.work = word.work;
-  back.kind = word.kind == Word::Kind::kPropose ? Word::Kind::kProposed
-              : word.kind == Word::Kind::kRead  ? Word::Kind::kReadBack
-                                                : Word::Kind::kCallBack;
-  if (!Leads()) {
-    back.error = Error::kNotLeader;
-    back.address = LeaderAddress();
-    return Reply(link, std::move(back));
+void CoordinatorMember::HandleAtLeader(const MemberMessage& message, uint64_t connection) {
+  MemberMessage reply;
+  reply.number = message.number;
+  reply.owned_task = message.owned_task;
+  reply.kind = message.kind == MemberMessage::Kind::kPropose ? MemberMessage::Kind::kProposeReply
+               : message.kind == MemberMessage::Kind::kRead  ? MemberMessage::Kind::kReadReply
+                                                             : MemberMessage::Kind::kOperatorCallReply;
+  if (!IsLeader()) {
+    reply.error = Error::kNotLeader;
+    reply.address = LeaderAddress();
+    return Reply(connection, std::move(reply));
   }
   const Micros now = machine_.Now();
-  if (waiting_.size() + reads_.size() > kMostWaiting) {
-    back.error = Error::kTooMany;
-    return Reply(link, std::move(back));
+  if (pending_proposals_.size() + pending_reads_.size() > kMaxPendingCalls) {
+    reply.error = Error::kTooMany;
+    return Reply(connection, std::move(reply));
   }
-  if (word.kind == Word::Kind::kPropose) {
+  if (message.kind == MemberMessage::Kind::kPropose) {
     ++counters_.council_proposals;
-    const consensus::ProposeResult proposed = core_->Propose(now, word.data);
+    const consensus::ProposeResult proposed = core_->Propose(now, message.data);
     if (proposed.refusal == consensus::Refusal::kNone) {
-      if (word.number != 0) waiting_[proposed.index].push_back({proposed.term, link, word.number});
+      if (message.number != 0)
+        pending_proposals_[proposed.index].push_back({proposed.term, connection, message.number});
       return;
     }
-    back.error = ErrorOf(proposed.refusal);
-    return Reply(link, std::move(back));
+    reply.error = ErrorOf(proposed.refusal);
+    return Reply(connection, std::move(reply));
   }
-  if (word.kind == Word::Kind::kRead) {
-    const uint64_t token = ++numbers_;
-    reads_[token] = {link, word.number, word.work};
+  if (message.kind == MemberMessage::Kind::kRead) {
+    const uint64_t token = ++last_number_;
+    pending_reads_[token] = {connection, message.number, message.owned_task};
     core_->Read(now, token);
     return;
   }
-  Word called = Call(word.data);
-  called.kind = Word::Kind::kCallBack;
-  called.number = word.number;
-  Reply(link, std::move(called));
+  MemberMessage called = HandleOperatorCall(message.data);
+  called.kind = MemberMessage::Kind::kOperatorCallReply;
+  called.number = message.number;
+  Reply(connection, std::move(called));
 }
 
-// What only the leader can do: a change of voters.
-Word Council::Call(const std::string& words) {
+// Operator calls that only the leader can carry out: changes of voters.
+MemberMessage CoordinatorMember::HandleOperatorCall(const std::string& words) {
   std::string rest = words;
-  const std::string what = FirstWord(rest), name = FirstWord(rest);
-  Word back;
+  const std::string what = TakeFirstWord(rest), name = TakeFirstWord(rest);
+  MemberMessage reply;
   if (what == "add") {
     const bool named =
         std::ranges::any_of(settings_.voters, [&](const auto& voter) { return voter.name == name; });
-    if (!named || joining_.size() >= kMostJoining) {
-      back.error = named ? Error::kTooMany : Error::kVoterUnknown;
-      return back;
+    if (!named || joining_.size() >= kMaxJoining) {
+      reply.error = named ? Error::kTooMany : Error::kVoterUnknown;
+      return reply;
     }
     if (std::ranges::find(joining_, name) == joining_.end()) joining_.push_back(name);
-    back.data = name + " is brought in, once it answers\n";
-    return back;
+    reply.data = name + " is added as a voter once it answers\n";
+    return reply;
   }
-  back.error = Error::kVoterUnknown;
-  if (what != "remove") return back;
+  reply.error = Error::kVoterUnknown;
+  if (what != "remove") return reply;
   for (const consensus::Voter& voter : core_->voters()) {
     if (voter.id.name != name) continue;
-    back.error = ErrorOf(core_->ChangeVoter(machine_.Now(), consensus::Core::Change::kRemove, voter).refusal);
-    back.data = name + " votes no more, once that is agreed\n";
-    return back;
+    reply.error =
+        ErrorOf(core_->ChangeVoter(machine_.Now(), consensus::Core::Change::kRemove, voter).refusal);
+    reply.data = name + " stops voting once that is committed\n";
+    return reply;
   }
-  return back;
+  return reply;
 }
 
-// Until it is agreed, or answered with an error that asking again does not mend. Asked again after a leader
-// fell, a command may come twice: each names its request.
-Task<Word> Council::AskLeader(Word word, Micros until) {
-  Word last;
+// Asks until the leader answers, or fails with an error that a retry does not help against. When a leader
+// fails, the retry may commit a command twice: each command therefore carries a request number.
+Task<MemberMessage> CoordinatorMember::AskLeader(MemberMessage message, Micros until) {
+  MemberMessage last;
   while (true) {
-    if (shut_) co_return Word{.error = Error::kNoCouncil};
-    word.number = ++numbers_;
-    Asked asked(machine_.scheduler());
-    asked_[word.number] = &asked;
-    struct Gone {
-      std::map<uint64_t, Asked*>& all;
+    if (shut_down_) co_return MemberMessage{.error = Error::kNoCouncil};
+    message.number = ++last_number_;
+    PendingCall call(machine_.scheduler());
+    pending_calls_[message.number] = &call;
+    struct Unregister {
+      std::map<uint64_t, PendingCall*>& all;
       uint64_t number;
-      ~Gone() { all.erase(number); }
-    } gone{asked_, word.number};
+      ~Unregister() { all.erase(number); }
+    } unregister{pending_calls_, message.number};
     std::string to;
-    if (Leads()) {
-      Handle(word, 0);
-    } else if (to = Target(); !to.empty()) {
-      links_->Send(to, Write(word, settings_.site));
+    if (IsLeader()) {
+      HandleAtLeader(message, 0);
+    } else if (to = NextTarget(); !to.empty()) {
+      connections_->Send(to, EncodeMessage(message, settings_.site));
     }
-    Settle();
-    stir_.Notify();
-    const Micros step = std::min(until, machine_.Now() + kAnswerWithin);
-    while (!asked.answer && machine_.Now() < step && !shut_) co_await asked.came.Wait(step);
-    if (shut_) continue;
-    last = asked.answer.value_or(Word{.error = Error::kNoMajority});
+    ProcessOutputs();
+    timer_wakeup_.Notify();
+    const Micros step = std::min(until, machine_.Now() + kAnswerTimeout);
+    while (!call.answer && machine_.Now() < step && !shut_down_) co_await call.answered.Wait(step);
+    if (shut_down_) continue;
+    last = call.answer.value_or(MemberMessage{.error = Error::kNoMajority});
     if (last.error != Error::kNotLeader && last.error != Error::kNoMajority) co_return last;
-    hint_ = last.error == Error::kNotLeader && last.address != to ? last.address : "";
-    if (hint_.empty()) ++turn_;
+    leader_hint_ = last.error == Error::kNotLeader && last.address != to ? last.address : "";
+    if (leader_hint_.empty()) ++voter_turn_;
     if (machine_.Now() >= until) {
       last.error = Error::kNoMajority;
       co_return last;
     }
-    const Micros pause = std::min(until, machine_.Now() + kTurnPause);
-    while (machine_.Now() < pause && !shut_) co_await asked.came.Wait(pause);
+    const Micros pause = std::min(until, machine_.Now() + kNextVoterDelay);
+    while (machine_.Now() < pause && !shut_down_) co_await call.answered.Wait(pause);
   }
 }
 
-// What is lost is proposed again by whoever wants it.
-void Council::Post(std::string data) {
-  if (shut_) return;
-  const Word word{.kind = Word::Kind::kPropose, .data = std::move(data)};
-  if (Leads()) {
-    Handle(word, 0);
-  } else if (const std::string to = Target(); !to.empty()) {
-    links_->Send(to, Write(word, settings_.site));
-  }
-  Settle();
-  stir_.Notify();
+// Proposes without waiting for the result. The caller must propose again if the entry is lost.
+void CoordinatorMember::ProposeWithoutReply(std::string data) {
+  if (shut_down_) return;
+  const MemberMessage message{.kind = MemberMessage::Kind::kPropose, .data = std::move(data)};
+  if (IsLeader()) {
+    HandleAtLeader(message, 0);
+  } else if (const std::string to = NextTarget(); !to.empty()) {
+    connections_->Send(to, EncodeMessage(message, settings_.site));
+  }
+  ProcessOutputs();
+  timer_wakeup_.Notify();
 }
 
 // ---- Changes and incidents -------------------------------------------------------------------------------
 
-// What came of the entry, once it is carried out here; nothing where that takes too long, or where only what
-// came of many is known.
-Task<std::optional<council::Came>> Council::CameOf(uint64_t index, Micros until) {
+// The result of the entry, once it is applied here. Nothing after a timeout, or if the entry was applied as
+// part of a snapshot.
+Task<std::optional<council::ApplyResult>> CoordinatorMember::WaitForResult(uint64_t index, Micros until) {
   Event applied(machine_.scheduler());
-  struct Listed {
+  struct Unregister {
     std::list<Event*>& all;
     std::list<Event*>::iterator place;
-    ~Listed() { all.erase(place); }
-  } listed{on_applied_, on_applied_.insert(on_applied_.end(), &applied)};
-  while (applied_ < index && machine_.Now() < until && !shut_) {
-    if (!VotedIn()) follower_->PollNow(machine_.Now());
-    Settle();
-    stir_.Notify();
-    if (applied_ < index) co_await applied.Wait(std::min(until, machine_.Now() + kTurnPause));
-  }
-  const auto it = recent_.find(index);
-  if (it == recent_.end()) co_return std::nullopt;
+    ~Unregister() { all.erase(place); }
+  } unregister{applied_waiters_, applied_waiters_.insert(applied_waiters_.end(), &applied)};
+  while (applied_ < index && machine_.Now() < until && !shut_down_) {
+    if (!IsVoter()) follower_->PollNow(machine_.Now());
+    ProcessOutputs();
+    timer_wakeup_.Notify();
+    if (applied_ < index) co_await applied.Wait(std::min(until, machine_.Now() + kNextVoterDelay));
+  }
+  const auto it = recent_results_.find(index);
+  if (it == recent_results_.end()) co_return std::nullopt;
   co_return it->second;
 }
 
-// The answer to a command that names its request: the first effect of it.
-Task<std::optional<freeze::Effect>> Council::Agree(freeze::Command command, Micros until, Error& error) {
+// Proposes a command with a new request number and returns the command's first effect.
+Task<std::optional<freeze::Effect>> CoordinatorMember::ProposeFreezeCommand(freeze::Command command,
+                                                                            Micros until, Error& error) {
   command.who = self_;
-  command.request = ++requests_;
-  Word word{.kind = Word::Kind::kPropose, .data = council::Envelope(command)};
-  const Word back = co_await AskLeader(std::move(word), until);
-  error = back.error;
-  if (back.error != Error::kNone) co_return std::nullopt;
-  const std::optional<council::Came> came = co_await CameOf(back.index, until);
+  command.request = ++last_request_;
+  MemberMessage message{.kind = MemberMessage::Kind::kPropose, .data = council::Envelope(command)};
+  const MemberMessage reply = co_await AskLeader(std::move(message), until);
+  error = reply.error;
+  if (reply.error != Error::kNone) co_return std::nullopt;
+  const std::optional<council::ApplyResult> result = co_await WaitForResult(reply.index, until);
   error = Error::kStale;
-  if (!came) co_return std::nullopt;
-  for (const freeze::Effect& effect : came->freeze) {
+  if (!result) co_return std::nullopt;
+  for (const freeze::Effect& effect : result->freeze) {
     if (effect.request != command.request || effect.who != self_) continue;
-    if (effect.what == freeze::Effect::What::kGlass) continue;  // beside the answer
+    if (effect.what == freeze::Effect::What::kGlass) continue;  // accompanies the answer
     error = effect.what == freeze::Effect::What::kRefused ? effect.error : Error::kNone;
     co_return effect;
   }
   co_return std::nullopt;
 }
 
-Task<Council::Permission> Council::Ask(freeze::ChangeKind kind, freeze::Scope scope, std::string by,
-                                       std::string reason) {
+Task<CoordinatorMember::Permission> CoordinatorMember::RequestPermission(freeze::ChangeKind kind,
+                                                                         freeze::Scope scope, std::string by,
+                                                                         std::string reason) {
   using Kind = freeze::Command::Kind;
   const Micros until = machine_.Now() + settings_.ask_ms * kMs;
   Permission permission;
@@ -893,41 +918,42 @@
   command.steps = {freeze::NameOf(kind)};
   command.by = by;
   command.reason = reason;
-  Micros asked = machine_.Now();
+  Micros asked_at = machine_.Now();
   std::optional<freeze::Effect> effect;
-  if (open_ && !shut_) {
-    effect = co_await Agree(command, until, permission.error);
+  if (open_ && !shut_down_) {
+    effect = co_await ProposeFreezeCommand(command, until, permission.error);
   } else {
     permission.error = Error::kNoCouncil;
   }
   if (effect && permission.error == Error::kNone) {
-    permit.Heard(asked, *effect);
+    permit.Heard(asked_at, *effect);
     permission.change = effect->change;
     command = {};
     command.kind = Kind::kStep;
     command.change = effect->change;
     command.by = by;
     command.reason = reason;
-    asked = machine_.Now();
-    effect = co_await Agree(command, until, permission.error);
+    asked_at = machine_.Now();
+    effect = co_await ProposeFreezeCommand(command, until, permission.error);
     if (effect && permission.error == Error::kNone) {
-      permit.Heard(asked, *effect);
+      permit.Heard(asked_at, *effect);
       permission.error = permit.MayBegin(machine_.Now());
       if (permission.error == Error::kNone) permission.error = permit.Begun(machine_.Now());
       permission.epoch = permit.epoch();
     }
-    if (permission.error != Error::kNone && finishing_.size() < kMostFinishing) {
+    if (permission.error != Error::kNone && finishing_changes_.size() < kMaxFinishingChanges) {
       command.kind = Kind::kAbandon;
-      finishing_[command.change] = command;
+      finishing_changes_[command.change] = command;
     }
   } else if (!effect && permission.error != Error::kNone && permission.change == 0) {
-    const std::vector<std::string> missing = open_ && !shut_ ? Missing() : std::vector<std::string>();
-    const freeze::LocalGate::Answer local = gate_.Ask(kind, scope, by, reason, missing);
+    const std::vector<std::string> missing =
+        open_ && !shut_down_ ? MissingVoters() : std::vector<std::string>();
+    const freeze::LocalGate::Answer local = local_gate_.Ask(kind, scope, by, reason, missing);
     permission.retry = local.retry;
     if (local.error == Error::kNone) {
-      // On the disk before it goes on: it is told to the council also after a restart.
+      // Saved before the change begins, so that it is reported to the group even after a restart.
       std::string why;
-      machine_.files().Replace(setup_.stem + ".emergencies", gate_.Save(), why);
+      machine_.files().Replace(setup_.stem + ".emergencies", local_gate_.Save(), why);
       permission.error = Error::kNone;
       log_.Tell<"council_emergency">(freeze::NameOf(kind), freeze::TextOf(scope), by, reason);
       co_return permission;
@@ -954,50 +980,50 @@
   co_return permission;
 }
 
-Task<> Council::Done(Permission permission) {
+Task<> CoordinatorMember::ReportDone(Permission permission) {
   if (permission.change == 0 || permission.error != Error::kNone) co_return;
-  if (finishing_.size() >= kMostFinishing) co_return;
+  if (finishing_changes_.size() >= kMaxFinishingChanges) co_return;
   freeze::Command command;
   command.kind = freeze::Command::Kind::kStepDone;
   command.who = self_;
   command.change = permission.change;
   command.epoch = permission.epoch;
-  finishing_[permission.change] = command;
-  finish_at_ = 0;
-  FinishChanges();
-  const Micros until = machine_.Now() + kDoneWithin;
-  while (state_.freeze().changes().contains(permission.change) && machine_.Now() < until && !shut_)
-    co_await CameOf(applied_ + 1, until);
+  finishing_changes_[permission.change] = command;
+  next_finish_report_ = 0;
+  ReportFinishedChanges();
+  const Micros until = machine_.Now() + kDoneTimeout;
+  while (state_.freeze().changes().contains(permission.change) && machine_.Now() < until && !shut_down_)
+    co_await WaitForResult(applied_ + 1, until);
 }
 
-// Told until the own replica says that the change has ended.
-void Council::FinishChanges() {
+// Proposes the end of each finished change again, until the own replica has applied it.
+void CoordinatorMember::ReportFinishedChanges() {
   const Micros now = machine_.Now();
-  if (now < finish_at_ || (finishing_.empty() && gate_.kept() == 0)) return;
-  finish_at_ = now + kFinishEvery;
-  std::erase_if(finishing_, [this](const auto& one) {
+  if (now < next_finish_report_ || (finishing_changes_.empty() && local_gate_.kept() == 0)) return;
+  next_finish_report_ = now + kFinishReportInterval;
+  std::erase_if(finishing_changes_, [this](const auto& one) {
     return applied_ >= one.first && !state_.freeze().changes().contains(one.first);
   });
   std::vector<std::string> out;
-  for (auto& [change, command] : finishing_) {
+  for (auto& [change, command] : finishing_changes_) {
     command.who = self_;
-    command.request = ++requests_;
+    command.request = ++last_request_;
     out.push_back(council::Envelope(command));
   }
-  for (const freeze::Command& command : gate_.Untold()) out.push_back(council::Envelope(command));
-  for (std::string& data : out) Post(std::move(data));
+  for (const freeze::Command& command : local_gate_.Untold()) out.push_back(council::Envelope(command));
+  for (std::string& data : out) ProposeWithoutReply(std::move(data));
 }
 
-void Council::CarryFreeze(const freeze::Effects& effects) {
+void CoordinatorMember::OnFreezeEffects(const freeze::Effects& effects) {
   using What = freeze::Effect::What;
-  if (!effects.empty()) SyncLapse();
+  if (!effects.empty()) SyncFreezeLeases();
   for (const freeze::Effect& effect : effects) {
-    sights_.Applied(machine_.Now(), effect);
-    const size_t kept = gate_.kept();
-    gate_.Applied(effect);
-    if (gate_.kept() != kept) {
+    observations_.Applied(machine_.Now(), effect);
+    const size_t kept = local_gate_.kept();
+    local_gate_.Applied(effect);
+    if (local_gate_.kept() != kept) {
       std::string why;
-      machine_.files().Replace(setup_.stem + ".emergencies", gate_.Save(), why);
+      machine_.files().Replace(setup_.stem + ".emergencies", local_gate_.Save(), why);
     }
     std::string scope = freeze::TextOf(effect.scope);
     const auto incident = state_.freeze().incidents().find(effect.incident);
@@ -1014,54 +1040,55 @@
   }
 }
 
-// What the owner of the freeze sees becomes incidents, and ends them.
-void Council::Look(uint64_t epoch) {
+// The owner of the freeze task opens and closes incidents by what it observes of the fleet.
+void CoordinatorMember::ReportObservations(uint64_t epoch) {
   const Micros now = machine_.Now();
-  if (std::exchange(sights_epoch_, epoch) != epoch) sights_.Begin(now, state_.freeze(), epoch);
-  for (const Setup::Sight& sight : setup_.sights()) {
-    for (freeze::Command& command : sights_.Saw(now, sight.kind, sight.scope, sight.share)) {
+  if (std::exchange(observations_epoch_, epoch) != epoch) observations_.Begin(now, state_.freeze(), epoch);
+  for (const Setup::Observation& observation : setup_.observations()) {
+    for (freeze::Command& command :
+         observations_.Saw(now, observation.kind, observation.scope, observation.share)) {
       command.who = self_;
-      command.request = ++requests_;
+      command.request = ++last_request_;
       if (command.by.empty()) command.by = setup_.name;
-      Post(council::Envelope(command));
+      ProposeWithoutReply(council::Envelope(command));
     }
   }
 }
 
-// Leases of changes and grants, as this leader's clock counts them.
-void Council::SyncLapse() {
-  if (!Leads()) return;
+// Makes the timers of this leader match the leases of changes and steps in the replicated state.
+void CoordinatorMember::SyncFreezeLeases() {
+  if (!IsLeader()) return;
   const Micros now = machine_.Now();
-  std::map<std::string, owner::Lease> standing;
-  for (owner::Lease& lease : state_.freeze().Leases()) standing.emplace(lease.key, std::move(lease));
+  std::map<std::string, owner::Lease> active_leases;
+  for (owner::Lease& lease : state_.freeze().Leases()) active_leases.emplace(lease.key, std::move(lease));
   for (const auto& [key, lease] : freeze_leases_) {
-    if (!standing.contains(key)) freeze_lapse_.Ended(key);
+    if (!active_leases.contains(key)) freeze_lease_expiry_.Ended(key);
   }
-  for (const auto& [key, lease] : standing) {
+  for (const auto& [key, lease] : active_leases) {
     const auto before = freeze_leases_.find(key);
     if (before == freeze_leases_.end() || before->second.renewed != lease.renewed ||
         before->second.epoch != lease.epoch)
-      freeze_lapse_.Began(now, lease);
+      freeze_lease_expiry_.Began(now, lease);
   }
-  freeze_leases_ = std::move(standing);
+  freeze_leases_ = std::move(active_leases);
 }
 
-// "open SCOPE BY REASON" and "close NUMBER BY REASON". The answer to the first is the promise: it comes once
-// no step that the incident forbids can begin any more.
-Task<std::string> Council::Incident(std::string words) {
-  const std::string what = FirstWord(words), about = FirstWord(words);
+// "open SCOPE BY REASON" and "close NUMBER BY REASON". "open" is answered once the incident is in force: from
+// then on, no step that it forbids can begin.
+Task<std::string> CoordinatorMember::HandleIncidentCommand(std::string words) {
+  const std::string what = TakeFirstWord(words), about = TakeFirstWord(words);
   freeze::Command command;
-  command.by = FirstWord(words);
+  command.by = TakeFirstWord(words);
   command.reason = words;
-  if (command.reason.empty() || (what != "open" && what != "close")) co_return Failed(Error::kMalformed);
+  if (command.reason.empty() || (what != "open" && what != "close")) co_return ErrorText(Error::kMalformed);
   const Micros began = machine_.Now(), until = began + settings_.ask_ms * kMs;
   Error error = Error::kNone;
   if (what == "close") {
     command.kind = freeze::Command::Kind::kClose;
     const auto [end, bad] = std::from_chars(about.data(), about.data() + about.size(), command.incident);
-    if (bad != std::errc() || end != about.data() + about.size()) co_return Failed(Error::kMalformed);
-    co_await Agree(command, until, error);
-    co_return error == Error::kNone ? "incident " + about + " is over\n" : Failed(error);
+    if (bad != std::errc() || end != about.data() + about.size()) co_return ErrorText(Error::kMalformed);
+    co_await ProposeFreezeCommand(command, until, error);
+    co_return error == Error::kNone ? "incident " + about + " is over\n" : ErrorText(error);
   }
   command.kind = freeze::Command::Kind::kOpen;
   const size_t colon = about.find(':');
@@ -1076,223 +1103,231 @@
   } else if (kind == "balancer") {
     command.scope = freeze::Scope::Balancer(name, "");
   } else if (kind != "site") {
-    co_return Failed(Error::kMalformed,
-                     "A scope is site, zone:NAME, group:NAME, node:NAME or balancer:NAME.");
+    co_return ErrorText(Error::kMalformed,
+                        "A scope is site, zone:NAME, group:NAME, node:NAME or balancer:NAME.");
   }
-  const std::optional<freeze::Effect> opened = co_await Agree(command, until, error);
+  const std::optional<freeze::Effect> opened = co_await ProposeFreezeCommand(command, until, error);
   if (error != Error::kNone || !opened) {
     std::string missing;
-    for (const std::string& one : Missing()) missing += (missing.empty() ? "Missing: " : ", ") + one;
-    co_return Failed(error, error == Error::kNoMajority ? missing : "");
+    for (const std::string& one : MissingVoters()) missing += (missing.empty() ? "Missing: " : ", ") + one;
+    co_return ErrorText(error, error == Error::kNoMajority ? missing : "");
   }
-  const Micros yes_until = machine_.Now() + kYesWithin;
+  const Micros yes_until = machine_.Now() + kIncidentTimeout;
   while (machine_.Now() < yes_until) {
     const auto it = state_.freeze().incidents().find(opened->incident);
     if (it == state_.freeze().incidents().end())
-      co_return Failed(Error::kUnknownIncident, "It was closed meanwhile.");
+      co_return ErrorText(Error::kUnknownIncident, "It was closed in the meantime.");
     if (it->second.yes) {
       co_return "incident " + std::to_string(opened->incident) + " is in force after " +
           std::to_string((machine_.Now() - began) / kMs) + " ms: no step that it forbids begins\n";
     }
-    co_await CameOf(applied_ + 1, std::min(yes_until, machine_.Now() + kTurnPause));
+    co_await WaitForResult(applied_ + 1, std::min(yes_until, machine_.Now() + kNextVoterDelay));
   }
-  co_return Failed(Error::kGrantOut, "It stands, and is not yet in force.");
+  co_return ErrorText(Error::kGrantOut, "It is open, but not yet in force.");
 }
 
-// ---- Works and acts --------------------------------------------------------------------------------------
+// ---- Owned tasks and actions -----------------------------------------------------------------------------
 
-Task<> Council::Own(Held& held) {
+Task<> CoordinatorMember::RunWantedTask(WantedTask& wanted) {
   const Micros every = LeaseOf(settings_) / 4;
   while (true) {
     const Micros now = machine_.Now();
-    for (const owner::Command& command : held.holder.Tick(now)) {
-      // The voter that was asked last may be gone.
-      if (command.kind == owner::Command::Kind::kWant) hint_.clear(), ++turn_;
-      Post(council::Envelope(command));
+    for (const owner::Command& command : wanted.holder.Tick(now)) {
+      // The voter that was asked last may be unreachable: try the next.
+      if (command.kind == owner::Command::Kind::kWant) leader_hint_.clear(), ++voter_turn_;
+      ProposeWithoutReply(council::Envelope(command));
     }
-    if (held.holder.stopping()) {
-      held.holder.GiveUp();
-      held.holder.Want();  // behind the others
+    if (wanted.holder.stopping()) {
+      wanted.holder.GiveUp();
+      wanted.holder.Want();  // queues behind the other members
     }
-    if (held.holder.owns() && now >= held.act_at && !left_) {
-      const uint64_t had = held.holder.epoch();
-      const owner::Permit permit = held.holder.MayAct(now);
-      held.act_at = now + every;
+    if (wanted.holder.owns() && now >= wanted.next_action_at && !left_) {
+      const uint64_t previous_epoch = wanted.holder.epoch();
+      const owner::Permit permit = wanted.holder.MayAct(now);
+      wanted.next_action_at = now + every;
       if (permit.ok()) {
         if (settings_.step_ms > 0) {
           log_.Tell<"council_step">("act", permit.epoch);
           const Micros until = now + settings_.step_ms * kMs;
-          while (machine_.Now() < until) co_await held.moved.Wait(until);
+          while (machine_.Now() < until) co_await wanted.changed.Wait(until);
         }
-        SendAct(held, permit.epoch);
-        if (WorkOf(held) == owner::kFreezeWork) Look(permit.epoch);
-        if (WorkOf(held) == owner::kEjectionWork && state_.ejection().ToCount(state_.ejection().at())) {
+        SendAction(wanted, permit.epoch);
+        if (TaskNameOf(wanted) == owner::kFreezeWork) ReportObservations(permit.epoch);
+        if (TaskNameOf(wanted) == owner::kEjectionWork && state_.ejection().ToCount(state_.ejection().at())) {
           ejection::Command command;
           command.what = ejection::Command::What::kCount;
           command.epoch = permit.epoch;
-          Post(council::Envelope(command));
+          ProposeWithoutReply(council::Envelope(command));
         }
       } else {
-        log_.Tell<"council_lost">(WorkOf(held), had, owner::NameOf(permit.error));
+        log_.Tell<"council_lost">(TaskNameOf(wanted), previous_epoch, owner::NameOf(permit.error));
       }
     }
-    Micros next = held.holder.next_at();
-    if (held.holder.owns()) next = std::min(next, held.act_at);
-    co_await held.moved.Wait(std::max(next, machine_.Now() + kMs));
+    Micros next = wanted.holder.next_at();
+    if (wanted.holder.owns()) next = std::min(next, wanted.next_action_at);
+    co_await wanted.changed.Wait(std::max(next, machine_.Now() + kMs));
   }
 }
 
-void Council::SendAct(Held& held, uint64_t epoch) {
-  Word word{.kind = Word::Kind::kAct, .number = ++held.acts, .name = setup_.name, .epoch = epoch};
-  word.work = WorkOf(held);
-  const std::string frame = Write(word, settings_.site);
+void CoordinatorMember::SendAction(WantedTask& wanted, uint64_t epoch) {
+  MemberMessage message{.kind = MemberMessage::Kind::kAction,
+                        .number = ++wanted.actions_sent,
+                        .name = setup_.name,
+                        .epoch = epoch};
+  message.owned_task = TaskNameOf(wanted);
+  const std::string frame = EncodeMessage(message, settings_.site);
   ++counters_.council_acts;
   for (const CouncilVoter& voter : settings_.voters) {
-    if (voter.name != setup_.name) links_->Send(voter.address, frame);
+    if (voter.name != setup_.name) connections_->Send(voter.address, frame);
   }
-  Obey(word, 0);
+  OnAction(message, 0);
 }
 
-void Council::Obey(const Word& word, uint64_t link) {
-  if (acts_.size() >= kMostActs) acts_.pop_front();
-  acts_.push_back({word, link});
-  act_links_[word.work] = link;
-  if (act_links_.size() > 64) act_links_.erase(act_links_.begin());
-  // Those that follow here hear of it from here; what came that way goes no further.
-  if (word.disk != kPassedOn) {
-    Word on = word;
-    on.disk = kPassedOn;
-    links_->ToFollowers(Write(on, settings_.site));
-  }
-  SettleActs();
+void CoordinatorMember::OnAction(const MemberMessage& message, uint64_t connection) {
+  if (pending_actions_.size() >= kMaxPendingActions) pending_actions_.pop_front();
+  pending_actions_.push_back({message, connection});
+  action_connections_[message.owned_task] = connection;
+  if (action_connections_.size() > 64) action_connections_.erase(action_connections_.begin());
+  // Forwards the action to followers of this member. A forwarded action is not forwarded again.
+  if (message.disk != kForwarded) {
+    MemberMessage forwarded = message;
+    forwarded.disk = kForwarded;
+    connections_->SendToFollowers(EncodeMessage(forwarded, settings_.site));
+  }
+  CheckPendingActions();
 }
 
-void Council::SettleActs() {
-  for (size_t i = 0; i < acts_.size();) {
-    const Act& act = acts_[i];
-    const owner::Executor::Verdict verdict = executor_->Ask(act.word.work, act.word.epoch);
+void CoordinatorMember::CheckPendingActions() {
+  for (size_t i = 0; i < pending_actions_.size();) {
+    const PendingAction& action = pending_actions_[i];
+    const owner::Executor::Verdict verdict = executor_->Ask(action.message.owned_task, action.message.epoch);
     if (verdict.error == Error::kNotWritten) {
       ++i;
       continue;
     }
     if (verdict.error == Error::kNotTold) {
-      untold_.insert(act.word.work);
-      learn_.Notify();
+      unknown_epochs_.insert(action.message.owned_task);
+      learn_wakeup_.Notify();
       ++i;
       continue;
     }
     if (verdict.ok()) {
       ++counters_.council_obeyed;
-      uint64_t& told = obeys_[act.word.work];
-      if (std::exchange(told, act.word.epoch) != act.word.epoch)
-        log_.Tell<"council_obeys">(act.word.work, act.word.name, act.word.epoch);
+      uint64_t& logged_epoch = logged_epochs_[action.message.owned_task];
+      if (std::exchange(logged_epoch, action.message.epoch) != action.message.epoch)
+        log_.Tell<"council_obeys">(action.message.owned_task, action.message.name, action.message.epoch);
     } else {
       ++counters_.council_fenced;
-      log_.Tell<"council_refuses">(act.word.work, act.word.name, act.word.epoch, verdict.highest,
-                                   owner::NameOf(verdict.error));
+      log_.Tell<"council_refuses">(action.message.owned_task, action.message.name, action.message.epoch,
+                                   verdict.highest, owner::NameOf(verdict.error));
     }
-    Word back{.kind = Word::Kind::kActBack,
-              .number = act.word.number,
-              .name = setup_.name,
-              .index = verdict.highest};
-    back.epoch = act.word.epoch;
-    back.error = verdict.error;
-    back.work = act.word.work;
-    if (act.link != 0) {
-      links_->Answer(act.link, Write(back, settings_.site));
-    } else if (back.error == Error::kFenced) {
-      for (const auto& held : held_) held->holder.Fenced(back.epoch);
+    MemberMessage reply{.kind = MemberMessage::Kind::kActionReply,
+                        .number = action.message.number,
+                        .name = setup_.name,
+                        .index = verdict.highest};
+    reply.epoch = action.message.epoch;
+    reply.error = verdict.error;
+    reply.owned_task = action.message.owned_task;
+    if (action.connection != 0) {
+      connections_->Reply(action.connection, EncodeMessage(reply, settings_.site));
+    } else if (reply.error == Error::kFenced) {
+      for (const auto& wanted : wanted_tasks_) wanted->holder.Fenced(reply.epoch);
     }
-    acts_.erase(acts_.begin() + static_cast<std::ptrdiff_t>(i));
+    pending_actions_.erase(pending_actions_.begin() + static_cast<std::ptrdiff_t>(i));
   }
   if (std::optional<owner::Executor::Write> write = executor_->Pending(); write && epoch_disk_) {
-    epochs_writing_.push_back(write->number);
+    pending_epoch_writes_.push_back(write->number);
     epoch_disk_->Write({{setup_.stem + ".epochs", {}, std::move(write->bytes)}});
   }
 }
 
-// An executor whose file was gone obeys nobody before the council has told it.
-Task<> Council::Learn() {
+// An executor whose file is missing accepts no action of a task before it has read the task's current epoch
+// from the leader.
+Task<> CoordinatorMember::LearnEpochs() {
   while (true) {
-    while (!untold_.empty()) {
-      const std::string work = *untold_.begin();
-      Word word{.kind = Word::Kind::kRead};
-      word.work = work;
-      const Word back = co_await AskLeader(std::move(word), machine_.Now() + settings_.ask_ms * kMs);
-      if (back.error == Error::kNone) {
-        executor_->Told(work, back.epoch);
-        untold_.erase(work);
-        SettleActs();
+    while (!unknown_epochs_.empty()) {
+      const std::string work = *unknown_epochs_.begin();
+      MemberMessage message{.kind = MemberMessage::Kind::kRead};
+      message.owned_task = work;
+      const MemberMessage reply =
+          co_await AskLeader(std::move(message), machine_.Now() + settings_.ask_ms * kMs);
+      if (reply.error == Error::kNone) {
+        executor_->Told(work, reply.epoch);
+        unknown_epochs_.erase(work);
+        CheckPendingActions();
       } else {
-        const Micros until = machine_.Now() + kLeadOnEvery;
-        while (machine_.Now() < until) co_await learn_.Wait(until);
+        const Micros until = machine_.Now() + kLeaderProposalInterval;
+        while (machine_.Now() < until) co_await learn_wakeup_.Wait(until);
       }
     }
-    co_await learn_.Wait();
+    co_await learn_wakeup_.Wait();
   }
 }
 
-std::string Council::WorkOf(const Held& held) const {
+std::string CoordinatorMember::TaskNameOf(const WantedTask& wanted) const {
   size_t i = 0;
-  for (const auto& one : held_) {
-    if (one.get() == &held) return settings_.wants[i];
+  for (const auto& one : wanted_tasks_) {
+    if (one.get() == &wanted) return settings_.wants[i];
     ++i;
   }
   return "";
 }
 
-void Council::Shut() {
-  shut_ = true;
-  for (Task<>* task : {&opening_, &beating_, &hearing_disk_, &hearing_epochs_, &learning_, &awaiting_})
+void CoordinatorMember::ShutDown() {
+  shut_down_ = true;
+  for (Task<>* task : {&open_task_, &timers_task_, &log_disk_task_, &epoch_disk_task_, &learn_task_,
+                       &accept_operators_task_})
     *task = {};
-  askers_.clear();
-  asked_at_.reset();
-  held_.clear();
-  links_.reset();
-  disk_.reset();
+  operator_sessions_.clear();
+  operator_listener_.reset();
+  wanted_tasks_.clear();
+  connections_.reset();
+  log_disk_.reset();
   epoch_disk_.reset();
-  for (const auto& [number, asked] : asked_) asked->came.Notify();
-  for (Event* waiter : on_applied_) waiter->Notify();
+  for (const auto& [number, call] : pending_calls_) call->answered.Notify();
+  for (Event* waiter : applied_waiters_) waiter->Notify();
 }
 
-void Council::Leave() {
-  if (!open_ || left_ || shut_) return;
-  for (const auto& held : held_) {
-    held->holder.GiveUp();
-    for (const owner::Command& command : held->holder.Tick(machine_.Now())) Post(council::Envelope(command));
+void CoordinatorMember::Leave() {
+  if (!open_ || left_ || shut_down_) return;
+  for (const auto& wanted : wanted_tasks_) {
+    wanted->holder.GiveUp();
+    for (const owner::Command& command : wanted->holder.Tick(machine_.Now()))
+      ProposeWithoutReply(council::Envelope(command));
   }
   left_ = true;
-  if (!Leads()) return;
+  if (!IsLeader()) return;
   const std::map<consensus::VoterId, Micros> heard = core_->last_contacts();
   const auto last = std::ranges::max_element(heard, {}, [](const auto& one) { return one.second; });
   if (last != heard.end()) core_->Transfer(machine_.Now(), last->first);
-  left_ = false;  // until it has gone over
-  Settle();
+  left_ = false;  // takes part until the leadership is transferred
+  ProcessOutputs();
 }
 
-// ---- Who asks --------------------------------------------------------------------------------------------
+// ---- Operators' requests ---------------------------------------------------------------------------------
 
-void Council::Note(const std::string& line) {
-  if (history_.size() >= kHistoryLines)
-    history_.erase(history_.begin(), history_.begin() + kHistoryLines / 4);
+void CoordinatorMember::AddHistory(const std::string& line) {
+  if (history_.size() >= kMaxHistoryLines)
+    history_.erase(history_.begin(), history_.begin() + kMaxHistoryLines / 4);
   history_.push_back(std::to_string(machine_.Now() / kMs) + " ms: " + line);
 }
 
-std::string Council::Hello(Word::Kind kind, Error error) const {
-  Word word{.kind = kind, .name = setup_.name};
-  word.error = error;
-  word.epoch = core_ ? core_->term() : 0;
-  word.disk = store_ && fault_.empty() ? store_->disk() : 0;
-  word.index = core_ ? core_->last_index() : 0;
-  word.address = settings_.told.empty() ? settings_.listen : settings_.told;
-  return Write(word, settings_.site);
+std::string CoordinatorMember::EncodeHello(MemberMessage::Kind kind, Error error) const {
+  MemberMessage message{.kind = kind, .name = setup_.name};
+  message.error = error;
+  message.epoch = core_ ? core_->term() : 0;
+  message.disk = store_ && disk_fault_.empty() ? store_->disk() : 0;
+  message.index = core_ ? core_->last_index() : 0;
+  message.address = settings_.told.empty() ? settings_.listen : settings_.told;
+  return EncodeMessage(message, settings_.site);
 }
 
-std::vector<std::string> Council::Missing() const {
+std::vector<std::string> CoordinatorMember::MissingVoters() const {
   std::vector<std::string> missing;
-  if (!Leads()) {
+  if (!IsLeader()) {
     for (const CouncilVoter& voter : settings_.voters) {
-      if (voter.name != setup_.name && !links_->Up(voter.address)) missing.push_back(voter.name);
+      if (voter.name != setup_.name && !connections_->IsConnected(voter.address))
+        missing.push_back(voter.name);
     }
     return missing;
   }
@@ -1303,18 +1338,18 @@
   return missing;
 }
 
-council::View Council::ViewNow() {
+council::View CoordinatorMember::CurrentView() {
   const Micros now = machine_.Now();
   council::View view;
   view.name = setup_.name;
-  const bool inside = VotedIn();
+  const bool inside = IsVoter();
   view.role = inside ? consensus::NameOf(core_->role()) : "outside";
-  view.fault = fault_;
-  view.standing = !fault_.empty()           ? "disk"
-                  : core_ && !inside        ? "waits"
-                  : LeaderAddress().empty() ? "no leader"
-                                            : "in";
-  if (MajorityLost()) view.standing = "majority lost";
+  view.fault = disk_fault_;
+  view.status = !disk_fault_.empty()      ? "disk"
+                : core_ && !inside        ? "waits"
+                : LeaderAddress().empty() ? "no leader"
+                                          : "in";
+  if (MajorityLost()) view.status = "majority lost";
   view.disk = store_ ? store_->disk() : 0;
   view.applied = applied_;
   const std::vector<consensus::Voter>& voters = inside ? core_->voters() : follower_->voters();
@@ -1336,23 +1371,24 @@
     one.name = voter.id.name;
     one.disk = voter.id.disk;
     one.address = voter.address;
-    one.leads = voter.id == leader;
-    if (const auto it = heard.find(voter.id); Leads() && it != heard.end()) one.heard_ago = now - it->second;
+    one.is_leader = voter.id == leader;
+    if (const auto it = heard.find(voter.id); IsLeader() && it != heard.end())
+      one.last_contact_ago = now - it->second;
   }
-  if (Leads() || leader.name.empty()) view.missing = Missing();
+  if (IsLeader() || leader.name.empty()) view.missing = MissingVoters();
   for (const auto& [name, work] : state_.owner().works()) {
-    council::WorkView& one = view.works.emplace_back();
-    one.work = name;
-    if (work.owner) one.owner = work.owner->name, one.life = work.owner->life;
+    council::TaskView& one = view.tasks.emplace_back();
+    one.task = name;
+    if (work.owner) one.owner = work.owner->name, one.incarnation = work.owner->life;
     one.epoch = work.epoch;
     one.since = work.since;
     one.ending = work.ending;
-    one.obeyed = executor_->HighestOf(name);
-    for (const owner::Waiting& next : work.line) one.line.push_back(next.who.name);
-    for (const auto& held : held_) {
-      if (WorkOf(*held) != name || !held->holder.owns() || held->holder.until() <= now) continue;
-      one.own = true;
-      one.left = held->holder.until() - now;
+    one.highest_epoch = executor_->HighestOf(name);
+    for (const owner::Waiting& next : work.line) one.waiting.push_back(next.who.name);
+    for (const auto& wanted : wanted_tasks_) {
+      if (TaskNameOf(*wanted) != name || !wanted->holder.owns() || wanted->holder.until() <= now) continue;
+      one.owned_here = true;
+      one.lease_left = wanted->holder.until() - now;
     }
   }
   for (const auto& [id, incident] : state_.freeze().incidents()) {
@@ -1363,149 +1399,155 @@
     view.changes.push_back({id, freeze::NameOf(change.kind), freeze::TextOf(change.scope), change.owner.name,
                             change.grant.has_value()});
   }
-  view.followers = links_->followers();
-  view.obeyed = counters_.council_obeyed;
-  view.fenced = counters_.council_fenced;
+  view.followers = connections_->followers();
+  view.accepted_actions = counters_.council_obeyed;
+  view.rejected_actions = counters_.council_fenced;
   view.history = history_;
   return view;
 }
 
-// On one voter, by an operator. The others are asked first whether they know of a log: it is not begun twice.
-Task<std::string> Council::BeginLog(uint64_t floor) {
-  if (!store_ || !fault_.empty()) co_return Failed(store_ ? Error::kDiskLost : Error::kVoterUnknown, fault_);
-  if (VotedIn() && floor == 0) co_return Failed(Error::kMalformed, "The log has begun here.");
-  known_.clear();
+// Bootstraps the log on this voter, for an operator. The other voters are asked first whether they have a
+// log, so that no second log begins. `floor`: a log index above all epochs ever granted, to begin anew after
+// a majority was lost; 0: the first log.
+Task<std::string> CoordinatorMember::BootstrapLog(uint64_t floor) {
+  if (!store_ || !disk_fault_.empty())
+    co_return ErrorText(store_ ? Error::kDiskLost : Error::kVoterUnknown, disk_fault_);
+  if (IsVoter() && floor == 0) co_return ErrorText(Error::kMalformed, "This voter has a log already.");
+  known_voters_.clear();
   for (const CouncilVoter& voter : settings_.voters) {
-    if (voter.name != setup_.name) links_->Send(voter.address, Hello(Word::Kind::kHello));
+    if (voter.name != setup_.name)
+      connections_->Send(voter.address, EncodeHello(MemberMessage::Kind::kHello));
   }
   const Micros until = machine_.Now() + settings_.ask_ms * kMs;
-  while (known_.size() + 1 < settings_.voters.size() && machine_.Now() < until)
-    co_await late_.Wait(std::min(until, machine_.Now() + kTurnPause));
-  for (const auto& [name, known] : known_) {
-    if (known.last > floor)
-      co_return Failed(Error::kMalformed, name + " has a log through " + std::to_string(known.last) + ".");
-  }
-  if (known_.size() + 1 < settings_.voters.size() && floor == 0)
-    co_return Failed(Error::kNoMajority, "All voters must answer as the log begins.");
+  while (known_voters_.size() + 1 < settings_.voters.size() && machine_.Now() < until)
+    co_await delay_.Wait(std::min(until, machine_.Now() + kNextVoterDelay));
+  for (const auto& [name, known] : known_voters_) {
+    if (known.last_index > floor)
+      co_return ErrorText(Error::kMalformed,
+                          name + " has a log through " + std::to_string(known.last_index) + ".");
+  }
+  if (known_voters_.size() + 1 < settings_.voters.size() && floor == 0)
+    co_return ErrorText(Error::kNoMajority, "All voters must answer before a log can begin.");
   std::string own;
   for (const CouncilVoter& voter : settings_.voters) {
     if (voter.name == setup_.name) own = voter.address;
   }
-  const consensus::PersistentState held =
+  const consensus::PersistentState bootstrap_state =
       consensus::BootstrapState({{setup_.name, store_->disk()}, own}, floor);
   core_.reset();
-  began_ = false;
-  writing_.push_back(0);
-  disk_->Write(store_->Whole(held));
-  while (!began_ && fault_.empty()) co_await begun_.Wait();
-  if (!fault_.empty()) co_return Failed(Error::kDiskLost, fault_);
+  bootstrap_written_ = false;
+  pending_log_writes_.push_back(0);
+  log_disk_->Write(store_->WriteAll(bootstrap_state));
+  while (!bootstrap_written_ && disk_fault_.empty()) co_await bootstrap_event_.Wait();
+  if (!disk_fault_.empty()) co_return ErrorText(Error::kDiskLost, disk_fault_);
   applied_ = 0;
   state_ = {};
-  BeginCore(held, true);
+  BeginCore(bootstrap_state, true);
   for (const CouncilVoter& voter : settings_.voters) {
     if (voter.name != setup_.name) joining_.push_back(voter.name);
   }
-  stir_.Notify();
-  co_return "the log begins here; the other voters are brought in as they answer\n";
+  timer_wakeup_.Notify();
+  co_return "the log begins here; the other voters are added as they answer\n";
 }
 
-Task<std::string> Council::Answer(std::string words) {
+Task<std::string> CoordinatorMember::AnswerOperator(std::string words) {
   const bool json = words.ends_with(" json");
   if (json) words.erase(words.size() - 5);
   std::string rest = words;
-  const std::string what = FirstWord(rest);
-  if (what == "status") co_return json ? StatusJson(ViewNow()) : StatusText(ViewNow());
+  const std::string what = TakeFirstWord(rest);
+  if (what == "status") co_return json ? StatusJson(CurrentView()) : StatusText(CurrentView());
   if (what == "explain") {
-    const std::string text = json ? ExplainJson(ViewNow(), rest) : ExplainText(ViewNow(), rest);
-    co_return text.empty() ? Failed(Error::kMalformed, "Nothing is known of " + rest + ".") : text;
+    const std::string text = json ? ExplainJson(CurrentView(), rest) : ExplainText(CurrentView(), rest);
+    co_return text.empty() ? ErrorText(Error::kMalformed, "Nothing is known of " + rest + ".") : text;
   }
   if (what == "begin") {
     uint64_t floor = 0;
     if (!rest.empty()) {
       const auto [end, bad] = std::from_chars(rest.data(), rest.data() + rest.size(), floor);
-      if (bad != std::errc() || end != rest.data() + rest.size()) co_return Failed(Error::kMalformed);
+      if (bad != std::errc() || end != rest.data() + rest.size()) co_return ErrorText(Error::kMalformed);
     }
-    co_return co_await BeginLog(floor);
+    co_return co_await BootstrapLog(floor);
   }
-  if (what == "incident") co_return co_await Incident(rest);
+  if (what == "incident") co_return co_await HandleIncidentCommand(rest);
   const Micros until = machine_.Now() + settings_.ask_ms * kMs;
-  Word word;
+  MemberMessage message;
   if (what == "add" || what == "remove") {
-    word.kind = Word::Kind::kCall;
-    word.data = words;
+    message.kind = MemberMessage::Kind::kOperatorCall;
+    message.data = words;
   } else if (what == "hand-over" || what == "take-away") {
     owner::Command command;
-    command.work = FirstWord(rest);
+    command.work = TakeFirstWord(rest);
     const auto work = state_.owner().works().find(command.work);
-    if (work == state_.owner().works().end()) co_return Failed(Error::kUnknownWork);
+    if (work == state_.owner().works().end()) co_return ErrorText(Error::kUnknownWork);
     command.kind = what == "take-away" ? owner::Command::Kind::kTakeAway : owner::Command::Kind::kHandOver;
     command.epoch = work->second.epoch;
     if (what == "take-away") {
-      command.by = FirstWord(rest);
+      command.by = TakeFirstWord(rest);
       command.reason = rest;
     } else {
-      const std::string to = FirstWord(rest);
+      const std::string to = TakeFirstWord(rest);
       for (const owner::Waiting& next : work->second.line) {
         if (next.who.name == to) command.to = next.who;
       }
-      if (command.to.name.empty()) co_return Failed(Error::kNotOwner, to + " does not wait for it.");
+      if (command.to.name.empty()) co_return ErrorText(Error::kNotOwner, to + " is not waiting for it.");
     }
-    word.kind = Word::Kind::kPropose;
-    word.data = council::Envelope(command);
+    message.kind = MemberMessage::Kind::kPropose;
+    message.data = council::Envelope(command);
   } else {
-    co_return Failed(Error::kMalformed, "Unknown question.");
+    co_return ErrorText(Error::kMalformed, "Unknown command.");
   }
-  const Word back = co_await AskLeader(std::move(word), until);
-  if (back.error == Error::kNoMajority && MajorityLost()) co_return Failed(Error::kMajorityLost);
-  if (back.error == Error::kNone)
-    co_return back.data.empty() ? "agreed, entry " + std::to_string(back.index) + "\n" : back.data;
+  const MemberMessage reply = co_await AskLeader(std::move(message), until);
+  if (reply.error == Error::kNoMajority && MajorityLost()) co_return ErrorText(Error::kMajorityLost);
+  if (reply.error == Error::kNone)
+    co_return reply.data.empty() ? "committed, entry " + std::to_string(reply.index) + "\n" : reply.data;
   std::string missing;
-  if (back.error == Error::kNoMajority) {
-    for (const std::string& name : Missing()) missing += (missing.empty() ? "Missing: " : ", ") + name;
+  if (reply.error == Error::kNoMajority) {
+    for (const std::string& name : MissingVoters()) missing += (missing.empty() ? "Missing: " : ", ") + name;
   }
-  co_return Failed(back.error, missing);
+  co_return ErrorText(reply.error, missing);
 }
 
-Task<> Council::Await() {
+Task<> CoordinatorMember::AcceptOperators() {
   while (true) {
-    std::erase_if(askers_, [](const auto& asker) { return asker->over && asker->task.Done(); });
-    std::unique_ptr<Channel> channel = asked_at_->Accept();
+    std::erase_if(operator_sessions_,
+                  [](const auto& session) { return session->finished && session->task.Done(); });
+    std::unique_ptr<Channel> channel = operator_listener_->Accept();
     if (!channel) {
-      co_await asked_at_->Wait(machine_.Now() + kSecond);
+      co_await operator_listener_->Wait(machine_.Now() + kSecond);
       continue;
     }
-    if (askers_.size() >= kMostAskers) continue;
-    auto asker = std::make_unique<Asker>();
-    asker->channel = std::move(channel);
-    Asker& here = *asker;
-    askers_.push_back(std::move(asker));
-    here.task = Serve(here);
+    if (operator_sessions_.size() >= kMaxOperatorSessions) continue;
+    auto session = std::make_unique<OperatorSession>();
+    session->channel = std::move(channel);
+    OperatorSession& here = *session;
+    operator_sessions_.push_back(std::move(session));
+    here.task = ServeOperator(here);
     here.task.Start();
   }
 }
 
-Task<> Council::Serve(Asker& asker) {
-  const Micros until = machine_.Now() + kTalkWithin;
+Task<> CoordinatorMember::ServeOperator(OperatorSession& session) {
+  const Micros until = machine_.Now() + kOperatorTimeout;
   std::string words;
-  std::unique_ptr<Stream> along;
+  std::unique_ptr<Stream> passed_stream;
   Io io = Io::kLater;
-  while ((io = asker.channel->Receive(words, along)) == Io::kLater) {
-    if (!co_await asker.channel->Wait(until)) break;
+  while ((io = session.channel->Receive(words, passed_stream)) == Io::kLater) {
+    if (!co_await session.channel->Wait(until)) break;
   }
   if (io == Io::kSome) {
-    const std::string answer = co_await Answer(words);
+    const std::string answer = co_await AnswerOperator(words);
     for (size_t at = 0; at < answer.size();) {
-      const Io sent = asker.channel->Send(std::string_view(answer).substr(at, kPiece));
+      const Io sent = session.channel->Send(std::string_view(answer).substr(at, kAnswerChunkBytes));
       if (sent == Io::kBroken) break;
       if (sent == Io::kSome) {
-        at += kPiece;
-      } else if (!co_await asker.channel->Wait(until)) {
+        at += kAnswerChunkBytes;
+      } else if (!co_await session.channel->Wait(until)) {
         break;
       }
     }
   }
-  asker.channel.reset();
-  asker.over = true;
+  session.channel.reset();
+  session.finished = true;
 }
 
 }  // namespace burlfall
--- a/src/council/coordinator_member.h
+++ b/src/council/coordinator_member.h
@@ -1,6 +1,8 @@
-// The council as a member runs it: the core (src/consensus) between files, connections and timers; the state
-// that the log makes; the works that this member asks to own, and its acts under their epochs; what it obeys
-// of others' acts. Nothing is decided here. A balancer's own service waits for none of it.
+// One member of the coordinator group ("council" in settings and commands). It connects the consensus core
+// (src/consensus) with files, connections and timers; applies the log to the replicated state; owns tasks
+// under leases and sends the actions of their owner; and checks the actions of other owners against their
+// epochs (fencing). The decisions are made in src/consensus, src/owner, src/freeze and src/ejection. A
+// balancer's own service does not wait for any of it.
 #ifndef BURLFALL_COUNCIL_COORDINATOR_MEMBER_H_
 #define BURLFALL_COUNCIL_COORDINATOR_MEMBER_H_
 
@@ -34,149 +36,164 @@
 
 namespace burlfall {
 
-class Council {
+// A member that may be a voter or a follower of the log, as the settings say.
+class CoordinatorMember {
  public:
   struct Setup {
     std::string name;
-    // The files' and the socket's path, without their endings; the folder is `folder`.
+    // Path of the files and of the socket without their extensions; `folder` is the folder that holds them.
     std::string stem;
     std::string folder;
-    // What the fleet looks like from here, asked about once a second of whoever owns the freeze.
-    struct Sight {
+    // One health observation of the fleet by this balancer. The owner of the freeze task collects them with
+    // each of its actions, four times per lease.
+    struct Observation {
       freeze::IncidentKind kind = freeze::IncidentKind::kZoneDown;
       freeze::Scope scope;
       double share = 0;
     };
-    std::function<std::vector<Sight>()> sights = [] { return std::vector<Sight>(); };
+    std::function<std::vector<Observation>()> observations = [] { return std::vector<Observation>(); };
   };
 
   // `log` and `counters` must outlive it.
-  Council(Machine& machine, const CouncilSettings& settings, Setup setup, Log& log, Counters& counters);
-  ~Council();
+  CoordinatorMember(Machine& machine, const CouncilSettings& settings, Setup setup, Log& log,
+                    Counters& counters);
+  ~CoordinatorMember();
 
-  // Binds the address, and tries again for as long as it can't be had: the process before may still hold it,
-  // and with it the disk.
+  // Binds the address, and retries as long as it is in use: the previous process may still hold it, and with
+  // it the disk.
   void Start();
-  // Lets go of address, disk and socket at once, and without a word. Whoever waits in Ask() is refused.
-  void Shut();
-  void Leave();  // in order: gives up what it owns, hands the lead over
+  // Releases address, disk and socket at once, without notifying other members. Calls that wait in
+  // RequestPermission() are refused.
+  void ShutDown();
+  // Graceful leave: gives up owned tasks and transfers the leadership.
+  void Leave();
 
-  // Whether a change of one step may begin now; it is then told by Done().
+  // Whether a change of one step may begin now. ReportDone() must report its end.
   struct Permission {
     owner::Error error = owner::Error::kNone;
-    std::string text;       // of an error: what stands against it, and what to do
-    uint64_t incident = 0;  // that forbids it; 0: none
-    Micros retry = 0;       // when to ask again
-    uint64_t change = 0;    // 0: begun without the council, as an emergency
+    std::string text;       // with an error: the cause, such as the incident or the missing voters
+    uint64_t incident = 0;  // the one that forbids it; 0: none
+    Micros retry = 0;       // time until the next attempt
+    uint64_t change = 0;    // 0: begun without the group, as an emergency
     uint64_t epoch = 0;
   };
-  // `by` and `reason` break the glass of an incident, and let an emergency go on without a majority; both or
-  // none.
-  Task<Permission> Ask(freeze::ChangeKind kind, freeze::Scope scope, std::string by, std::string reason);
-  // Once the council knows, or after a second; it is told until it knows.
-  Task<> Done(Permission permission);
+  // Asks the group for a change. `by` and `reason` (both or none) request an emergency override: the change
+  // may begin despite an incident, or without a majority if its kind is an emergency kind.
+  Task<Permission> RequestPermission(freeze::ChangeKind kind, freeze::Scope scope, std::string by,
+                                     std::string reason);
+  // Reports the end of the change. Returns once it is committed, or after kDoneTimeout; the report is
+  // repeated in the background until it is committed.
+  Task<> ReportDone(Permission permission);
 
  private:
-  struct Asked {
-    explicit Asked(Scheduler& scheduler) : came(scheduler) {}
-    Event came;
-    std::optional<council::Word> answer;
+  // A call to the leader that waits for its answer.
+  struct PendingCall {
+    explicit PendingCall(Scheduler& scheduler) : answered(scheduler) {}
+    Event answered;
+    std::optional<council::MemberMessage> answer;
   };
-  struct Waiting {  // for an entry of this term
+  // A proposal whose sender waits for the commit of an entry of this term.
+  struct PendingProposal {
     uint64_t term = 0;
-    uint64_t link = 0;
+    uint64_t connection = 0;
     uint64_t number = 0;
   };
-  struct Reading {
-    uint64_t link = 0;
+  // A read whose sender waits for the answer.
+  struct PendingRead {
+    uint64_t connection = 0;
     uint64_t number = 0;
-    std::string work;
+    std::string owned_task;
   };
-  struct Held {  // a work that this member wants
-    Held(Scheduler& scheduler, owner::Holder its) : holder(std::move(its)), moved(scheduler) {}
+  // A task that this member wants to own.
+  struct WantedTask {
+    WantedTask(Scheduler& scheduler, owner::Holder its) : holder(std::move(its)), changed(scheduler) {}
     owner::Holder holder;
-    uint64_t acts = 0;
-    Micros act_at = 0;
-    Event moved;
-    Task<> task;
+    uint64_t actions_sent = 0;
+    Micros next_action_at = 0;
+    Event changed;
+    Task<> coroutine;
   };
-  struct Act {
-    council::Word word;
-    uint64_t link = 0;  // 0: its own
+  // An action of a task's owner that is not yet accepted or rejected.
+  struct PendingAction {
+    council::MemberMessage message;
+    uint64_t connection = 0;  // 0: an action of this member
   };
-  // Of another voter, by its own word. What it promised is on its disk: it never comes back with less.
-  struct Known {
+  // What is known of another voter from its own messages. What it acknowledged is on its disk, so a voter
+  // that returns with the same disk and less than that has lost data.
+  struct KnownVoter {
     uint64_t disk = 0;
-    uint64_t last = 0;
+    uint64_t last_index = 0;
     std::string address;
-    uint64_t term = 0;    // in which it last promised anything
-    uint64_t agreed = 0;  // in that term: its log through here
+    uint64_t promised_term = 0;   // of its last acknowledgement
+    uint64_t promised_index = 0;  // last index of its log that it acknowledged in that term
   };
-  struct Asker {
+  // One operator's connection on the Unix socket.
+  struct OperatorSession {
     std::unique_ptr<Channel> channel;
-    bool over = false;
+    bool finished = false;
     Task<> task;
   };
 
-  // The ways in.
+  // Start and input.
   Task<> Open();
   void OpenDisk();
-  void BeginCore(consensus::PersistentState held, bool may_vote);
-  Task<> Beat();
-  Task<> HearDisk();
-  Task<> HearEpochDisk();
-  void Heard(council::Links::Link& from, std::string_view frame);
-  void HeardWord(council::Links::Link& from, council::Word word);
-  void Dropped(const char* why, const std::string& from);
+  void BeginCore(consensus::PersistentState state, bool may_vote);
+  Task<> RunTimers();
+  Task<> WatchLogDisk();
+  Task<> WatchEpochDisk();
+  void OnFrame(council::MemberConnections::Connection& from, std::string_view frame);
+  void OnMemberMessage(council::MemberConnections::Connection& from, council::MemberMessage message);
+  void LogDropped(const char* why, const std::string& from);
 
-  // The core's way round.
-  void Settle();
-  void Take(const consensus::Applied& applied);
-  void Carry(const owner::Effects& effects);
-  void Tell(const consensus::Notice& notice);
-  void LeadOn();  // what a leader proposes by itself
-  bool Leads() const { return core_ && core_->role() == consensus::Role::kLeader; }
+  // Outputs of the consensus core.
+  void ProcessOutputs();
+  void OnApplied(const consensus::Applied& applied);
+  void OnOwnerEffects(const owner::Effects& effects);
+  void OnNotice(const consensus::Notice& notice);
+  void ProposeAsLeader();
+  bool IsLeader() const { return core_ && core_->role() == consensus::Role::kLeader; }
   bool MajorityLost() const;
-  void Promised(const consensus::Message& message);
-  bool VotedIn() const { return core_ && core_->is_voter(); }
+  void RecordPromise(const consensus::Message& message);
+  bool IsVoter() const { return core_ && core_->is_voter(); }
   const std::string& AddressOf(const std::string& name) const;
   std::string LeaderAddress() const;
-  std::string Target();
+  std::string NextTarget();
   void SnapshotIfDue();
 
-  // Proposals, reads and calls, here and from others.
-  void Handle(const council::Word& word, uint64_t link);
-  void Reply(uint64_t link, council::Word word);
-  Task<council::Word> AskLeader(council::Word word, Micros until);
-  void Post(std::string data);
-  council::Word Call(const std::string& words);
+  // Proposals, reads and calls, by this member and by others.
+  void HandleAtLeader(const council::MemberMessage& message, uint64_t connection);
+  void Reply(uint64_t connection, council::MemberMessage message);
+  Task<council::MemberMessage> AskLeader(council::MemberMessage message, Micros until);
+  void ProposeWithoutReply(std::string data);
+  council::MemberMessage HandleOperatorCall(const std::string& words);
 
   // Changes and incidents.
-  Task<std::optional<council::Came>> CameOf(uint64_t index, Micros until);
-  Task<std::optional<freeze::Effect>> Agree(freeze::Command command, Micros until, owner::Error& error);
-  void CarryFreeze(const freeze::Effects& effects);
-  void SyncLapse();
-  void FinishChanges();
-  Task<std::string> Incident(std::string words);
-  void Look(uint64_t epoch);
+  Task<std::optional<council::ApplyResult>> WaitForResult(uint64_t index, Micros until);
+  Task<std::optional<freeze::Effect>> ProposeFreezeCommand(freeze::Command command, Micros until,
+                                                           owner::Error& error);
+  void OnFreezeEffects(const freeze::Effects& effects);
+  void SyncFreezeLeases();
+  void ReportFinishedChanges();
+  Task<std::string> HandleIncidentCommand(std::string words);
+  void ReportObservations(uint64_t epoch);
 
-  // Works and acts.
-  Task<> Own(Held& held);
-  std::string WorkOf(const Held& held) const;
-  void SendAct(Held& held, uint64_t epoch);
-  void Obey(const council::Word& word, uint64_t link);
-  void SettleActs();
-  Task<> Learn();
+  // Owned tasks and actions.
+  Task<> RunWantedTask(WantedTask& wanted);
+  std::string TaskNameOf(const WantedTask& wanted) const;
+  void SendAction(WantedTask& wanted, uint64_t epoch);
+  void OnAction(const council::MemberMessage& message, uint64_t connection);
+  void CheckPendingActions();
+  Task<> LearnEpochs();
 
-  // Who asks.
-  Task<> Await();
-  Task<> Serve(Asker& asker);
-  Task<std::string> Answer(std::string words);
-  Task<std::string> BeginLog(uint64_t floor);
-  council::View ViewNow();
-  std::vector<std::string> Missing() const;
-  void Note(const std::string& line);
-  std::string Hello(council::Word::Kind kind, owner::Error error = owner::Error::kNone) const;
+  // Operators' requests.
+  Task<> AcceptOperators();
+  Task<> ServeOperator(OperatorSession& session);
+  Task<std::string> AnswerOperator(std::string words);
+  Task<std::string> BootstrapLog(uint64_t floor);
+  council::View CurrentView();
+  std::vector<std::string> MissingVoters() const;
+  void AddHistory(const std::string& line);
+  std::string EncodeHello(council::MemberMessage::Kind kind, owner::Error error = owner::Error::kNone) const;
 
   Machine& machine_;
   const CouncilSettings settings_;
@@ -187,69 +204,70 @@
   const owner::Who self_;
   bool open_ = false;
   bool left_ = false;
-  bool shut_ = false;
+  bool shut_down_ = false;
 
   std::optional<council::Store> store_;
-  std::string fault_;  // of the disk
-  std::unique_ptr<DurableWriter> disk_;
-  uint64_t disk_done_ = 0;
-  std::deque<uint64_t> writing_;  // the core's numbers; 0: the beginning of the log
-  bool began_ = false;            // that one is on the disk
+  std::string disk_fault_;  // empty: none
+  std::unique_ptr<DurableWriter> log_disk_;
+  uint64_t log_disk_done_ = 0;
+  std::deque<uint64_t> pending_log_writes_;  // the core's write numbers; 0: the bootstrap of the log
+  bool bootstrap_written_ = false;           // the bootstrap is flushed
   std::optional<consensus::Core> core_;
   std::optional<consensus::Follower> follower_;
   std::deque<std::string> joining_;  // names, which this leader brings in
-  std::map<std::string, Known> known_;
+  std::map<std::string, KnownVoter> known_voters_;
 
   council::State state_;
   uint64_t applied_ = 0;
-  uint64_t saved_ = 0;  // through this entry the last snapshot was made
-  owner::Lapse lapse_;
-  owner::Lapse freeze_lapse_;
-  std::map<std::string, owner::Lease> freeze_leases_;  // that are counted
-  std::map<uint64_t, council::Came> recent_;           // the last that were carried out
-  std::list<Event*> on_applied_;
-  uint64_t requests_ = 0;
-  std::map<uint64_t, freeze::Command> finishing_;  // by change: to be told until it has ended
-  Micros finish_at_ = 0;
+  uint64_t snapshot_index_ = 0;  // the last entry in the last snapshot
+  owner::Lapse lease_expiry_;
+  owner::Lapse freeze_lease_expiry_;
+  std::map<std::string, owner::Lease> freeze_leases_;        // that freeze_lease_expiry_ tracks
+  std::map<uint64_t, council::ApplyResult> recent_results_;  // of the last applied entries, by index
+  std::list<Event*> applied_waiters_;
+  uint64_t last_request_ = 0;
+  std::map<uint64_t, freeze::Command>
+      finishing_changes_;  // by change: its end is proposed until it is applied
+  Micros next_finish_report_ = 0;
   const freeze::Rules freeze_rules_;
-  freeze::LocalGate gate_;
-  freeze::Sights sights_;
-  uint64_t sights_epoch_ = 0;  // of the freeze, for which they began
-  Micros led_on_at_ = 0;
+  freeze::LocalGate local_gate_;
+  freeze::Sights observations_;
+  uint64_t observations_epoch_ = 0;  // epoch of the freeze task for which observations_ was reset
+  Micros last_leader_proposals_at_ = 0;
 
-  uint64_t numbers_ = 0;
-  std::map<uint64_t, Asked*> asked_;
-  std::map<uint64_t, std::vector<Waiting>> waiting_;  // by index
-  std::map<uint64_t, Reading> reads_;                 // by token
-  std::string hint_;                                  // the leader's address, as somebody said
-  size_t turn_ = 0;
+  uint64_t last_number_ = 0;
+  std::map<uint64_t, PendingCall*> pending_calls_;
+  std::map<uint64_t, std::vector<PendingProposal>> pending_proposals_;  // by index
+  std::map<uint64_t, PendingRead> pending_reads_;                       // by token
+  std::string leader_hint_;  // the leader's address from a kNotLeader answer
+  size_t voter_turn_ = 0;
 
-  std::list<std::unique_ptr<Held>> held_;
+  std::list<std::unique_ptr<WantedTask>> wanted_tasks_;
   std::optional<owner::Executor> executor_;
   std::unique_ptr<DurableWriter> epoch_disk_;
-  uint64_t epochs_done_ = 0;
-  std::deque<uint64_t> epochs_writing_;
-  std::deque<Act> acts_;
-  std::set<std::string> untold_;
-  std::map<std::string, uint64_t> obeys_;  // the epoch that was told of last
-  std::map<std::string, uint64_t> act_links_;
+  uint64_t epoch_disk_done_ = 0;
+  std::deque<uint64_t> pending_epoch_writes_;
+  std::deque<PendingAction> pending_actions_;
+  std::set<std::string> unknown_epochs_;
+  std::map<std::string, uint64_t> logged_epochs_;  // by task: the last accepted epoch that was logged
+  std::map<std::string, uint64_t> action_connections_;
 
   std::vector<std::string> history_;
-  std::set<std::string> dropped_;
-  bool settling_ = false, settle_again_ = false;
-  std::unique_ptr<ChannelListener> asked_at_;
-  std::list<std::unique_ptr<Asker>> askers_;
-  Event stir_;
-  Event learn_;
-  Event begun_;
-  Event late_;
-  std::optional<council::Links> links_;
-  Task<> opening_;  // the tasks last: what they use must outlive them
-  Task<> beating_;
-  Task<> hearing_disk_;
-  Task<> hearing_epochs_;
-  Task<> learning_;
-  Task<> awaiting_;
+  std::set<std::string> logged_drops_;
+  bool processing_outputs_ = false, process_outputs_again_ = false;
+  std::unique_ptr<ChannelListener> operator_listener_;
+  std::list<std::unique_ptr<OperatorSession>> operator_sessions_;
+  Event timer_wakeup_;
+  Event learn_wakeup_;
+  Event bootstrap_event_;
+  Event delay_;
+  std::optional<council::MemberConnections> connections_;
+  Task<> open_task_;  // the coroutines are declared last: what they use must outlive them
+  Task<> timers_task_;
+  Task<> log_disk_task_;
+  Task<> epoch_disk_task_;
+  Task<> learn_task_;
+  Task<> accept_operators_task_;
 };
 
 }  // namespace burlfall
--- a/src/council/member_connections.cpp
+++ b/src/council/member_connections.cpp
@@ -8,20 +8,20 @@
 namespace burlfall::council {
 namespace {
 
-constexpr size_t kMostDialled = 32;    // addresses
-constexpr size_t kMostAccepted = 600;  // connections; further ones wait to be accepted
-constexpr size_t kMostFrames = 512;    // waiting on one connection
-constexpr size_t kMostBytes = 8 << 20;
-constexpr size_t kHeadBytes = 4;
-constexpr Micros kConnectWithin = kSecond;
-constexpr Micros kDialAgain = 50 * kMs, kDialAgainMost = 400 * kMs;
-constexpr Micros kStalled = 5 * kSecond;  // with something to go out, and none of it went
-constexpr Micros kIdle = 60 * kSecond;
-constexpr Micros kLookAgain = 100 * kMs;
-
-Links::Frame Framed(std::string_view frame, bool repeats) {
-  Links::Frame one;
-  one.repeats = repeats;
+constexpr size_t kMaxOutgoing = 32;       // connections
+constexpr size_t kMaxIncoming = 600;      // connections; further ones are not accepted yet
+constexpr size_t kMaxQueuedFrames = 512;  // on one connection
+constexpr size_t kMaxQueuedBytes = 8 << 20;
+constexpr size_t kLengthBytes = 4;
+constexpr Micros kConnectTimeout = kSecond;
+constexpr Micros kMinRedialInterval = 50 * kMs, kMaxRedialInterval = 400 * kMs;
+constexpr Micros kWriteTimeout = 5 * kSecond;  // without progress while frames are queued
+constexpr Micros kIdleTimeout = 60 * kSecond;
+constexpr Micros kAcceptRetryInterval = 100 * kMs;
+
+MemberConnections::Frame AddLength(std::string_view frame, bool replaceable) {
+  MemberConnections::Frame one;
+  one.replaceable = replaceable;
   for (int byte = 3; byte >= 0; --byte) one.bytes += static_cast<char>(frame.size() >> (8 * byte) & 0xff);
   one.bytes += frame;
   return one;
@@ -29,189 +29,194 @@
 
 }  // namespace
 
-Links::~Links() = default;
+MemberConnections::~MemberConnections() = default;
 
-void Links::Open() {
+void MemberConnections::Listen() {
   listener_ = machine_.network().Listen(listen_);
-  accepting_ = Accept();
-  accepting_.Start();
-}
-
-void Links::Put(Link& link, std::string_view frame, bool repeats) {
-  if (link.out.size() >= kMostFrames || link.out_bytes + frame.size() > kMostBytes) {
-    ++counts_.lost;
-    // The first may be under way.
-    const auto oldest = std::find_if(link.out.begin() + (link.out.empty() ? 0 : 1), link.out.end(),
-                                     [](const Frame& f) { return f.repeats; });
-    if (oldest == link.out.end()) return;
-    link.out_bytes -= oldest->bytes.size();
-    link.out.erase(oldest);
+  accept_task_ = Accept();
+  accept_task_.Start();
+}
+
+void MemberConnections::Enqueue(Connection& connection, std::string_view frame, bool replaceable) {
+  if (connection.send_queue.size() >= kMaxQueuedFrames ||
+      connection.queued_bytes + frame.size() > kMaxQueuedBytes) {
+    ++counts_.dropped;
+    // The first frame may be partly written.
+    const auto oldest =
+        std::find_if(connection.send_queue.begin() + (connection.send_queue.empty() ? 0 : 1),
+                     connection.send_queue.end(), [](const Frame& f) { return f.replaceable; });
+    if (oldest == connection.send_queue.end()) return;
+    connection.queued_bytes -= oldest->bytes.size();
+    connection.send_queue.erase(oldest);
   }
-  if (link.out.empty()) link.moved_at = machine_.Now();
-  Frame one = Framed(frame, repeats);
-  link.out_bytes += one.bytes.size();
-  link.out.push_back(std::move(one));
-  if (link.stream) link.stream->Notify();
-  link.wanted.Notify();
-}
-
-void Links::Send(const std::string& address, std::string_view frame, bool repeats) {
-  auto it = dialled_.find(address);
-  if (it == dialled_.end()) {
-    if (dialled_.size() >= kMostDialled) return;
-    it = dialled_.emplace(address, std::make_unique<Link>(machine_.scheduler())).first;
-    Link& link = *it->second;
-    link.number = ++numbers_;
-    link.address = address;
-    link.task = Dial(link);
-    link.task.Start();
+  if (connection.send_queue.empty()) connection.last_write_at = machine_.Now();
+  Frame one = AddLength(frame, replaceable);
+  connection.queued_bytes += one.bytes.size();
+  connection.send_queue.push_back(std::move(one));
+  if (connection.stream) connection.stream->Notify();
+  connection.frame_queued.Notify();
+}
+
+void MemberConnections::Send(const std::string& address, std::string_view frame, bool replaceable) {
+  auto it = outgoing_.find(address);
+  if (it == outgoing_.end()) {
+    if (outgoing_.size() >= kMaxOutgoing) return;
+    it = outgoing_.emplace(address, std::make_unique<Connection>(machine_.scheduler())).first;
+    Connection& connection = *it->second;
+    connection.number = ++last_number_;
+    connection.address = address;
+    connection.task = Dial(connection);
+    connection.task.Start();
   }
-  Put(*it->second, frame, repeats);
+  Enqueue(*it->second, frame, replaceable);
 }
 
-void Links::Answer(uint64_t number, std::string_view frame) {
-  for (const auto& link : accepted_) {
-    if (link->number == number && !link->over) return Put(*link, frame, false);
+void MemberConnections::Reply(uint64_t number, std::string_view frame) {
+  for (const auto& connection : incoming_) {
+    if (connection->number == number && !connection->closed) return Enqueue(*connection, frame, false);
   }
-  for (const auto& [address, link] : dialled_) {
-    if (link->number == number && link->stream) return Put(*link, frame, false);
+  for (const auto& [address, connection] : outgoing_) {
+    if (connection->number == number && connection->stream) return Enqueue(*connection, frame, false);
   }
 }
 
-void Links::ToFollowers(std::string_view frame) {
-  for (const auto& link : accepted_) {
-    if (link->follows && !link->over) Put(*link, frame, false);
+void MemberConnections::SendToFollowers(std::string_view frame) {
+  for (const auto& connection : incoming_) {
+    if (connection->is_follower && !connection->closed) Enqueue(*connection, frame, false);
   }
 }
 
-size_t Links::followers() const {
-  return static_cast<size_t>(
-      std::ranges::count_if(accepted_, [](const auto& link) { return link->follows && !link->over; }));
+size_t MemberConnections::followers() const {
+  return static_cast<size_t>(std::ranges::count_if(
+      incoming_, [](const auto& connection) { return connection->is_follower && !connection->closed; }));
 }
 
-bool Links::Up(const std::string& address) const {
-  const auto it = dialled_.find(address);
-  return it != dialled_.end() && it->second->stream != nullptr;
+bool MemberConnections::IsConnected(const std::string& address) const {
+  const auto it = outgoing_.find(address);
+  return it != outgoing_.end() && it->second->stream != nullptr;
 }
 
-void Links::Bury() {
-  std::erase_if(accepted_, [](const auto& link) { return link->over && link->task.Done(); });
+void MemberConnections::RemoveClosed() {
+  std::erase_if(incoming_,
+                [](const auto& connection) { return connection->closed && connection->task.Done(); });
 }
 
-void Links::Drop(Link& link) {
-  link.stream.reset();
-  link.out.clear();
-  link.in.clear();
-  link.out_bytes = link.written = 0;
+void MemberConnections::Reset(Connection& connection) {
+  connection.stream.reset();
+  connection.send_queue.clear();
+  connection.read_buffer.clear();
+  connection.queued_bytes = connection.written_bytes = 0;
 }
 
-Task<> Links::Accept() {
+Task<> MemberConnections::Accept() {
   while (true) {
-    Bury();
+    RemoveClosed();
     std::unique_ptr<Stream> stream;
-    if (accepted_.size() >= kMostAccepted) {
-      co_await room_.Wait(machine_.Now() + kLookAgain);
+    if (incoming_.size() >= kMaxIncoming) {
+      co_await capacity_freed_.Wait(machine_.Now() + kAcceptRetryInterval);
       continue;
     }
     const Listener::Accepted accepted = listener_->Accept(stream);
     if (accepted == Listener::Accepted::kNone) co_await listener_->Wait(machine_.Now() + kSecond);
-    if (accepted == Listener::Accepted::kNoRoom) co_await room_.Wait(machine_.Now() + kLookAgain);
+    if (accepted == Listener::Accepted::kNoRoom)
+      co_await capacity_freed_.Wait(machine_.Now() + kAcceptRetryInterval);
     if (accepted != Listener::Accepted::kOne) continue;
-    accepted_.push_back(std::make_unique<Link>(machine_.scheduler()));
-    Link& link = *accepted_.back();
-    link.number = ++numbers_;
-    link.stream = std::move(stream);
-    link.task = Serve(link);
-    link.task.Start();
+    incoming_.push_back(std::make_unique<Connection>(machine_.scheduler()));
+    Connection& connection = *incoming_.back();
+    connection.number = ++last_number_;
+    connection.stream = std::move(stream);
+    connection.task = ServeIncoming(connection);
+    connection.task.Start();
   }
 }
 
-Task<> Links::Serve(Link& link) {
-  co_await Run(link);
-  Drop(link);
-  link.over = true;
-  room_.Notify();
+Task<> MemberConnections::ServeIncoming(Connection& connection) {
+  co_await Run(connection);
+  Reset(connection);
+  connection.closed = true;
+  capacity_freed_.Notify();
 }
 
-Task<> Links::Dial(Link& link) {
-  const std::optional<Address> to = ReadAddress(link.address);
-  Micros wait = kDialAgain;
+Task<> MemberConnections::Dial(Connection& connection) {
+  const std::optional<Address> to = ReadAddress(connection.address);
+  Micros redial_interval = kMinRedialInterval;
   while (to) {
-    if (link.out.empty()) {
-      co_await link.wanted.Wait();
+    if (connection.send_queue.empty()) {
+      co_await connection.frame_queued.Wait();
       continue;
     }
-    NoConnection why = NoConnection::kRefused;
-    std::unique_ptr<Stream> stream = machine_.network().ConnectFrom(&listen_, *to, why);
-    if (stream && co_await Connected(*stream, machine_.Now() + kConnectWithin)) {
-      wait = kDialAgain;
-      link.stream = std::move(stream);
-      link.moved_at = machine_.Now();
-      link.out.push_front(Framed(hears_.hello(), false));
-      link.out_bytes += link.out.front().bytes.size();
-      co_await Run(link);
+    NoConnection failure = NoConnection::kRefused;
+    std::unique_ptr<Stream> stream = machine_.network().ConnectFrom(&listen_, *to, failure);
+    if (stream && co_await Connected(*stream, machine_.Now() + kConnectTimeout)) {
+      redial_interval = kMinRedialInterval;
+      connection.stream = std::move(stream);
+      connection.last_write_at = machine_.Now();
+      connection.send_queue.push_front(AddLength(callbacks_.hello(), false));
+      connection.queued_bytes += connection.send_queue.front().bytes.size();
+      co_await Run(connection);
     }
     stream.reset();
-    Drop(link);  // what waited is old by now
-    const Micros until = machine_.Now() + wait;
-    while (machine_.Now() < until) co_await link.wanted.Wait(until);
-    wait = std::min(2 * wait, kDialAgainMost);
+    Reset(connection);  // queued frames are outdated by now
+    const Micros until = machine_.Now() + redial_interval;
+    while (machine_.Now() < until) co_await connection.frame_queued.Wait(until);
+    redial_interval = std::min(2 * redial_interval, kMaxRedialInterval);
   }
 }
 
-void Links::WriteOut(Link& link) {
-  while (!link.out.empty() && !link.over) {
-    Frame& first = link.out.front();
-    std::string_view rest = std::string_view(first.bytes).substr(link.written);
+void MemberConnections::WriteQueued(Connection& connection) {
+  while (!connection.send_queue.empty() && !connection.closed) {
+    Frame& first = connection.send_queue.front();
+    std::string_view rest = std::string_view(first.bytes).substr(connection.written_bytes);
     const size_t before = rest.size();
-    const Io io = link.stream->Write(rest);
-    if (rest.size() < before) link.moved_at = machine_.Now();
-    link.written += before - rest.size();
+    const Io io = connection.stream->Write(rest);
+    if (rest.size() < before) connection.last_write_at = machine_.Now();
+    connection.written_bytes += before - rest.size();
     counts_.bytes_out += before - rest.size();
-    if (io == Io::kBroken) link.over = true;
+    if (io == Io::kBroken) connection.closed = true;
     if (!rest.empty()) return;
     ++counts_.frames_out;
-    link.out_bytes -= first.bytes.size();
-    link.out.pop_front();
-    link.written = 0;
+    connection.queued_bytes -= first.bytes.size();
+    connection.send_queue.pop_front();
+    connection.written_bytes = 0;
   }
 }
 
-// False where what came can't be a frame.
-bool Links::TakeIn(Link& link) {
+// Delivers all complete frames of the read buffer. False: the length of a frame is invalid.
+bool MemberConnections::ReadFrames(Connection& connection) {
   size_t at = 0;
-  while (link.in.size() - at >= kHeadBytes) {
+  while (connection.read_buffer.size() - at >= kLengthBytes) {
     size_t length = 0;
-    for (size_t byte = 0; byte < kHeadBytes; ++byte)
-      length = length << 8 | static_cast<unsigned char>(link.in[at + byte]);
+    for (size_t byte = 0; byte < kLengthBytes; ++byte)
+      length = length << 8 | static_cast<unsigned char>(connection.read_buffer[at + byte]);
     if (length == 0 || length > consensus::kMaxFrameBytes) return false;
-    if (link.in.size() - at < kHeadBytes + length) break;
+    if (connection.read_buffer.size() - at < kLengthBytes + length) break;
     ++counts_.frames_in;
-    hears_.frame(link, std::string_view(link.in).substr(at + kHeadBytes, length));
-    at += kHeadBytes + length;
+    callbacks_.frame(connection, std::string_view(connection.read_buffer).substr(at + kLengthBytes, length));
+    at += kLengthBytes + length;
   }
-  link.in.erase(0, at);
+  connection.read_buffer.erase(0, at);
   return true;
 }
 
-Task<> Links::Run(Link& link) {
-  link.over = false;
-  Micros heard_at = machine_.Now();
+Task<> MemberConnections::Run(Connection& connection) {
+  connection.closed = false;
+  Micros last_read_at = machine_.Now();
   while (true) {
-    WriteOut(link);
-    if (link.over) break;
-    const Io io = link.stream->Read(link.in);
+    WriteQueued(connection);
+    if (connection.closed) break;
+    const Io io = connection.stream->Read(connection.read_buffer);
     if (io == Io::kClosed || io == Io::kBroken) break;
     if (io == Io::kSome) {
-      heard_at = machine_.Now();
-      if (!TakeIn(link)) break;
-      if (!link.out.empty()) WriteOut(link);
+      last_read_at = machine_.Now();
+      if (!ReadFrames(connection)) break;
+      if (!connection.send_queue.empty()) WriteQueued(connection);
     }
-    const Micros idle = std::max(heard_at, link.moved_at) + kIdle;
-    const Micros until = link.out.empty() ? idle : link.moved_at + kStalled;
-    // A process that stood still has not waited: what has come since is read before it gives up.
+    const Micros idle = std::max(last_read_at, connection.last_write_at) + kIdleTimeout;
+    const Micros until = connection.send_queue.empty() ? idle : connection.last_write_at + kWriteTimeout;
+    // After a pause of this process, the timeout may have passed although the peer has sent data: close only
+    // after a read that found none.
     if (io == Io::kLater && machine_.Now() >= until) break;
-    co_await link.stream->Wait(io == Io::kSome ? machine_.Now() : until);
+    co_await connection.stream->Wait(io == Io::kSome ? machine_.Now() : until);
   }
 }
 
--- a/src/council/member_connections.h
+++ b/src/council/member_connections.h
@@ -1,7 +1,7 @@
-// Frames on connections between members: a length of 4 bytes, then the frame. One connection in each
-// direction that is spoken in: what is said unasked goes on the connection that one made oneself, an answer
-// on the one that the question came on. Bounded queues: whoever does not take what it is sent loses the
-// oldest of what repeats itself, then what is new; all that is sent here may be lost.
+// Frames on TCP connections between members: a length of 4 bytes, then the frame. Each member connects to the
+// members that it sends requests to; a reply goes on the connection that its request came on. Send queues are
+// bounded: when a peer reads too slowly, the oldest replaceable frame is dropped, or the new frame if there
+// is none. Any frame may be lost.
 #ifndef BURLFALL_COUNCIL_MEMBER_CONNECTIONS_H_
 #define BURLFALL_COUNCIL_MEMBER_CONNECTIONS_H_
 
@@ -19,73 +19,78 @@
 
 namespace burlfall::council {
 
-class Links {
+// All connections of one member, outgoing and incoming.
+class MemberConnections {
  public:
   struct Frame {
-    std::string bytes;  // with their length before them
-    bool repeats = false;
+    std::string bytes;         // with the length before them
+    bool replaceable = false;  // a later frame supersedes it
   };
-  struct Link {
-    explicit Link(Scheduler& scheduler) : wanted(scheduler) {}
+  struct Connection {
+    explicit Connection(Scheduler& scheduler) : frame_queued(scheduler) {}
     uint64_t number = 0;
-    std::string address;   // that was called; empty: it came in
-    std::string name;      // as it said; empty: it has not
-    bool follows = false;  // it asks for the log from outside
-    bool stale = false;    // a voter with an older disk than it promised on
+    std::string address;          // of the peer, if outgoing; empty: incoming
+    std::string name;             // as announced by the peer; empty: not yet
+    bool is_follower = false;     // the peer follows the log without being a voter
+    bool has_older_disk = false;  // a voter whose disk lost what it had acknowledged
     std::unique_ptr<Stream> stream;
-    std::string in;
-    std::deque<Frame> out;
-    size_t out_bytes = 0;
-    size_t written = 0;  // of the first of `out`
-    Micros moved_at = 0;
-    bool over = false;
-    Event wanted;  // something is to go out, and there is no connection
-    Task<> task;   // last: what it uses must outlive it
+    std::string read_buffer;
+    std::deque<Frame> send_queue;
+    size_t queued_bytes = 0;
+    size_t written_bytes = 0;  // of the first frame of `send_queue`
+    Micros last_write_at = 0;  // last progress, or when the queue became non-empty
+    bool closed = false;
+    Event frame_queued;  // wakes a task that waits to connect
+    Task<> task;         // declared last: what it uses must outlive it
   };
-  struct Hears {
-    std::function<void(Link& from, std::string_view frame)> frame;
-    std::function<std::string()> hello;  // the first frame on each connection that is made
+  struct Callbacks {
+    std::function<void(Connection& from, std::string_view frame)> frame;
+    std::function<std::string()> hello;  // the first frame on each outgoing connection
   };
   struct Counts {
-    uint64_t frames_in = 0, frames_out = 0, bytes_out = 0, lost = 0;
+    uint64_t frames_in = 0, frames_out = 0, bytes_out = 0, dropped = 0;
   };
 
-  Links(Machine& machine, const Address& listen, Hears hears)
-      : machine_(machine), listen_(listen), hears_(std::move(hears)), room_(machine.scheduler()) {}
-  ~Links();
+  MemberConnections(Machine& machine, const Address& listen, Callbacks callbacks)
+      : machine_(machine),
+        listen_(listen),
+        callbacks_(std::move(callbacks)),
+        capacity_freed_(machine.scheduler()) {}
+  ~MemberConnections();
 
-  void Open();  // throws std::system_error where the address can't be had
-  // To the member at this address. `repeats`: a later frame says as much.
-  void Send(const std::string& address, std::string_view frame, bool repeats = false);
-  void Answer(uint64_t link, std::string_view frame);
-  void ToFollowers(std::string_view frame);
+  void Listen();  // throws std::system_error if the address can't be bound
+  // Sends to the member at `address`, connecting first if needed. `replaceable`: a later frame supersedes it.
+  void Send(const std::string& address, std::string_view frame, bool replaceable = false);
+  // Sends on the connection of this number, if it still exists.
+  void Reply(uint64_t connection, std::string_view frame);
+  void SendToFollowers(std::string_view frame);
   size_t followers() const;
-  bool Up(const std::string& address) const;
-  void Bury();  // those that are over
+  bool IsConnected(const std::string& address) const;
+  void RemoveClosed();  // removes closed incoming connections
   const Counts& counts() const { return counts_; }
 
  private:
-  void Put(Link& link, std::string_view frame, bool repeats);
-  void WriteOut(Link& link);
-  bool TakeIn(Link& link);
-  void Drop(Link& link);
+  void Enqueue(Connection& connection, std::string_view frame, bool replaceable);
+  void WriteQueued(Connection& connection);
+  bool ReadFrames(Connection& connection);
+  void Reset(Connection& connection);
   Task<> Accept();
-  Task<> Dial(Link& link);
-  Task<> Run(Link& link);
-  Task<> Serve(Link& link);
+  Task<> Dial(Connection& connection);
+  Task<> Run(Connection& connection);
+  Task<> ServeIncoming(Connection& connection);
 
   Machine& machine_;
   const Address listen_;
-  const Hears hears_;
+  const Callbacks callbacks_;
   Counts counts_;
-  uint64_t numbers_ = 0;
+  uint64_t last_number_ = 0;
   std::unique_ptr<Listener> listener_;
-  std::map<std::string, std::unique_ptr<Link>> dialled_;
-  std::list<std::unique_ptr<Link>> accepted_;
-  Event room_;
-  Task<> accepting_;  // last: what it uses must outlive it
+  std::map<std::string, std::unique_ptr<Connection>> outgoing_;
+  std::list<std::unique_ptr<Connection>> incoming_;
+  Event capacity_freed_;
+  Task<> accept_task_;  // declared last: what it uses must outlive it
 };
 
 }  // namespace burlfall::council
 
-#endif  // BURLFALL_COUNCIL_MEMBER_CONNECTIONS_H_
+#endif  // BURLFALL_COUNCIL_LINKS_H_
--- a/src/council/member_message.h
+++ b/src/council/member_message.h
@@ -1,7 +1,7 @@
-// What members say to one another beside the log's own messages: who they are, proposals to the leader,
-// reads, acts under an epoch, and operators' calls. A frame is "bfn", the version of the format, a checksum
-// of the body (XXH3, 64 bits, the low byte first), and the body, one MessagePack array that begins with the
-// site's name.
+// Messages between members besides those of the consensus protocol: introductions, proposals to the leader,
+// reads, actions under an epoch, and operators' calls. A frame is "bfn", one byte for the version of the
+// format, a checksum of the body (XXH3, 64 bits, the low byte first), and the body: one MessagePack array
+// that begins with the site's name.
 #ifndef BURLFALL_COUNCIL_MEMBER_MESSAGE_H_
 #define BURLFALL_COUNCIL_MEMBER_MESSAGE_H_
 
@@ -15,22 +15,22 @@
 
 namespace burlfall::council {
 
-constexpr size_t kLongestData = 300 * 1024;  // bytes
-constexpr size_t kLongestText = 512;
+constexpr size_t kMaxDataBytes = 300 * 1024;
+constexpr size_t kMaxTextBytes = 512;  // of each field but `data`
 
-// Fields that a kind doesn't name are 0 or empty.
-struct Word {
+// Fields that a kind doesn't name are 0 or empty. `number` identifies a request; its reply carries the same.
+struct MemberMessage {
   enum class Kind : uint8_t {
-    kHello,      // name, disk, index: the last of its log; epoch: its term; address: where it is reached
-    kHelloBack,  // likewise; error: kVoterUnknown to one whose disk is older than what it promised
-    kPropose,    // number, data: an entry's; 0: no answer is wanted
-    kProposed,   // number, error, index; address: of the leader, with kNotLeader
-    kRead,       // number, work: its epoch
-    kReadBack,   // number, error, index, work, epoch; address as above
-    kAct,        // work, epoch, number, name: the owner; data: what it does; disk 1: passed on by a voter
-    kActBack,    // work, epoch, number, error, index: the highest that was obeyed; name: whose word it is
-    kCall,       // number, data: an operator's words, for the leader
-    kCallBack,   // number, error, data; address as above
+    kHello,         // name, disk, index: last of its log, epoch: its term, address: its own
+    kHelloReply,    // likewise; error: kVoterUnknown if the other's disk is older than what it acknowledged
+    kPropose,       // number (0: no reply is wanted), data: of the log entry
+    kProposeReply,  // number, error, index; address: of the leader, with kNotLeader
+    kRead,          // number, owned_task: the task whose epoch is read
+    kReadReply,     // number, error, index, owned_task, epoch; address as above
+    kAction,  // owned_task, epoch, number, name: the owner, data: the action, disk 1: forwarded by a voter
+    kActionReply,   // owned_task, epoch, number, error, index: highest accepted epoch, name: of the sender
+    kOperatorCall,  // number, data: the operator's command for the leader
+    kOperatorCallReply,  // number, error, data; address as above
   };
   Kind kind = Kind::kHello;
   uint64_t number = 0;
@@ -40,21 +40,23 @@
   uint64_t epoch = 0;
   owner::Error error = owner::Error::kNone;
   std::string address = {};
-  std::string work = {};
+  std::string owned_task = {};
   std::string data = {};
-  bool operator==(const Word&) const = default;
+  bool operator==(const MemberMessage&) const = default;
 };
 
-std::string Write(const Word& word, std::string_view site);
+std::string EncodeMessage(const MemberMessage& message, std::string_view site);
 
-struct ReadWord {
-  std::optional<Word> word;
-  // Where there is none: "another version", "damaged", "another site", "malformed".
-  const char* why = "";
+// Result of DecodeMessage().
+struct DecodedMessage {
+  std::optional<MemberMessage> message;
+  // If there is no message: "another version", "damaged", "another site" or "malformed".
+  const char* error_text = "";
 };
-ReadWord Read(std::string_view frame, std::string_view site);
-bool IsWord(std::string_view frame);  // of this kind, as far as its first bytes say
+DecodedMessage DecodeMessage(std::string_view frame, std::string_view site);
+// Whether the frame begins as a member message does; other frames are consensus messages.
+bool IsMemberMessage(std::string_view frame);
 
 }  // namespace burlfall::council
 
-#endif  // BURLFALL_COUNCIL_MEMBER_MESSAGE_H_
+#endif  // BURLFALL_COUNCIL_WORD_H_
--- a/src/council/packing.h
+++ b/src/council/packing.h
@@ -1,8 +1,9 @@
-// MessagePack as the council's files and frames use it: arrays of numbers and byte strings, read with bounds.
+// MessagePack encoding of the coordinator group's files and frames: arrays of unsigned numbers and byte
+// strings. Reading checks types and sizes. Also the XXH3 checksum that protects each file and frame.
 #ifndef BURLFALL_COUNCIL_PACKING_H_
 #define BURLFALL_COUNCIL_PACKING_H_
 
-// Header-only, both; the balancer links nothing more for them.
+// xxHash and msgpack are used header-only, so the balancer links no further library for them.
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
@@ -13,72 +14,79 @@
 
 namespace burlfall::council {
 
-inline uint64_t SumOf(std::string_view body) { return XXH3_64bits(body.data(), body.size()); }
+// XXH3, 64 bits.
+inline uint64_t Checksum(std::string_view body) { return XXH3_64bits(body.data(), body.size()); }
 
-inline void PutSum(std::string& to, uint64_t sum) {
+// Appends the checksum to `to` as 8 bytes, the low byte first.
+inline void AppendChecksum(std::string& to, uint64_t sum) {
   for (int byte = 0; byte < 8; ++byte) to += static_cast<char>(sum >> (8 * byte) & 0xff);
 }
 
-inline uint64_t TakeSum(std::string_view from) {
+// Reads the 8 bytes that AppendChecksum() wrote. `from` must hold at least 8 bytes.
+inline uint64_t ReadChecksum(std::string_view from) {
   uint64_t sum = 0;
   for (size_t byte = 8; byte-- > 0;) sum = sum << 8 | static_cast<unsigned char>(from[byte]);
   return sum;
 }
 
-struct Slip {};  // what was read is not what it must be
+// Thrown when the bytes that are read are not the expected array of values.
+struct FormatError {};
 
-class Packed {
+// Encodes one MessagePack array. The number of values is fixed at construction.
+class ArrayWriter {
  public:
-  explicit Packed(uint32_t values) : to_(buffer_) { to_.pack_array(values); }
-  Packed& Add(uint64_t number) {
-    to_.pack_uint64(number);
+  explicit ArrayWriter(uint32_t values) : packer_(buffer_) { packer_.pack_array(values); }
+  ArrayWriter& Add(uint64_t number) {
+    packer_.pack_uint64(number);
     return *this;
   }
-  Packed& Add(std::string_view bytes) {
-    to_.pack_bin(static_cast<uint32_t>(bytes.size()));
-    to_.pack_bin_body(bytes.data(), static_cast<uint32_t>(bytes.size()));
+  ArrayWriter& Add(std::string_view bytes) {
+    packer_.pack_bin(static_cast<uint32_t>(bytes.size()));
+    packer_.pack_bin_body(bytes.data(), static_cast<uint32_t>(bytes.size()));
     return *this;
   }
-  std::string Take() const { return {buffer_.data(), buffer_.size()}; }
+  std::string ToBytes() const { return {buffer_.data(), buffer_.size()}; }
 
  private:
   msgpack::sbuffer buffer_;
-  msgpack::packer<msgpack::sbuffer> to_;
+  msgpack::packer<msgpack::sbuffer> packer_;
 };
 
-// Throws Slip. What is read must outlive it.
-class Unpacked {
+// Decodes one MessagePack array, value by value. The constructor and each read throw FormatError on malformed
+// input. The bytes that are read must outlive the reader.
+class ArrayReader {
  public:
-  explicit Unpacked(std::string_view bytes) {
+  explicit ArrayReader(std::string_view bytes) {
     try {
-      const size_t most = bytes.size();
-      handle_ =
-          msgpack::unpack(bytes.data(), most, nullptr, nullptr, msgpack::unpack_limit(64, 0, 0, most, 0, 2));
+      const size_t max_bytes = bytes.size();
+      handle_ = msgpack::unpack(bytes.data(), max_bytes, nullptr, nullptr,
+                                msgpack::unpack_limit(64, 0, 0, max_bytes, 0, 2));
     } catch (const std::exception&) {
-      throw Slip{};
+      throw FormatError{};
     }
-    if (handle_.get().type != msgpack::type::ARRAY) throw Slip{};
+    if (handle_.get().type != msgpack::type::ARRAY) throw FormatError{};
   }
   uint64_t Number() {
-    const msgpack::object& one = Next();
-    if (one.type != msgpack::type::POSITIVE_INTEGER) throw Slip{};
-    return one.via.u64;
+    const msgpack::object& value = Next();
+    if (value.type != msgpack::type::POSITIVE_INTEGER) throw FormatError{};
+    return value.via.u64;
   }
-  std::string Bytes(size_t most) {
-    const msgpack::object& one = Next();
-    if (one.type != msgpack::type::BIN || one.via.bin.size > most) throw Slip{};
-    return {one.via.bin.ptr, one.via.bin.size};
+  // Throws FormatError for a byte string longer than `max_bytes`.
+  std::string Bytes(size_t max_bytes) {
+    const msgpack::object& value = Next();
+    if (value.type != msgpack::type::BIN || value.via.bin.size > max_bytes) throw FormatError{};
+    return {value.via.bin.ptr, value.via.bin.size};
   }
 
  private:
   const msgpack::object& Next() {
     const msgpack::object_array& array = handle_.get().via.array;
-    if (at_ >= array.size) throw Slip{};
-    return array.ptr[at_++];
+    if (next_ >= array.size) throw FormatError{};
+    return array.ptr[next_++];
   }
 
   msgpack::object_handle handle_;
-  uint32_t at_ = 0;
+  uint32_t next_ = 0;
 };
 
 }  // namespace burlfall::council
--- a/src/council/state.cpp
+++ b/src/council/state.cpp
@@ -7,71 +7,71 @@
 namespace burlfall::council {
 namespace {
 
-constexpr uint64_t kVersion = 1;
-constexpr size_t kLargest = 64 << 20;
+constexpr uint64_t kVersion = 1;            // of the snapshot format
+constexpr size_t kMaxPartBytes = 64 << 20;  // of one library's state in the snapshot
 
 }  // namespace
 
 std::string Envelope(const owner::Command& command) {
-  std::string data(1, static_cast<char>(Part::kOwner));
+  std::string data(1, static_cast<char>(CommandOwner::kOwner));
   return data += owner::Write(command);
 }
 
 std::string Envelope(const freeze::Command& command) {
-  std::string data(1, static_cast<char>(Part::kFreeze));
+  std::string data(1, static_cast<char>(CommandOwner::kFreeze));
   return data += freeze::Write(command);
 }
 
 std::string Envelope(const ejection::Command& command) {
-  std::string data(1, static_cast<char>(Part::kEjection));
+  std::string data(1, static_cast<char>(CommandOwner::kEjection));
   return data += ejection::Write(command);
 }
 
-Came State::Apply(uint64_t index, Micros at, std::string_view data) {
-  Came came;
-  came.index = index;
-  came.known = false;
-  if (data.empty()) return came;
-  const std::string_view inner = data.substr(1);
-  if (data[0] == static_cast<char>(Part::kOwner)) {
-    if (const auto command = owner::ReadCommand(inner)) {
-      came.owner = owner_.Apply(index, at, *command);
-      came.known = true;
+ApplyResult State::Apply(uint64_t index, Micros log_time, std::string_view data) {
+  ApplyResult result;
+  result.index = index;
+  result.recognized = false;
+  if (data.empty()) return result;
+  const std::string_view command_bytes = data.substr(1);
+  if (data[0] == static_cast<char>(CommandOwner::kOwner)) {
+    if (const auto command = owner::ReadCommand(command_bytes)) {
+      result.owner = owner_.Apply(index, log_time, *command);
+      result.recognized = true;
     }
   }
-  if (data[0] == static_cast<char>(Part::kFreeze)) {
-    if (const auto command = freeze::ReadCommand(inner)) {
-      came.freeze = freeze_.Apply(index, at, *command);
-      came.known = true;
+  if (data[0] == static_cast<char>(CommandOwner::kFreeze)) {
+    if (const auto command = freeze::ReadCommand(command_bytes)) {
+      result.freeze = freeze_.Apply(index, log_time, *command);
+      result.recognized = true;
     }
   }
-  if (data[0] == static_cast<char>(Part::kEjection)) {
-    if (const auto command = ejection::ReadCommand(inner)) {
-      came.ejection = ejection_.Apply(index, at, *command);
-      came.known = true;
+  if (data[0] == static_cast<char>(CommandOwner::kEjection)) {
+    if (const auto command = ejection::ReadCommand(command_bytes)) {
+      result.ejection = ejection_.Apply(index, log_time, *command);
+      result.recognized = true;
     }
   }
-  return came;
+  return result;
 }
 
 std::string State::Save() const {
-  return Packed(4).Add(kVersion).Add(owner_.Save()).Add(freeze_.Save()).Add(ejection_.Save()).Take();
+  return ArrayWriter(4).Add(kVersion).Add(owner_.Save()).Add(freeze_.Save()).Add(ejection_.Save()).ToBytes();
 }
 
 std::optional<State> State::Load(std::string_view bytes) {
   try {
-    Unpacked from(bytes);
-    if (from.Number() != kVersion) return {};
-    auto owner = owner::State::Load(from.Bytes(kLargest));
-    auto freeze = freeze::State::Load(from.Bytes(kLargest));
-    auto ejection = ejection::State::Load(from.Bytes(kLargest), ejection::Rules());
+    ArrayReader reader(bytes);
+    if (reader.Number() != kVersion) return {};
+    auto owner = owner::State::Load(reader.Bytes(kMaxPartBytes));
+    auto freeze = freeze::State::Load(reader.Bytes(kMaxPartBytes));
+    auto ejection = ejection::State::Load(reader.Bytes(kMaxPartBytes), ejection::Rules());
     if (!owner || !freeze || !ejection) return {};
     State state;
     state.owner_ = std::move(*owner);
     state.freeze_ = std::move(*freeze);
     state.ejection_ = std::move(*ejection);
     return state;
-  } catch (const Slip&) {
+  } catch (const FormatError&) {
     return {};
   }
 }
--- a/src/council/state.h
+++ b/src/council/state.h
@@ -1,5 +1,5 @@
-// What the council's log says, put together: one command in, what came of it out, at each member alike. No
-// I/O, no clock.
+// The replicated state machine of the coordinator group: it applies the commands of the log, one by one, and
+// returns their effects. Every member that applies the same log gets the same state. No I/O, no clock.
 #ifndef BURLFALL_COUNCIL_STATE_H_
 #define BURLFALL_COUNCIL_STATE_H_
 
@@ -15,16 +15,18 @@
 
 namespace burlfall::council {
 
-// The room whose command an entry holds; the first byte of its data.
-enum class Part : char { kOwner = 'o', kFreeze = 'f', kEjection = 'e' };
+// The library whose command a log entry holds. Stored as the first byte of the entry's data.
+enum class CommandOwner : char { kOwner = 'o', kFreeze = 'f', kEjection = 'e' };
 
+// A command as the data of a log entry: the CommandOwner byte, then the encoded command.
 std::string Envelope(const owner::Command& command);
 std::string Envelope(const freeze::Command& command);
 std::string Envelope(const ejection::Command& command);
 
-struct Came {
+// The effects of one applied entry.
+struct ApplyResult {
   uint64_t index = 0;
-  bool known = true;  // false: not a command that this build knows, and nothing was done
+  bool recognized = true;  // false: this build does not know the command, and the state is unchanged
   owner::Effects owner;
   freeze::Effects freeze;
   ejection::Effects ejection;
@@ -34,7 +36,8 @@
  public:
   State() : ejection_(ejection::Rules()) {}
 
-  Came Apply(uint64_t index, Micros at, std::string_view data);
+  ApplyResult Apply(uint64_t index, Micros log_time, std::string_view data);
+  // Snapshot of the state. Load() returns nothing for malformed bytes or another version.
   std::string Save() const;
   static std::optional<State> Load(std::string_view bytes);
 
--- a/src/council/store.h
+++ b/src/council/store.h
@@ -1,9 +1,9 @@
-// A voter's durable state as files: its term and vote, its snapshot, its log. Each file names the voter and
-// its disk and carries a checksum. Nothing is written here: what is to be written comes out, for a
-// DurableWriter.
+// A voter's durable state as files: term and vote, snapshot, and log. Each file names the voter and its disk
+// and carries a checksum. Store reads the files, but writes none: it returns the writes for a DurableWriter.
 //
-// A log that ends within a record ends there: that record's flush had not come back, so nobody was told of
-// it. Anything else that is not as it was written is an error by name, and the voter does not vote.
+// A log whose last record is incomplete is cut before that record: its flush had not completed, so the voter
+// had not acknowledged it to anyone. Any other difference from what was written is reported as a StoreFault,
+// and the voter does not vote.
 #ifndef BURLFALL_COUNCIL_STORE_H_
 #define BURLFALL_COUNCIL_STORE_H_
 
@@ -20,57 +20,61 @@
 
 namespace burlfall::council {
 
+// Why a voter's files can't be used.
 enum class StoreFault : uint8_t {
   kNone,
-  kUnusable,  // the folder: no folder, or nothing may be written there
-  kDamaged,   // a file is not what was written
-  kOther,     // it is another voter's
-  kMixed,     // its files are not of one disk
-  kMissing,   // one of its files is gone
+  kUnusable,    // the folder does not exist or is not writable
+  kDamaged,     // a file's content is not what was written
+  kOtherVoter,  // a file belongs to another voter
+  kMixedDisks,  // the files name different disks
+  kMissing,     // some of the files exist, but not all
 };
 const char* NameOf(StoreFault fault);  // such as "damaged"
 
+// Reads a voter's files and encodes the changes to them. A disk is identified by a random number, which is
+// chosen when the files are first written.
 class Store {
  public:
-  // `stem`: the files are STEM.vote, STEM.snapshot and STEM.log. `name`: the voter's.
+  // `stem`: the files are STEM.vote, STEM.snapshot and STEM.log. `name`: the voter's name.
   Store(std::string stem, std::string name) : stem_(std::move(stem)), name_(std::move(name)) {}
 
+  // Result of Open().
   struct Opened {
     StoreFault fault = StoreFault::kNone;
-    std::string why;                  // the file, and what is wrong with it
-    bool empty = false;               // a new folder: a new disk's number was taken, Begin() writes it down
-    size_t cut = 0;                   // bytes of a record that was never flushed
-    consensus::PersistentState held;  // as far as there is no fault
+    std::string reason;                // the file, and what is wrong with it
+    bool empty = false;                // no files yet: `new_disk` is used; the first write stores it
+    size_t truncated_bytes = 0;        // of an incomplete record at the log's end that was never flushed
+    consensus::PersistentState state;  // valid if there is no fault
   };
-  // `draw`: what a new disk goes by; 0 counts as 1.
-  Opened Open(Files& files, const std::string& folder, uint64_t draw);
+  // Reads the files. `new_disk`: a random number that identifies a new disk; 0 counts as 1.
+  Opened Open(Files& files, const std::string& folder, uint64_t new_disk);
   uint64_t disk() const { return disk_; }
 
-  // All of it, as a log that begins: over whatever was there.
-  std::vector<DurableWrite> Whole(const consensus::PersistentState& held);
-  // The next of the core's writes, in their order.
-  std::vector<DurableWrite> Next(const consensus::DiskWrite& write);
+  // Writes that replace all files with `state`, for example when an operator bootstraps the log.
+  std::vector<DurableWrite> WriteAll(const consensus::PersistentState& state);
+  // Writes that carry out the core's next write. Must be called for each of them, in order.
+  std::vector<DurableWrite> WriteNext(const consensus::DiskWrite& write);
   size_t log_bytes() const { return log_bytes_; }
 
  private:
-  std::string Headed(char kind, std::string_view body) const;
-  std::optional<std::string> Body(char kind, const std::string& path, const std::string& text,
-                                  Opened& opened);
-  DurableWrite Promise(const consensus::DiskWrite::TermVote& promise) const;
+  std::string AddHeader(char kind, std::string_view body) const;
+  std::optional<std::string> ReadBody(char kind, const std::string& path, const std::string& text,
+                                      Opened& opened);
+  DurableWrite VoteFile(const consensus::DiskWrite::TermVote& term_and_vote) const;
   DurableWrite SnapshotFile(const consensus::Snapshot& snapshot) const;
   DurableWrite LogFile();
   void ReadLog(const std::string& text, Opened& opened);
-  std::string Path(const char* what) const { return stem_ + what; }
+  std::string PathOf(const char* what) const { return stem_ + what; }
 
   const std::string stem_;
   const std::string name_;
   uint64_t disk_ = 0;
-  uint64_t first_ = 0;               // index of the first record
-  std::deque<std::string> records_;  // the log's, as they stand in the file
-  uint64_t log_bytes_ = 0;           // of the file, with its head
-  uint64_t log_head_ = 0;
-  bool log_there_ = false;
-  bool rewrite_log_ = false;  // what the file holds is not what was read from it
+  uint64_t first_index_ = 0;         // of the first record
+  std::deque<std::string> records_;  // of the log, as encoded in the file
+  uint64_t log_bytes_ = 0;           // of the log file, including its header
+  uint64_t log_header_bytes_ = 0;
+  bool log_exists_ = false;
+  bool rewrite_log_ = false;  // the log file holds entries that were discarded on reading
 };
 
 }  // namespace burlfall::council
--- a/src/serve/program.cpp
+++ b/src/serve/program.cpp
@@ -121,9 +121,10 @@
 void Program::Join() {
   if (council_settings_) {
     const std::string& place = NamedFolder(config_, council_settings_->folder);
-    council_ = std::make_unique<Council>(
+    council_ = std::make_unique<CoordinatorMember>(
         machine_, *council_settings_,
-        Council::Setup{config_.name, PathFor(config_, place, ""), place, [this] { return SightsNow(); }},
+        CoordinatorMember::Setup{config_.name, PathFor(config_, place, ""), place,
+                                 [this] { return SightsNow(); }},
         log_, counters_);
     council_->Start();
   }
@@ -144,8 +145,8 @@
 }
 
 // Shares of the balancers, by zone and in all: who died lately, and who has no list.
-std::vector<Council::Setup::Sight> Program::SightsNow() const {
-  std::vector<Council::Setup::Sight> sights;
+std::vector<CoordinatorMember::Setup::Observation> Program::SightsNow() const {
+  std::vector<CoordinatorMember::Setup::Observation> sights;
   if (!member_) return sights;
   const Micros now = machine_.Now();
   struct Seen {
--- a/src/serve/program.h
+++ b/src/serve/program.h
@@ -115,7 +115,7 @@
   void ShareByMembers();
   void Join();
   cluster::Facts FactsNow() const;
-  std::vector<Council::Setup::Sight> SightsNow() const;
+  std::vector<CoordinatorMember::Setup::Observation> SightsNow() const;
   bool TakeOver(const Estate& estate);
   void SetAside(bool aside);
   void TellUse();
@@ -152,8 +152,8 @@
   std::unique_ptr<Capture> capture_;
   HttpFront front_;
   const std::optional<CouncilSettings> council_settings_;
-  std::unique_ptr<Council> council_;
-  std::vector<std::unique_ptr<Council>> councils_before_;  // shut: a call may still wait in one
+  std::unique_ptr<CoordinatorMember> council_;
+  std::vector<std::unique_ptr<CoordinatorMember>> councils_before_;  // shut: a call may still wait in one
   std::optional<ControlFront> control_;
   std::optional<Handover> handover_;
   const std::optional<ClusterSettings> cluster_;
--- a/src/serve/program_handover.cpp
+++ b/src/serve/program_handover.cpp
@@ -70,7 +70,7 @@
   front_.StopAccepting();
   member_.reset();  // without a word: the heir goes on in its place, and nobody misses it
   if (council_) {   // likewise; its disk and its address are the heir's
-    council_->Shut();
+    council_->ShutDown();
     councils_before_.push_back(std::move(council_));
   }
   hosts_.LeaveCold(true, machine_.Now());
--- a/src/serve/program_operations.cpp
+++ b/src/serve/program_operations.cpp
@@ -121,8 +121,8 @@
 
 Task<Leave> Program::Leaving(freeze::ChangeKind kind, freeze::Scope scope, std::string by,
                              std::string reason) {
-  const Council::Permission permission =
-      co_await council_->Ask(kind, std::move(scope), std::move(by), std::move(reason));
+  const CoordinatorMember::Permission permission =
+      co_await council_->RequestPermission(kind, std::move(scope), std::move(by), std::move(reason));
   Leave leave;
   leave.granted = permission.error == owner::Error::kNone;
   leave.change = permission.change;
@@ -138,10 +138,10 @@
 
 Task<> Program::Ended(Leave leave) {
   if (!council_ || leave.change == 0) co_return;
-  Council::Permission permission;
+  CoordinatorMember::Permission permission;
   permission.change = leave.change;
   permission.epoch = leave.epoch;
-  co_await council_->Done(permission);
+  co_await council_->ReportDone(permission);
 }
 
 // One that has handed over keeps it for the case that it takes the door back.
--- a/tests/council/member_message_test.cpp
+++ b/tests/council/member_message_test.cpp
@@ -6,37 +6,43 @@
 namespace burlfall::council {
 namespace {
 
-Word Full() {
-  Word word{.kind = Word::Kind::kActBack, .number = 7, .name = "b1", .disk = 8, .index = 9, .epoch = 10};
-  word.error = owner::Error::kFenced;
-  word.address = "127.0.0.1:7950";
-  word.work = "freeze";
-  word.data = std::string("any\0bytes", 9);
-  return word;
+MemberMessage MessageWithAllFields() {
+  MemberMessage message{.kind = MemberMessage::Kind::kActionReply,
+                        .number = 7,
+                        .name = "b1",
+                        .disk = 8,
+                        .index = 9,
+                        .epoch = 10};
+  message.error = owner::Error::kFenced;
+  message.address = "127.0.0.1:7950";
+  message.owned_task = "freeze";
+  message.data = std::string("any\0bytes", 9);
+  return message;
 }
 
 TEST(Word, WhatIsWrittenReadsBackAsTheSame) {
-  const ReadWord read = Read(Write(Full(), "zuerich"), "zuerich");
-  ASSERT_TRUE(read.word);
-  EXPECT_EQ(*read.word, Full());
+  const DecodedMessage decoded = DecodeMessage(EncodeMessage(MessageWithAllFields(), "zuerich"), "zuerich");
+  ASSERT_TRUE(decoded.message);
+  EXPECT_EQ(*decoded.message, MessageWithAllFields());
 }
 
 TEST(Word, WhatIsNotOneOfOursIsRefusedByName) {
-  const std::string good = Write(Full(), "zuerich");
-  EXPECT_STREQ(Read(good, "bern").why, "another site");
-  EXPECT_STREQ(Read("bfn", "zuerich").why, "malformed");
+  const std::string good = EncodeMessage(MessageWithAllFields(), "zuerich");
+  EXPECT_STREQ(DecodeMessage(good, "bern").error_text, "another site");
+  EXPECT_STREQ(DecodeMessage("bfn", "zuerich").error_text, "malformed");
   std::string later = good;
   later[3] = 2;
-  EXPECT_STREQ(Read(later, "zuerich").why, "another version");
+  EXPECT_STREQ(DecodeMessage(later, "zuerich").error_text, "another version");
   for (size_t at = 4; at < good.size(); ++at) {
     std::string flipped = good;
     flipped[at] = static_cast<char>(flipped[at] ^ 1);
-    EXPECT_STREQ(Read(flipped, "zuerich").why, "damaged") << at;
-    EXPECT_FALSE(Read(good.substr(0, at), "zuerich").word) << at;
+    EXPECT_STREQ(DecodeMessage(flipped, "zuerich").error_text, "damaged") << at;
+    EXPECT_FALSE(DecodeMessage(good.substr(0, at), "zuerich").message) << at;
   }
-  Word unplain = Full();
-  unplain.name = "b\n1";
-  EXPECT_STREQ(Read(Write(unplain, "zuerich"), "zuerich").why, "malformed");
+  MemberMessage with_control_character = MessageWithAllFields();
+  with_control_character.name = "b\n1";
+  EXPECT_STREQ(DecodeMessage(EncodeMessage(with_control_character, "zuerich"), "zuerich").error_text,
+               "malformed");
 }
 
 }  // namespace
--- a/tests/council/state_test.cpp
+++ b/tests/council/state_test.cpp
@@ -17,7 +17,7 @@
 
 TEST(CouncilState, SavedAndLoadedItGoesOnAsBefore) {
   State state;
-  ASSERT_TRUE(state.Apply(4, kSecond, Envelope(Want("b1"))).known);
+  ASSERT_TRUE(state.Apply(4, kSecond, Envelope(Want("b1"))).recognized);
   freeze::Command open;
   open.kind = freeze::Command::Kind::kOpen;
   open.by = "staff";
@@ -36,7 +36,7 @@
   State state;
   const std::string before = state.Save();
   for (const char* data : {"", "o", "f", "x", "oxxxx", "f\x91\x01"})
-    EXPECT_FALSE(state.Apply(1, 1, data).known);
+    EXPECT_FALSE(state.Apply(1, 1, data).recognized);
   EXPECT_EQ(state.Save(), before);
   EXPECT_FALSE(State::Load("no state"));
   EXPECT_FALSE(State::Load(before.substr(0, before.size() / 2)));
--- a/tests/council/store_test.cpp
+++ b/tests/council/store_test.cpp
@@ -14,7 +14,7 @@
   return {index, term, Entry::Kind::kCommand, static_cast<Micros>(index) * kMs, data};
 }
 
-consensus::DiskWrite From(uint64_t index, std::vector<Entry> entries) {
+consensus::DiskWrite ReplaceFrom(uint64_t index, std::vector<Entry> entries) {
   consensus::DiskWrite write;
   write.replace_from = index;
   write.entries = std::move(entries);
@@ -23,23 +23,23 @@
 
 class StoreTest : public testing::Test {
  protected:
-  void Do(const std::vector<DurableWrite>& batch) {
+  void Write(const std::vector<DurableWrite>& batch) {
     disk->Write(batch);
     ASSERT_EQ(disk->Why(), "");
   }
   Store::Opened Open(Store& store) { return store.Open(machine.files(), "/d", 77); }
   // A voter with entries 1 to 5, which has voted.
-  void Fill() {
+  void WriteVoter() {
     Store store("/d/v", "v1");
     ASSERT_TRUE(Open(store).empty);
     consensus::DiskWrite promise;
     promise.term_vote.emplace();
     promise.term_vote->term = 3;
     promise.term_vote->vote = consensus::VoterId{"v2", 9};
-    Do(store.Next(promise));
+    Write(store.WriteNext(promise));
     std::vector<Entry> log;
     for (uint64_t i = 1; i <= 5; ++i) log.push_back(EntryAt(i, 2, "data " + std::to_string(i)));
-    Do(store.Next(From(1, log)));
+    Write(store.WriteNext(ReplaceFrom(1, log)));
   }
 
   world::World world{1'700'000'000 * kSecond, 1};
@@ -48,22 +48,22 @@
 };
 
 TEST_F(StoreTest, WhatWasWrittenIsReadBack) {
-  Fill();
+  WriteVoter();
   Store store("/d/v", "v1");
   const Store::Opened opened = Open(store);
-  ASSERT_EQ(opened.fault, StoreFault::kNone) << opened.why;
+  ASSERT_EQ(opened.fault, StoreFault::kNone) << opened.reason;
   EXPECT_EQ(store.disk(), 77u);
-  EXPECT_EQ(opened.held.term, 3u);
-  EXPECT_EQ(opened.held.vote, (consensus::VoterId{"v2", 9}));
-  ASSERT_EQ(opened.held.log.size(), 5u);
-  EXPECT_EQ(opened.held.log[4], EntryAt(5, 2, "data 5"));
+  EXPECT_EQ(opened.state.term, 3u);
+  EXPECT_EQ(opened.state.vote, (consensus::VoterId{"v2", 9}));
+  ASSERT_EQ(opened.state.log.size(), 5u);
+  EXPECT_EQ(opened.state.log[4], EntryAt(5, 2, "data 5"));
 }
 
 TEST_F(StoreTest, ATailIsReplacedAndASnapshotDropsWhatIsBeforeIt) {
-  Fill();
+  WriteVoter();
   Store store("/d/v", "v1");
   ASSERT_EQ(Open(store).fault, StoreFault::kNone);
-  Do(store.Next(From(4, {EntryAt(4, 3, "another")})));
+  Write(store.WriteNext(ReplaceFrom(4, {EntryAt(4, 3, "another")})));
   consensus::Snapshot snapshot;
   snapshot.index = 3;
   snapshot.term = 2;
@@ -74,60 +74,61 @@
   consensus::DiskWrite write;
   write.snapshot = snapshot;
   write.keep_from = 3;
-  Do(store.Next(write));
-  Do(store.Next(From(5, {EntryAt(5, 3, "last")})));
+  Write(store.WriteNext(write));
+  Write(store.WriteNext(ReplaceFrom(5, {EntryAt(5, 3, "last")})));
   Store again("/d/v", "v1");
   const Store::Opened opened = Open(again);
-  ASSERT_EQ(opened.fault, StoreFault::kNone) << opened.why;
-  EXPECT_EQ(opened.held.snapshot, snapshot);
-  EXPECT_EQ(opened.held.log,
+  ASSERT_EQ(opened.fault, StoreFault::kNone) << opened.reason;
+  EXPECT_EQ(opened.state.snapshot, snapshot);
+  EXPECT_EQ(opened.state.log,
             (std::vector<Entry>{EntryAt(3, 2, "data 3"), EntryAt(4, 3, "another"), EntryAt(5, 3, "last")}));
 }
 
 TEST_F(StoreTest, ARecordThatWasNeverWholeIsCutOff) {
-  Fill();
-  const std::string whole = world.files["/d/v.log"];
+  WriteVoter();
+  const std::string complete = world.files["/d/v.log"];
   for (size_t lost = 1; lost <= 20; ++lost) {
-    world.files["/d/v.log"] = whole.substr(0, whole.size() - lost);
+    world.files["/d/v.log"] = complete.substr(0, complete.size() - lost);
     Store store("/d/v", "v1");
     const Store::Opened opened = Open(store);
-    ASSERT_EQ(opened.fault, StoreFault::kNone) << opened.why;
-    ASSERT_EQ(opened.held.log.size(), 4u);
-    EXPECT_GT(opened.cut, 0u);
+    ASSERT_EQ(opened.fault, StoreFault::kNone) << opened.reason;
+    ASSERT_EQ(opened.state.log.size(), 4u);
+    EXPECT_GT(opened.truncated_bytes, 0u);
   }
-  world.files["/d/v.log"] = whole + std::string(512, '\0');  // the system made it longer, and no bytes came
+  world.files["/d/v.log"] =
+      complete + std::string(512, '\0');  // the system made it longer, and no bytes came
   Store store("/d/v", "v1");
-  EXPECT_EQ(Open(store).held.log.size(), 5u);
+  EXPECT_EQ(Open(store).state.log.size(), 5u);
   // What is written next stands behind the last whole one.
-  Do(store.Next(From(6, {EntryAt(6, 3, "next")})));
+  Write(store.WriteNext(ReplaceFrom(6, {EntryAt(6, 3, "next")})));
   Store again("/d/v", "v1");
-  EXPECT_EQ(Open(again).held.log.size(), 6u);
+  EXPECT_EQ(Open(again).state.log.size(), 6u);
 }
 
 TEST_F(StoreTest, EachFlippedBitIsFoundAndNoneIsTakenForATornTail) {
-  Fill();
+  WriteVoter();
   for (const char* name : {"/d/v.vote", "/d/v.snapshot", "/d/v.log"}) {
-    const std::string whole = world.files[name];
-    for (size_t bit = 0; bit < whole.size() * 8; ++bit) {
-      world.files[name][bit / 8] = static_cast<char>(whole[bit / 8] ^ (1 << bit % 8));
+    const std::string complete = world.files[name];
+    for (size_t bit = 0; bit < complete.size() * 8; ++bit) {
+      world.files[name][bit / 8] = static_cast<char>(complete[bit / 8] ^ (1 << bit % 8));
       Store store("/d/v", "v1");
       EXPECT_NE(Open(store).fault, StoreFault::kNone) << name << ", bit " << bit;
-      world.files[name] = whole;
+      world.files[name] = complete;
     }
   }
 }
 
 TEST_F(StoreTest, WhoseFilesTheyAreIsToldByName) {
-  Fill();
+  WriteVoter();
   Store other("/d/v", "v2");
-  EXPECT_EQ(Open(other).fault, StoreFault::kOther);
+  EXPECT_EQ(Open(other).fault, StoreFault::kOtherVoter);
   const std::string log = world.files["/d/v.log"];
   Store store("/d/w", "v1");
   ASSERT_TRUE(store.Open(machine.files(), "/d", 78).empty);
-  Do(store.Whole({}));
+  Write(store.WriteAll({}));
   world.files["/d/w.log"] = log;
   Store mixed("/d/w", "v1");
-  EXPECT_EQ(Open(mixed).fault, StoreFault::kMixed);
+  EXPECT_EQ(Open(mixed).fault, StoreFault::kMixedDisks);
   world.files.erase("/d/w.log");
   Store missing("/d/w", "v1");
   EXPECT_EQ(Open(missing).fault, StoreFault::kMissing);
