--- a/tests/council/durable_test.cpp
+++ b/tests/council/durable_test.cpp
@@ -1,4 +1,5 @@
-// Durable writes on the real system: done in order, whole or not at all, and a failure is the last word.
+// Durable writes on the real file system: carried out in order, each file is replaced completely or not at
+// all, and no batch counts as done after a failed one.
 #include "io/durable.h"
 
 #include <gtest/gtest.h>
@@ -20,12 +21,12 @@
 class DurableTest : public testing::Test {
  protected:
   DurableTest() {
-    std::string made = (std::filesystem::temp_directory_path() / "burlfall-XXXXXX").string();
-    folder = mkdtemp(made.data());
+    std::string folder_template = (std::filesystem::temp_directory_path() / "burlfall-XXXXXX").string();
+    folder = mkdtemp(folder_template.data());
   }
   ~DurableTest() override { std::filesystem::remove_all(folder); }
-  // Runs until so many batches are done, or one has failed.
-  void Await(DurableWriter& writer, uint64_t done) {
+  // Runs the scheduler until `done` batches are on the disk, or one has failed.
+  void RunUntilDone(DurableWriter& writer, uint64_t done) {
     auto waiting = [&]() -> Task<> {
       while (writer.done() < done && writer.Why().empty()) co_await writer.Wait();
       machine.scheduler().Stop();
@@ -39,24 +40,24 @@
   std::string folder;
 };
 
-TEST_F(DurableTest, WritesInOrderAndCutsBehind) {
+TEST_F(DurableTest, WritesInOrderAndTruncatesAfterTheLastByte) {
   const std::unique_ptr<DurableWriter> writer = machine.Durable();
   const std::string path = folder + "/file";
   writer->Write({{path, {}, "whole"}});
   writer->Write({{path, 5, " and more"}, {folder + "/other", 0, "x"}});
   writer->Write({{path, 2, "!"}});
-  Await(*writer, 3);
+  RunUntilDone(*writer, 3);
   EXPECT_EQ(writer->Why(), "");
   EXPECT_EQ(Text(path), "wh!");
   EXPECT_EQ(Text(folder + "/other"), "x");
 }
 
-TEST_F(DurableTest, NothingCountsAfterAFailure) {
+TEST_F(DurableTest, NoBatchIsDoneAfterAFailure) {
   const std::unique_ptr<DurableWriter> writer = machine.Durable();
   writer->Write({{folder + "/a", {}, "a"}});
   writer->Write({{folder + "/none/b", {}, "b"}});
   writer->Write({{folder + "/c", {}, "c"}});
-  Await(*writer, 3);
+  RunUntilDone(*writer, 3);
   EXPECT_EQ(writer->done(), 1u);
   EXPECT_NE(writer->Why().find("/none/b: No such file"), std::string::npos) << writer->Why();
   EXPECT_FALSE(std::filesystem::exists(folder + "/c"));
--- a/tests/council/member_connections_test.cpp
+++ b/tests/council/member_connections_test.cpp
@@ -1,4 +1,4 @@
-// Frames between two members of a virtual world.
+// Frames between two members in the simulated network: a full send queue drops replaceable frames first.
 #include "council/member_connections.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace burlfall::council {
 namespace {
 
-TEST(Links, CarryFramesBothWaysAndDropWhatRepeatsFirst) {
+TEST(Links, CarryFramesInBothDirectionsAndDropReplaceableFramesFirst) {
   world::World world(1'700'000'000 * kSecond, 1);
   world::VirtualMachine a(world), b(world);
   const Address at_a = *ReadAddress("127.0.0.1:1000"), at_b = *ReadAddress("127.0.0.2:1000");
--- a/tests/council/member_message_test.cpp
+++ b/tests/council/member_message_test.cpp
@@ -1,4 +1,4 @@
-// Words between members: read back as written, and refused by name where they are not.
+// Messages between members decode to what was encoded; invalid frames are rejected with the reason.
 #include "council/member_message.h"
 
 #include <gtest/gtest.h>
@@ -20,13 +20,13 @@
   return message;
 }
 
-TEST(Word, WhatIsWrittenReadsBackAsTheSame) {
+TEST(Word, EncodedMessageDecodesToTheSame) {
   const DecodedMessage decoded = DecodeMessage(EncodeMessage(MessageWithAllFields(), "zuerich"), "zuerich");
   ASSERT_TRUE(decoded.message);
   EXPECT_EQ(*decoded.message, MessageWithAllFields());
 }
 
-TEST(Word, WhatIsNotOneOfOursIsRefusedByName) {
+TEST(Word, InvalidFrameIsRejectedWithItsReason) {
   const std::string good = EncodeMessage(MessageWithAllFields(), "zuerich");
   EXPECT_STREQ(DecodeMessage(good, "bern").error_text, "another site");
   EXPECT_STREQ(DecodeMessage("bfn", "zuerich").error_text, "malformed");
--- a/tests/council/page_test.cpp
+++ b/tests/council/page_test.cpp
@@ -1,4 +1,5 @@
-// docs/council.md tells each error, with the code that `burlfall council` ends with and what to do.
+// docs/council.md lists each error with the exit code of `burlfall council` and the advice that the program
+// gives.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -10,7 +11,7 @@
 namespace burlfall::owner {
 namespace {
 
-TEST(CouncilPage, TellsEachErrorAsTheProgramDoes) {
+TEST(CouncilPage, ListsEachErrorAsTheProgramReportsIt) {
   std::ifstream file(DEPLOY "/../docs/council.md");
   const std::string page{std::istreambuf_iterator<char>(file), {}};
   for (int i = 1; i < kErrors; ++i) {
--- a/tests/council/state_test.cpp
+++ b/tests/council/state_test.cpp
@@ -1,4 +1,4 @@
-// The log's state, put together: saved and loaded as the same, and closed to what it does not know.
+// The replicated state: a loaded snapshot continues identically, and unknown commands change nothing.
 #include "council/state.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace burlfall::council {
 namespace {
 
-owner::Command Want(const std::string& who) {
+owner::Command WantFreezeTask(const std::string& who) {
   owner::Command command;
   command.kind = owner::Command::Kind::kWant;
   command.work = owner::kFreezeWork;
@@ -15,9 +15,9 @@
   return command;
 }
 
-TEST(CouncilState, SavedAndLoadedItGoesOnAsBefore) {
+TEST(CouncilState, ContinuesIdenticallyAfterSaveAndLoad) {
   State state;
-  ASSERT_TRUE(state.Apply(4, kSecond, Envelope(Want("b1"))).recognized);
+  ASSERT_TRUE(state.Apply(4, kSecond, Envelope(WantFreezeTask("b1"))).recognized);
   freeze::Command open;
   open.kind = freeze::Command::Kind::kOpen;
   open.by = "staff";
@@ -28,11 +28,11 @@
   EXPECT_EQ(loaded->owner().EpochOf(owner::kFreezeWork), 4u);
   EXPECT_EQ(loaded->freeze().incidents().size(), 1u);
   EXPECT_EQ(loaded->Save(), state.Save());
-  EXPECT_EQ(loaded->Apply(6, 3 * kSecond, Envelope(Want("b2"))).owner.size(),
-            state.Apply(6, 3 * kSecond, Envelope(Want("b2"))).owner.size());
+  EXPECT_EQ(loaded->Apply(6, 3 * kSecond, Envelope(WantFreezeTask("b2"))).owner.size(),
+            state.Apply(6, 3 * kSecond, Envelope(WantFreezeTask("b2"))).owner.size());
 }
 
-TEST(CouncilState, WhatItDoesNotKnowChangesNothing) {
+TEST(CouncilState, UnknownCommandsChangeNothing) {
   State state;
   const std::string before = state.Save();
   for (const char* data : {"", "o", "f", "x", "oxxxx", "f\x91\x01"})
--- a/tests/council/store_test.cpp
+++ b/tests/council/store_test.cpp
@@ -1,4 +1,4 @@
-// A voter's files: what was written is read, and what is not as it was written is told by name.
+// A voter's files: what was written is read back, and any damage is reported as its kind of fault.
 #include "council/store.h"
 
 #include <gtest/gtest.h>
@@ -23,23 +23,23 @@
 
 class StoreTest : public testing::Test {
  protected:
-  void Write(const std::vector<DurableWrite>& batch) {
+  void WriteBatch(const std::vector<DurableWrite>& batch) {
     disk->Write(batch);
     ASSERT_EQ(disk->Why(), "");
   }
   Store::Opened Open(Store& store) { return store.Open(machine.files(), "/d", 77); }
-  // A voter with entries 1 to 5, which has voted.
+  // Writes the files of a voter that has voted and has entries 1 to 5.
   void WriteVoter() {
     Store store("/d/v", "v1");
     ASSERT_TRUE(Open(store).empty);
-    consensus::DiskWrite promise;
-    promise.term_vote.emplace();
-    promise.term_vote->term = 3;
-    promise.term_vote->vote = consensus::VoterId{"v2", 9};
-    Write(store.WriteNext(promise));
+    consensus::DiskWrite term_and_vote;
+    term_and_vote.term_vote.emplace();
+    term_and_vote.term_vote->term = 3;
+    term_and_vote.term_vote->vote = consensus::VoterId{"v2", 9};
+    WriteBatch(store.WriteNext(term_and_vote));
     std::vector<Entry> log;
     for (uint64_t i = 1; i <= 5; ++i) log.push_back(EntryAt(i, 2, "data " + std::to_string(i)));
-    Write(store.WriteNext(ReplaceFrom(1, log)));
+    WriteBatch(store.WriteNext(ReplaceFrom(1, log)));
   }
 
   world::World world{1'700'000'000 * kSecond, 1};
@@ -47,7 +47,7 @@
   std::unique_ptr<DurableWriter> disk = machine.Durable();
 };
 
-TEST_F(StoreTest, WhatWasWrittenIsReadBack) {
+TEST_F(StoreTest, ReadsBackWhatWasWritten) {
   WriteVoter();
   Store store("/d/v", "v1");
   const Store::Opened opened = Open(store);
@@ -59,11 +59,11 @@
   EXPECT_EQ(opened.state.log[4], EntryAt(5, 2, "data 5"));
 }
 
-TEST_F(StoreTest, ATailIsReplacedAndASnapshotDropsWhatIsBeforeIt) {
+TEST_F(StoreTest, ReplacesALogTailAndDropsEntriesBeforeASnapshot) {
   WriteVoter();
   Store store("/d/v", "v1");
   ASSERT_EQ(Open(store).fault, StoreFault::kNone);
-  Write(store.WriteNext(ReplaceFrom(4, {EntryAt(4, 3, "another")})));
+  WriteBatch(store.WriteNext(ReplaceFrom(4, {EntryAt(4, 3, "another")})));
   consensus::Snapshot snapshot;
   snapshot.index = 3;
   snapshot.term = 2;
@@ -74,8 +74,8 @@
   consensus::DiskWrite write;
   write.snapshot = snapshot;
   write.keep_from = 3;
-  Write(store.WriteNext(write));
-  Write(store.WriteNext(ReplaceFrom(5, {EntryAt(5, 3, "last")})));
+  WriteBatch(store.WriteNext(write));
+  WriteBatch(store.WriteNext(ReplaceFrom(5, {EntryAt(5, 3, "last")})));
   Store again("/d/v", "v1");
   const Store::Opened opened = Open(again);
   ASSERT_EQ(opened.fault, StoreFault::kNone) << opened.reason;
@@ -84,7 +84,7 @@
             (std::vector<Entry>{EntryAt(3, 2, "data 3"), EntryAt(4, 3, "another"), EntryAt(5, 3, "last")}));
 }
 
-TEST_F(StoreTest, ARecordThatWasNeverWholeIsCutOff) {
+TEST_F(StoreTest, IncompleteLastRecordIsCutOff) {
   WriteVoter();
   const std::string complete = world.files["/d/v.log"];
   for (size_t lost = 1; lost <= 20; ++lost) {
@@ -96,16 +96,16 @@
     EXPECT_GT(opened.truncated_bytes, 0u);
   }
   world.files["/d/v.log"] =
-      complete + std::string(512, '\0');  // the system made it longer, and no bytes came
+      complete + std::string(512, '\0');  // the file system extended the file without writing data
   Store store("/d/v", "v1");
   EXPECT_EQ(Open(store).state.log.size(), 5u);
-  // What is written next stands behind the last whole one.
-  Write(store.WriteNext(ReplaceFrom(6, {EntryAt(6, 3, "next")})));
+  // The next record follows the last complete one.
+  WriteBatch(store.WriteNext(ReplaceFrom(6, {EntryAt(6, 3, "next")})));
   Store again("/d/v", "v1");
   EXPECT_EQ(Open(again).state.log.size(), 6u);
 }
 
-TEST_F(StoreTest, EachFlippedBitIsFoundAndNoneIsTakenForATornTail) {
+TEST_F(StoreTest, EachFlippedBitIsFoundAndNotTakenForAnIncompleteRecord) {
   WriteVoter();
   for (const char* name : {"/d/v.vote", "/d/v.snapshot", "/d/v.log"}) {
     const std::string complete = world.files[name];
@@ -118,14 +118,14 @@
   }
 }
 
-TEST_F(StoreTest, WhoseFilesTheyAreIsToldByName) {
+TEST_F(StoreTest, FilesOfAnotherVoterOrDiskAreReported) {
   WriteVoter();
   Store other("/d/v", "v2");
   EXPECT_EQ(Open(other).fault, StoreFault::kOtherVoter);
   const std::string log = world.files["/d/v.log"];
   Store store("/d/w", "v1");
   ASSERT_TRUE(store.Open(machine.files(), "/d", 78).empty);
-  Write(store.WriteAll({}));
+  WriteBatch(store.WriteAll({}));
   world.files["/d/w.log"] = log;
   Store mixed("/d/w", "v1");
   EXPECT_EQ(Open(mixed).fault, StoreFault::kMixedDisks);
