--- a/src/council/coordinator_member.cpp
+++ b/src/council/coordinator_member.cpp
@@ -1499,7 +1499,7 @@
   const MemberMessage reply = co_await AskLeader(std::move(message), until);
   if (reply.error == Error::kNoMajority && MajorityLost()) co_return ErrorText(Error::kMajorityLost);
   if (reply.error == Error::kNone)
-    co_return reply.data.empty() ? "committed, entry " + std::to_string(reply.index) + "\n" : reply.data;
+    co_return reply.data.empty() ? "agreed, entry " + std::to_string(reply.index) + "\n" : reply.data;
   std::string missing;
   if (reply.error == Error::kNoMajority) {
     for (const std::string& name : MissingVoters()) missing += (missing.empty() ? "Missing: " : ", ") + name;
--- a/src/council/coordinator_member.h
+++ b/src/council/coordinator_member.h
@@ -138,14 +138,16 @@
   Task<> Open();
   void OpenDisk();
   void BeginCore(consensus::PersistentState state, bool may_vote);
-  Task<> RunTimers();
-  Task<> WatchLogDisk();
-  Task<> WatchEpochDisk();
+  Task<> RunTimers();       // timers of the core, the follower and the leader
+  Task<> WatchLogDisk();    // reports completed log writes to the core
+  Task<> WatchEpochDisk();  // reports completed epoch writes to the executor
   void OnFrame(council::MemberConnections::Connection& from, std::string_view frame);
   void OnMemberMessage(council::MemberConnections::Connection& from, council::MemberMessage message);
-  void LogDropped(const char* why, const std::string& from);
+  void LogDropped(const char* why, const std::string& from);  // logs each reason once
 
   // Outputs of the consensus core.
+  // Carries out all writes, messages, applied entries and notices of the core and the follower. Safe to call
+  // from within itself: the outer call then makes another pass.
   void ProcessOutputs();
   void OnApplied(const consensus::Applied& applied);
   void OnOwnerEffects(const owner::Effects& effects);
@@ -161,6 +163,8 @@
   void SnapshotIfDue();
 
   // Proposals, reads and calls, by this member and by others.
+  // Handles a proposal, read or operator call; answers kNotLeader if this member does not lead. `connection`
+  // 0: a request of this member.
   void HandleAtLeader(const council::MemberMessage& message, uint64_t connection);
   void Reply(uint64_t connection, council::MemberMessage message);
   Task<council::MemberMessage> AskLeader(council::MemberMessage message, Micros until);
@@ -181,6 +185,7 @@
   Task<> RunWantedTask(WantedTask& wanted);
   std::string TaskNameOf(const WantedTask& wanted) const;
   void SendAction(WantedTask& wanted, uint64_t epoch);
+  // An owner's action. It is accepted or rejected once the executor knows the task's epoch and has stored it.
   void OnAction(const council::MemberMessage& message, uint64_t connection);
   void CheckPendingActions();
   Task<> LearnEpochs();
@@ -214,7 +219,7 @@
   bool bootstrap_written_ = false;           // the bootstrap is flushed
   std::optional<consensus::Core> core_;
   std::optional<consensus::Follower> follower_;
-  std::deque<std::string> joining_;  // names, which this leader brings in
+  std::deque<std::string> joining_;  // names of voters that this leader is adding
   std::map<std::string, KnownVoter> known_voters_;
 
   council::State state_;
@@ -224,10 +229,9 @@
   owner::Lapse freeze_lease_expiry_;
   std::map<std::string, owner::Lease> freeze_leases_;        // that freeze_lease_expiry_ tracks
   std::map<uint64_t, council::ApplyResult> recent_results_;  // of the last applied entries, by index
-  std::list<Event*> applied_waiters_;
+  std::list<Event*> applied_waiters_;                        // notified after each applied entry
   uint64_t last_request_ = 0;
-  std::map<uint64_t, freeze::Command>
-      finishing_changes_;  // by change: its end is proposed until it is applied
+  std::map<uint64_t, freeze::Command> finishing_changes_;  // by change: its end, proposed until applied
   Micros next_finish_report_ = 0;
   const freeze::Rules freeze_rules_;
   freeze::LocalGate local_gate_;
@@ -235,12 +239,12 @@
   uint64_t observations_epoch_ = 0;  // epoch of the freeze task for which observations_ was reset
   Micros last_leader_proposals_at_ = 0;
 
-  uint64_t last_number_ = 0;
+  uint64_t last_number_ = 0;  // of requests and reads
   std::map<uint64_t, PendingCall*> pending_calls_;
   std::map<uint64_t, std::vector<PendingProposal>> pending_proposals_;  // by index
   std::map<uint64_t, PendingRead> pending_reads_;                       // by token
   std::string leader_hint_;  // the leader's address from a kNotLeader answer
-  size_t voter_turn_ = 0;
+  size_t voter_turn_ = 0;    // index of the voter to ask next; 0: prefer the leader
 
   std::list<std::unique_ptr<WantedTask>> wanted_tasks_;
   std::optional<owner::Executor> executor_;
@@ -248,12 +252,12 @@
   uint64_t epoch_disk_done_ = 0;
   std::deque<uint64_t> pending_epoch_writes_;
   std::deque<PendingAction> pending_actions_;
-  std::set<std::string> unknown_epochs_;
-  std::map<std::string, uint64_t> logged_epochs_;  // by task: the last accepted epoch that was logged
-  std::map<std::string, uint64_t> action_connections_;
+  std::set<std::string> unknown_epochs_;                // tasks whose epoch must be read from the leader
+  std::map<std::string, uint64_t> logged_epochs_;       // by task: the last accepted epoch that was logged
+  std::map<std::string, uint64_t> action_connections_;  // by task: where its last action came from
 
-  std::vector<std::string> history_;
-  std::set<std::string> logged_drops_;
+  std::vector<std::string> history_;    // lines for `burlfall council explain`
+  std::set<std::string> logged_drops_;  // reasons
   bool processing_outputs_ = false, process_outputs_again_ = false;
   std::unique_ptr<ChannelListener> operator_listener_;
   std::list<std::unique_ptr<OperatorSession>> operator_sessions_;
--- a/src/council/member_connections.h
+++ b/src/council/member_connections.h
@@ -63,6 +63,7 @@
   void Send(const std::string& address, std::string_view frame, bool replaceable = false);
   // Sends on the connection of this number, if it still exists.
   void Reply(uint64_t connection, std::string_view frame);
+  // Sends to all peers that follow the log without being voters.
   void SendToFollowers(std::string_view frame);
   size_t followers() const;
   bool IsConnected(const std::string& address) const;
