--- a/src/serve/paths.cpp
+++ b/src/serve/paths.cpp
@@ -5,7 +5,7 @@
 namespace burlfall {
 namespace {
 
-constexpr char kOwnFolder[] = "$TMPDIR";
+constexpr char kTempFolderVariable[] = "$TMPDIR";
 
 }  // namespace
 
@@ -16,11 +16,11 @@
   return folder + "/burlfall-" + name + suffix;
 }
 
-const std::string& NamedFolder(const Config& config, const std::string& folder) {
-  return folder == kOwnFolder ? config.folder : folder;
+const std::string& ResolveFolder(const Config& config, const std::string& folder) {
+  return folder == kTempFolderVariable ? config.folder : folder;
 }
 
-std::string OutPath(const Config& config) {
+std::string OutFilePath(const Config& config) {
   if (config.folder.empty() || config.admin.length == 0) return "";
   return PathFor(config, config.folder, ".out");
 }
--- a/src/serve/paths.h
+++ b/src/serve/paths.h
@@ -1,4 +1,4 @@
-// Where a process keeps its files and sockets. No I/O.
+// Paths of the files and sockets of a balancer process. No I/O.
 #ifndef BURLFALL_SERVE_PATHS_H_
 #define BURLFALL_SERVE_PATHS_H_
 
@@ -8,15 +8,16 @@
 
 namespace burlfall {
 
-// A path in `folder` for this balancer's `suffix`. Several balancers may share the folder, by different
-// names.
+// The path in `folder` that ends in `suffix`. It contains the balancer's name, so that several balancers can
+// share the folder.
 std::string PathFor(const Config& config, const std::string& folder, const char* suffix);
 
-// A folder as the operators' files name it: "$TMPDIR" stands for the configuration's own. Empty: none.
-const std::string& NamedFolder(const Config& config, const std::string& folder);
+// Resolves a folder that a settings file names: "$TMPDIR" stands for the configuration's own folder. An empty
+// result means that there is none.
+const std::string& ResolveFolder(const Config& config, const std::string& folder);
 
-// The file of the nodes that are out by hand. Empty: there is none.
-std::string OutPath(const Config& config);
+// The file of the nodes that operators took out of service. Empty: there is none.
+std::string OutFilePath(const Config& config);
 
 }  // namespace burlfall
 
--- a/src/serve/program.h
+++ b/src/serve/program.h
@@ -1,4 +1,4 @@
-// The balancer as it serves: its parts, put together, and its phases.
+// The balancer process: assembles its components and runs them through their phases.
 #ifndef BURLFALL_SERVE_PROGRAM_H_
 #define BURLFALL_SERVE_PROGRAM_H_
 
@@ -40,46 +40,49 @@
 
 namespace burlfall {
 
+// The numeric values leave the process: they are logged and announced to other balancers.
 enum class Phase {
-  kStarting,  // nothing is accepted yet
+  kStarting,  // does not accept connections yet
   kServing,
-  kDraining,  // told to end: still accepts and answers, and asks clients to go elsewhere
-  kClosing,   // accepts nothing more, answers what it owes
+  kDraining,  // shutdown requested: still accepts and answers, and asks clients to reconnect elsewhere
+  kClosing,   // accepts nothing more; answers the open queries
   kStopped,
-  kAside,       // drained by hand: as draining, but it may serve again
-  kHandedOver,  // another process has the door: passes its links on, answers what it owes, and ends
+  kDrainedManually,  // drained by an operator: behaves as kDraining, but may return to service
+  kHandedOver,  // the successor has the listener: passes client links on, answers open queries, then ends
 };
 
+// One balancer process, from its start to its shutdown or hand-over.
+
 class Program final : private Operations, private Heritage {
  public:
-  // Binds the addresses; throws std::system_error where that can't be done. `log` and `counters` must outlive
-  // it.
-  // `start`: the operators' settings of the start; without them nothing of src/start is on. `cluster`: those
-  // of the cluster; without them it knows of no other balancer. `council`: those of what is decided together;
-  // without them it asks nobody and nobody asks it.
+  // Binds the addresses; throws std::system_error if that fails. `log` and `counters` must outlive the
+  // program. The optional settings switch features on:
+  // - `start`: paced start and saved list (src/start).
+  // - `cluster`: membership; without it the balancer knows of no other balancer.
+  // - `council`: the coordinator group; without it the balancer neither requests change leases nor votes.
   Program(Machine& machine, Config config, const Properties& properties, Log& log, Counters& counters,
           const std::optional<StartSettings>& start = {}, const std::optional<ClusterSettings>& cluster = {},
           const std::optional<CouncilSettings>& council = {});
 
   void Start();
-  void Drain();  // ends, in order: the scheduler stops once it has
-  // Whether what SIGHUP asks for may be done now; where it may not, that is in the log. To be told by
-  // Ended().
-  Task<Leave> MayReload();
-  Task<> ReloadEnded(Leave leave) { return Ended(std::move(leave)); }
-  // Takes up a configuration read anew: where discovery is, and the descriptors it allows. The rest holds
-  // until the next start; false where it differs.
+  void Drain();  // begins the orderly shutdown; the scheduler stops once it is complete
+  // Requests the permission for a reload (SIGHUP). A refusal is logged. If granted, call EndReload()
+  // after the reload.
+  Task<Leave> RequestReload();
+  Task<> EndReload(Leave leave) { return Ended(std::move(leave)); }
+  // Applies a configuration that was read again: the address of discovery and the descriptor limit. The
+  // other settings apply from the next start; returns false if they differ.
   bool Reload(Config config);
-  void Reload(const Properties& properties);  // what of them may change in service
-  void Dump();                                // what was captured, to standard error
-  void Finish();                              // what the features still have to write
+  void Reload(const Properties& properties);  // applies those that may change at run time
+  void Dump();                                // writes the captured data to standard error
+  void Finish();                              // writes what the features still have to write
   Phase phase() const { return phase_; }
   const Counters& counters() const { return counters_; }
-  size_t descriptors() const;  // how many may be open
+  size_t descriptors() const;  // how many may be open at a time
 
  private:
-  // What operators tell it.
-  bool Serving() const override { return phase_ == Phase::kServing || phase_ == Phase::kAside; }
+  // Operations: calls of operators.
+  bool Serving() const override { return phase_ == Phase::kServing || phase_ == Phase::kDrainedManually; }
   Verdict TakeOut(std::string_view server) override;
   Verdict PutBack(std::string_view server) override;
   Verdict StandAside() override;
@@ -87,7 +90,7 @@
   Task<Leave> MayBegin(ChangeCall call) override;
   Task<> Ended(Leave leave) override;
 
-  // What the other process of a hand-over tells it.
+  // Heritage: messages from the other process of a hand-over.
   std::optional<Estate> GiveUpDoor(std::string& why) override;
   void KeepDoor() override;
   void HandOn() override;
@@ -100,37 +103,39 @@
   void OtherPutBack(const NodeCall& call) override;
   void OtherDrains(bool drains) override;
 
-  Task<Leave> Leaving(freeze::ChangeKind kind, freeze::Scope scope, std::string by, std::string reason);
-  Task<> Begin();
-  void BeginAlone();
-  std::function<std::optional<Micros>(Micros)> NotReady();
-  start::Asking* PaceFor(const std::optional<StartSettings>& start);
-  std::string KeptPath(const char* what) const;  // in the folder of the saved list
-  std::string ListPath(int file) const;
-  start::SavedChoice FindSavedList();
-  bool UseSavedList();
-  void KeepList();
-  int BeganBefore();  // within a loop's span; and takes this start down
-  void TellStart();
-  void ShareByMembers();
+  // Requests a change lease from the coordinator group.
+  Task<Leave> RequestChange(freeze::ChangeKind kind, freeze::Scope scope, std::string by, std::string reason);
+  Task<> RunStart();
+  void StartFresh();  // without a predecessor
+  std::function<std::optional<Micros>(Micros)> CreateReadinessGate();
+  start::Asking* CreateListPacing(const std::optional<StartSettings>& start);
+  std::string SavedPath(const char* suffix) const;  // in the folder of the saved list
+  std::string SavedListPath(int file) const;
+  start::SavedChoice ReadSavedLists();
+  bool ApplySavedList();
+  void SaveList();  // when it is due
+  // Records this start; returns the number of earlier ones within the restart-loop window.
+  int RecordStart();
+  void LogStartPhase();
+  void UpdateListServiceShare();
   void Join();
-  cluster::Facts FactsNow() const;
-  std::vector<Council::Setup::Sight> SightsNow() const;
+  cluster::Facts CurrentFacts() const;
+  std::vector<Council::Setup::Sight> CurrentObservations() const;
   bool TakeOver(const Estate& estate);
-  void SetAside(bool aside);
-  void TellUse();
-  Task<> Drained();
-  Task<> HandedOver();
-  Task<> Closing();
-  void ReadOut();
-  bool KeepOut(const std::vector<OutHost>& out);
-  void KeepOutLate();
-  void HostsChanged();
-  void Allow();
-  void Take(const HostList* list, const std::string& why);
-  void TellDescriptors();
-  Task<> Phases();
-  Task<> Sweep();
+  void SetManualDrain(bool drained);
+  void SendUse();
+  Task<> RunDraining();
+  Task<> RunHandedOver();
+  Task<> RunClosing();
+  void LoadOutFile();
+  bool SaveOutFile(const std::vector<OutHost>& out);
+  void RetrySaveOutFile();
+  void OnHostsChanged();
+  void UpdateDescriptorLimits();
+  void OnListUpdate(const HostList* list, const std::string& why);
+  void LogDescriptorUse();
+  Task<> RunPhases();
+  Task<> RunSweep();
 
   Machine& machine_;
   Config config_;
@@ -138,14 +143,14 @@
   Counters& counters_;
   std::unique_ptr<Figures> figures_;
   Tokens tokens_;
-  RateLimiter door_;
+  RateLimiter rate_limiter_;
   LinkBudget budget_;
   const StartSettings start_;
-  std::optional<start::Asking> asking_;
-  std::optional<start::ListKeeper> keeper_;
-  Micros heard_at_ = 0;  // by the clock on the wall: the list service last answered
+  std::optional<start::Asking> list_pacing_;
+  std::optional<start::ListKeeper> list_saver_;
+  Micros list_received_at_ = 0;  // wall clock; when the list service last answered; 0: not yet
   HostGroup hosts_;
-  std::optional<ListLog> list_log_;  // once the list of the start is taken in
+  std::optional<ListLog> list_log_;  // set once the initial list is applied
   HttpUpstream upstream_;
   Discovery discovery_;
   Dispatcher dispatcher_;
@@ -153,29 +158,30 @@
   HttpFront front_;
   const std::optional<CouncilSettings> council_settings_;
   std::unique_ptr<Council> council_;
-  std::vector<std::unique_ptr<Council>> councils_before_;  // shut: a call may still wait in one
+  // Shut down; retained because a call may still wait in one.
+  std::vector<std::unique_ptr<Council>> retired_councils_;
   std::optional<ControlFront> control_;
   std::optional<Handover> handover_;
   const std::optional<ClusterSettings> cluster_;
   std::optional<ClusterMember> member_;
   Phase phase_ = Phase::kStarting;
-  Phase before_hand_on_ = Phase::kServing;
-  std::optional<Micros> told_to_end_at_;  // by whoever runs it, in any phase
-  bool heir_takes_ = true;                // links, as far as was seen last
-  bool list_moved_ = false;               // before it served: where discovery is was read anew
-  Micros nothing_owed_at_ = 0;            // while it closes
-  Micros aside_since_ = 0;
-  Use other_;  // of a hand-over
+  Phase phase_before_handover_ = Phase::kServing;
+  std::optional<Micros> shutdown_requested_at_;  // set by the first SIGTERM or SIGINT, in any phase
+  bool successor_accepts_links_ = true;          // at the last attempt to pass one
+  bool discovery_changed_ = false;  // discovery's address was read again before the start was complete
+  Micros all_answered_at_ = 0;      // while closing: when the last open query was answered
+  Micros manual_drain_since_ = 0;
+  Use other_use_;  // resources of the other process during a hand-over
   bool descriptors_tight_ = false;
-  Micros began_at_ = 0;
-  start::StartPhase told_phase_ = start::StartPhase::kWithout;
-  bool list_file_bad_ = false;  // and that was told
-  bool out_kept_ = true;        // the file says who is out
-  Event moved_;
-  Event sweep_;
-  Task<> begin_;  // the tasks last: what they use must outlive them
-  Task<> phases_;
-  Task<> sweeper_;
+  Micros start_began_at_ = 0;
+  start::StartPhase logged_phase_ = start::StartPhase::kWithout;
+  bool list_file_error_logged_ = false;  // since the last successful write
+  bool out_file_current_ = true;         // the file agrees with the nodes that are out of service
+  Event phase_event_;
+  Event sweep_timer_;
+  Task<> start_task_;  // the tasks come last, because what they use must outlive them
+  Task<> phases_task_;
+  Task<> sweep_task_;
 };
 
 }  // namespace burlfall
--- a/src/serve/program_handover.cpp
+++ b/src/serve/program_handover.cpp
@@ -1,4 +1,4 @@
-// The program's side of a hand-over: what it takes from the process before, and leaves to the next.
+// The program's side of a hand-over: state taken from its predecessor and passed to its successor.
 #include <algorithm>
 #include <cstdlib>
 #include <utility>
@@ -9,32 +9,33 @@
 namespace burlfall {
 namespace {
 
-constexpr Micros kClocksApart = 1 * kSecond;  // of two processes; beyond it times say nothing
+// Between the clocks of two processes. Beyond it their times can't be compared.
+constexpr Micros kMaxClockDifference = 1 * kSecond;
 
 }  // namespace
 
-// Where another left off. False where nothing of it can be used.
+// Continues from the predecessor's state. Returns false if none of it can be used.
 bool Program::TakeOver(const Estate& estate) {
   if (!hosts_.TakeOver(estate.hosts, estate.list)) {
     log_.Tell<"handover_refused">("nodes that can't be");
     return false;
   }
-  if (keeper_) FindSavedList();
+  if (list_saver_) ReadSavedLists();
   list_log_.emplace(machine_.scheduler(), hosts_, log_);
   log_.Tell<"taken_over">(estate.hosts.size(), hosts_.Out().size(), estate.carried.queries.size());
   std::string why;
   if (estate.settings != config_.settings_json) {
     why = "other settings";
-  } else if (std::abs(machine_.Now() - estate.carried.saved_at) > kClocksApart) {
+  } else if (std::abs(machine_.Now() - estate.carried.saved_at) > kMaxClockDifference) {
     why = "a clock that differs";
   } else if (!dispatcher_.ImportState(estate.carried)) {
     why = "a state of another format";
   }
   if (!why.empty()) log_.Tell<"state_refused">(why);
-  // The process before may have found no room to say who is out.
-  const std::string path = OutPath(config_);
+  // The predecessor may have failed to write the out file, for example because the disk was full.
+  const std::string path = OutFilePath(config_);
   const std::optional<std::string> text = path.empty() ? std::nullopt : machine_.files().Read(path);
-  out_kept_ = path.empty() || (text ? *text == WriteOutFile(hosts_.Out()) : hosts_.Out().empty());
+  out_file_current_ = path.empty() || (text ? *text == WriteOutFile(hosts_.Out()) : hosts_.Out().empty());
   return true;
 }
 
@@ -47,8 +48,8 @@
   front_.StopAccepting();
   estate.emplace();
   estate->settings = config_.settings_json;
-  estate->aside = phase_ == Phase::kAside;
-  estate->aside_since = aside_since_;
+  estate->aside = phase_ == Phase::kDrainedManually;
+  estate->aside_since = manual_drain_since_;
   estate->list = hosts_.version();
   estate->hosts = hosts_.Records();
   estate->carried = dispatcher_.ExportState();
@@ -57,54 +58,54 @@
 
 void Program::KeepDoor() {
   if (!Serving() && phase_ != Phase::kDraining) return;
-  if (front_.StartAccepting()) log_.Tell<"door_kept">();  // an heir that came no further may be told of twice
+  if (front_.StartAccepting()) log_.Tell<"door_kept">();  // KeepDoor() may be called twice for one successor
 }
 
 void Program::HandOn() {
-  // One that closes goes on closing. Guards against taking back a door that it has not any more.
+  // A process that is closing continues to close, and so can't take back a listener that it no longer has.
   if (phase_ != Phase::kClosing) {
-    before_hand_on_ = phase_;
+    phase_before_handover_ = phase_;
     phase_ = Phase::kHandedOver;
   }
   log_.Tell<"handed_over">(front_.open(), dispatcher_.open());
   front_.StopAccepting();
-  member_.reset();  // without a word: the heir goes on in its place, and nobody misses it
-  if (council_) {   // likewise; its disk and its address are the heir's
+  member_.reset();  // without an announcement: the successor continues as the same member
+  if (council_) {   // likewise; the successor now uses its disk and its address
     council_->Shut();
-    councils_before_.push_back(std::move(council_));
+    retired_councils_.push_back(std::move(council_));
   }
   hosts_.LeaveCold(true, machine_.Now());
-  HostsChanged();
+  OnHostsChanged();
   upstream_.CloseAllIdle();
-  TellUse();
+  SendUse();
   front_.HandOverLinks([this](Stream& stream, const HandedOverLink& link) {
     const Io passed = handover_->Pass(stream, {link.had_query, link.query_began_at, link.buffered});
-    heir_takes_ = passed != Io::kLater;
+    successor_accepts_links_ = passed != Io::kLater;
     return passed;
   });
-  moved_.Notify();
+  phase_event_.Notify();
 }
 
-void Program::HeirTold() { moved_.Notify(); }
+void Program::HeirTold() { phase_event_.Notify(); }
 
 void Program::TakeBack() {
   if (phase_ != Phase::kHandedOver) return;
   log_.Tell<"taken_back">(handover_->links_lost());
-  phase_ = before_hand_on_;
+  phase_ = phase_before_handover_;
   front_.HandOverLinks(nullptr);
   front_.StartAccepting();
   Join();
   hosts_.LeaveCold(false, machine_.Now());
-  HostsChanged();
-  if (told_to_end_at_) Drain();
-  moved_.Notify();
+  OnHostsChanged();
+  if (shutdown_requested_at_) Drain();
+  phase_event_.Notify();
 }
 
 void Program::LastOwner() {
   if (phase_ != Phase::kHandedOver) return;
   phase_ = Phase::kClosing;
   front_.HandOverLinks(nullptr);
-  moved_.Notify();
+  phase_event_.Notify();
 }
 
 void Program::TakeLink(std::unique_ptr<Stream> stream, PassedLink link) {
@@ -112,22 +113,22 @@
 }
 
 void Program::OtherUses(const Use& use) {
-  const bool first = other_.descriptors == 0 && use.descriptors > 0;
-  other_ = use;
-  Allow();
+  const bool first = other_use_.descriptors == 0 && use.descriptors > 0;
+  other_use_ = use;
+  UpdateDescriptorLimits();
   if (!first) return;
   log_.Tell<"two_processes">(use.descriptors, use.memory_kb, budget_.open() + LinkBudget::kSpareDescriptors,
                              machine_.ResidentBytes() / 1024, descriptors());
 }
 
-void Program::TellUse() {
+void Program::SendUse() {
   handover_->TellUse({budget_.open() + LinkBudget::kSpareDescriptors, machine_.ResidentBytes() / 1024});
 }
 
-// Said on: a third process may be about. It ends where it is known.
+// Forwarded, because a third process may be running. Forwarding ends at a process that already knows it.
 void Program::OtherTookOut(const NodeCall& call) {
   if (hosts_.IsOut(call.name) || !hosts_.TakeOut(call.name, call.since)) return;
-  HostsChanged();
+  OnHostsChanged();
   handover_->TellOut(call);
   log_.Tell<"node_out">(call.name, hosts_.Out().size());
 }
@@ -135,11 +136,11 @@
 void Program::OtherPutBack(const NodeCall& call) {
   if (!hosts_.IsOut(call.name)) return;
   hosts_.PutBack(call.name, call.since);
-  HostsChanged();
+  OnHostsChanged();
   handover_->TellBack(call);
   log_.Tell<"node_back">(call.name, hosts_.Out().size());
 }
 
-void Program::OtherDrains(bool drains) { SetAside(drains); }
+void Program::OtherDrains(bool drains) { SetManualDrain(drains); }
 
 }  // namespace burlfall
--- a/src/serve/program_operations.cpp
+++ b/src/serve/program_operations.cpp
@@ -1,4 +1,4 @@
-// What operators tell the program: nodes out and back, drains by hand, reloads.
+// Operator calls: taking nodes out of service and back, manual drains, reloads.
 #include <algorithm>
 #include <cstdlib>
 #include <utility>
@@ -8,12 +8,12 @@
 
 namespace burlfall {
 
-// Those that were out when an earlier process ended are out still.
-void Program::ReadOut() {
-  const std::string path = OutPath(config_);
+// Nodes that were out of service when an earlier process ended remain so.
+void Program::LoadOutFile() {
+  const std::string path = OutFilePath(config_);
   if (path.empty()) return;
   const std::optional<std::string> text = machine_.files().Read(path);
-  if (!text) return;  // none was ever out
+  if (!text) return;  // no node was ever out of service
   const std::optional<std::vector<OutHost>> out = ReadOutFile(*text);
   if (!out) {
     log_.Tell<"out_file_refused">(path);
@@ -24,39 +24,41 @@
   log_.Tell<"nodes_kept_out">(out->size());
 }
 
-// Nothing to keep it in is no failure: it then holds as long as this process.
-bool Program::KeepOut(const std::vector<OutHost>& out) {
-  const std::string path = OutPath(config_);
+// Returns false if the file can't be written. Without a file the state lasts as long as this process, which
+// is not an error.
+bool Program::SaveOutFile(const std::vector<OutHost>& out) {
+  const std::string path = OutFilePath(config_);
   std::string why;
-  if (path.empty() || machine_.files().Replace(path, WriteOutFile(out), why)) return out_kept_ = true;
+  if (path.empty() || machine_.files().Replace(path, WriteOutFile(out), why)) return out_file_current_ = true;
   log_.Tell<"out_file_error">(path, why);
   return false;
 }
 
-// A node was put back and the file could not say so: guards it from being out again after the next start.
-void Program::KeepOutLate() {
-  const std::string path = OutPath(config_);
+// Writes the file again if that failed when a node was put back; otherwise the node would be out of service
+// again after the next start.
+void Program::RetrySaveOutFile() {
+  const std::string path = OutFilePath(config_);
   std::string why;
-  if (out_kept_ || !machine_.files().Replace(path, WriteOutFile(hosts_.Out()), why)) return;
-  out_kept_ = true;
+  if (out_file_current_ || !machine_.files().Replace(path, WriteOutFile(hosts_.Out()), why)) return;
+  out_file_current_ = true;
   log_.Tell<"out_file_written">(path);
 }
 
-void Program::HostsChanged() {
+void Program::OnHostsChanged() {
   upstream_.CloseStaleIdle();
   dispatcher_.OnList(hosts_.AsItStands());
 }
 
 Verdict Program::TakeOut(std::string_view server) {
   if (phase_ == Phase::kStarting) return Verdict::kNotNow;
-  if (hosts_.IsOut(server)) return Verdict::kDone;  // one ban, since the first call
+  if (hosts_.IsOut(server)) return Verdict::kDone;  // the first call counts
   if (!hosts_.Names(server)) return Verdict::kUnknown;
   std::vector<OutHost> out = hosts_.Out();
   const Micros now = machine_.Now();
   out.push_back({std::string(server), now});
-  if (!KeepOut(out)) return Verdict::kFailed;
+  if (!SaveOutFile(out)) return Verdict::kFailed;
   hosts_.TakeOut(server, now);
-  HostsChanged();
+  OnHostsChanged();
   if (handover_) handover_->TellOut({std::string(server), now});
   log_.Tell<"node_out">(server, out.size());
   return Verdict::kDone;
@@ -68,10 +70,10 @@
   if (!hosts_.IsOut(server)) return Verdict::kDone;
   std::vector<OutHost> out = hosts_.Out();
   std::erase_if(out, [&](const OutHost& h) { return h.name == server; });
-  out_kept_ = KeepOut(out);  // a full disk must not keep a sound node out
+  out_file_current_ = SaveOutFile(out);  // a full disk must not keep a healthy node out of service
   const Micros now = machine_.Now();
   hosts_.PutBack(server, now);
-  HostsChanged();
+  OnHostsChanged();
   if (handover_) handover_->TellBack({std::string(server), now});
   log_.Tell<"node_back">(server, out.size());
   return Verdict::kDone;
@@ -79,18 +81,18 @@
 
 Verdict Program::StandAside() {
   if (phase_ == Phase::kStarting) return Verdict::kNotNow;
-  SetAside(true);
+  SetManualDrain(true);
   if (handover_ && (Serving() || phase_ == Phase::kHandedOver)) handover_->TellDrain(true);
-  return Verdict::kDone;  // one that ends drains too
+  return Verdict::kDone;  // a process that shuts down drains as well
 }
 
 Verdict Program::ComeBack() {
-  SetAside(false);
+  SetManualDrain(false);
   if (handover_ && (Serving() || phase_ == Phase::kHandedOver)) handover_->TellDrain(false);
   return phase_ == Phase::kServing || phase_ == Phase::kHandedOver ? Verdict::kDone : Verdict::kNotNow;
 }
 
-// Without a council each balancer decides by itself.
+// Without a coordinator group each balancer decides by itself.
 Task<Leave> Program::MayBegin(ChangeCall call) {
   using What = ChangeCall::What;
   if (!council_ || phase_ == Phase::kStarting) co_return Leave();
@@ -99,7 +101,7 @@
       call.what == What::kStandAside ? freeze::ChangeKind::kDrain : freeze::ChangeKind::kUndrain;
   if (call.what == What::kTakeOut || call.what == What::kPutBack) {
     const bool out = call.what == What::kTakeOut;
-    // What is so already, or can't be, changes nothing.
+    // A node that is already in the requested state, or is unknown, needs no permission.
     if (!hosts_.Names(call.server) || hosts_.IsOut(call.server) == out) co_return Leave();
     kind = out ? freeze::ChangeKind::kNodeOut : freeze::ChangeKind::kNodeBack;
     scope = freeze::Scope::Node(call.server, "", "");
@@ -107,20 +109,21 @@
       if (host.name != call.server) continue;
       scope = freeze::Scope::Node(call.server, std::to_string(host.zone), std::to_string(host.kind));
     }
-  } else if ((phase_ == Phase::kAside) == (call.what == What::kStandAside)) {
+  } else if ((phase_ == Phase::kDrainedManually) == (call.what == What::kStandAside)) {
     co_return Leave();
   }
-  co_return co_await Leaving(kind, scope, std::move(call.by), std::move(call.reason));
+  co_return co_await RequestChange(kind, scope, std::move(call.by), std::move(call.reason));
 }
 
-Task<Leave> Program::MayReload() {
+Task<Leave> Program::RequestReload() {
   if (!council_) co_return Leave();
-  co_return co_await Leaving(freeze::ChangeKind::kReload,
-                             freeze::Scope::Balancer(config_.name, cluster_ ? cluster_->zone : ""), "", "");
+  co_return co_await RequestChange(freeze::ChangeKind::kReload,
+                                   freeze::Scope::Balancer(config_.name, cluster_ ? cluster_->zone : ""), "",
+                                   "");
 }
 
-Task<Leave> Program::Leaving(freeze::ChangeKind kind, freeze::Scope scope, std::string by,
-                             std::string reason) {
+Task<Leave> Program::RequestChange(freeze::ChangeKind kind, freeze::Scope scope, std::string by,
+                                   std::string reason) {
   const Council::Permission permission =
       co_await council_->Ask(kind, std::move(scope), std::move(by), std::move(reason));
   Leave leave;
@@ -144,20 +147,20 @@
   co_await council_->Done(permission);
 }
 
-// One that has handed over keeps it for the case that it takes the door back.
-void Program::SetAside(bool aside) {
-  Phase& phase = phase_ == Phase::kHandedOver ? before_hand_on_ : phase_;
-  if (phase != (aside ? Phase::kServing : Phase::kAside)) return;
-  phase = aside ? Phase::kAside : Phase::kServing;
-  if (aside) {
-    aside_since_ = machine_.Now();
+// After a hand-over the state is stored for the case that this process takes the listener back.
+void Program::SetManualDrain(bool drained) {
+  Phase& phase = phase_ == Phase::kHandedOver ? phase_before_handover_ : phase_;
+  if (phase != (drained ? Phase::kServing : Phase::kDrainedManually)) return;
+  phase = drained ? Phase::kDrainedManually : Phase::kServing;
+  if (drained) {
+    manual_drain_since_ = machine_.Now();
     log_.Tell<"drained">(front_.open());
     front_.DrainManually();
   } else {
-    log_.Tell<"back_to_work">((machine_.Now() - aside_since_) / kMs);
+    log_.Tell<"back_to_work">((machine_.Now() - manual_drain_since_) / kMs);
     front_.EndManualDrain();
   }
-  moved_.Notify();
+  phase_event_.Notify();
 }
 
 }  // namespace burlfall
--- a/src/serve/program_saved_list.cpp
+++ b/src/serve/program_saved_list.cpp
@@ -1,4 +1,4 @@
-// The program's last list and book of starts, kept on disk from start to start.
+// The last node list and the record of starts, which are on disk between starts.
 #include <algorithm>
 #include <cstdlib>
 #include <utility>
@@ -8,31 +8,31 @@
 
 namespace burlfall {
 
-std::string Program::KeptPath(const char* what) const {
-  return PathFor(config_, NamedFolder(config_, start_.saved_list.folder), what);
+std::string Program::SavedPath(const char* suffix) const {
+  return PathFor(config_, ResolveFolder(config_, start_.saved_list.folder), suffix);
 }
 
-std::string Program::ListPath(int file) const { return KeptPath(file == 0 ? ".list.0" : ".list.1"); }
+std::string Program::SavedListPath(int file) const { return SavedPath(file == 0 ? ".list.0" : ".list.1"); }
 
-// Further writes count on from what is found, whether it is used or not: the newer of two files is told by
-// that.
-start::SavedChoice Program::FindSavedList() {
+// Reads both files and chooses one. Later writes continue the numbering that was found, even if no file is
+// used, because the number tells which of the two files is newer.
+start::SavedChoice Program::ReadSavedLists() {
   std::vector<start::SavedFile> files;
   for (const int file : {0, 1}) {
-    std::optional<std::string> text = machine_.files().Read(ListPath(file));
-    if (text) files.push_back({ListPath(file), std::move(*text)});
+    std::optional<std::string> text = machine_.files().Read(SavedListPath(file));
+    if (text) files.push_back({SavedListPath(file), std::move(*text)});
   }
   start::SavedChoice choice = start::ChooseSavedList(
       files, start::SiteOf(start_.saved_list.site, config_.settings), machine_.WallClock(),
       static_cast<Micros>(start_.saved_list.oldest_s * static_cast<double>(kSecond)));
-  keeper_->Found(choice.last_number);
+  list_saver_->Found(choice.last_number);
   return choice;
 }
 
-// What the configuration came with may be older, or nothing.
-bool Program::UseSavedList() {
-  if (!keeper_) return false;
-  const start::SavedChoice choice = FindSavedList();
+// Uses the saved list unless the list in the configuration is newer. Returns whether it did.
+bool Program::ApplySavedList() {
+  if (!list_saver_) return false;
+  const start::SavedChoice choice = ReadSavedLists();
   for (const auto& [path, why] : choice.refused) log_.Tell<"saved_list_refused">(path, why);
   if (!choice.list) return false;
   if (choice.list->version < config_.known.version && !config_.known.hosts.empty()) return false;
@@ -55,49 +55,49 @@
   return true;
 }
 
-void Program::KeepList() {
-  if (!keeper_ || !keeper_->Due(machine_.Now())) return;
+void Program::SaveList() {
+  if (!list_saver_ || !list_saver_->Due(machine_.Now())) return;
   start::SavedList list;
   list.site = start::SiteOf(start_.saved_list.site, config_.settings);
   list.version = hosts_.version();
-  list.heard_at = heard_at_;
-  list.number = keeper_->NextNumber();
+  list.heard_at = list_received_at_;
+  list.number = list_saver_->NextNumber();
   for (const HostRecord& host : hosts_.Records()) {
     if (host.listed == meadowslip::BackendState::kGone) continue;
     list.nodes.push_back({host.name, host.address, host.listed, std::max(0, host.zone),
                           std::max(0, host.cell), std::max(0, host.kind), host.started_at, host.size});
   }
-  const std::string path = ListPath(keeper_->NextFile());
+  const std::string path = SavedListPath(list_saver_->NextFile());
   std::string why;
   const bool done = list.nodes.empty() || machine_.files().Replace(path, start::WriteSavedList(list), why);
-  keeper_->Wrote(machine_.Now(), done);
-  if (!done && !std::exchange(list_file_bad_, true)) log_.Tell<"saved_list_error">(path, why);
-  if (done) list_file_bad_ = false;
+  list_saver_->Wrote(machine_.Now(), done);
+  if (!done && !std::exchange(list_file_error_logged_, true)) log_.Tell<"saved_list_error">(path, why);
+  if (done) list_file_error_logged_ = false;
 }
 
-int Program::BeganBefore() {
+int Program::RecordStart() {
   if (start_.saved_list.folder.empty()) return 0;
-  const std::string path = KeptPath(".starts");
+  const std::string path = SavedPath(".starts");
   start::StartBook book(machine_.files().Read(path).value_or(""));
   const Micros wall = machine_.WallClock();
-  const int before = book.Within(asking_->loop_span(), wall);
+  const int before = book.Within(list_pacing_->loop_span(), wall);
   book.Add(wall);
   std::string why;
-  if (!machine_.files().Replace(path, book.Text(), why) && !std::exchange(list_file_bad_, true)) {
+  if (!machine_.files().Replace(path, book.Text(), why) && !std::exchange(list_file_error_logged_, true)) {
     log_.Tell<"saved_list_error">(path, why);
   }
-  if (before > 0) log_.Tell<"start_again">(before, asking_->loop_span() / kMs);
+  if (before > 0) log_.Tell<"start_again">(before, list_pacing_->loop_span() / kMs);
   return before;
 }
 
-// Where the start stands, whenever that changes.
-void Program::TellStart() {
-  if (!asking_ || asking_->phase() == told_phase_) return;
-  told_phase_ = asking_->phase();
+// Logs the phase of the start whenever it changes.
+void Program::LogStartPhase() {
+  if (!list_pacing_ || list_pacing_->phase() == logged_phase_) return;
+  logged_phase_ = list_pacing_->phase();
   const Micros now = machine_.Now();
-  log_.Tell<"start_phase">(start::NameOf(told_phase_), (now - began_at_) / kMs,
-                           std::max<Micros>(0, asking_->next_at() - now) / kMs, asking_->window() / kMs,
-                           counters_.list_calls);
+  log_.Tell<"start_phase">(start::NameOf(logged_phase_), (now - start_began_at_) / kMs,
+                           std::max<Micros>(0, list_pacing_->next_at() - now) / kMs,
+                           list_pacing_->window() / kMs, counters_.list_calls);
 }
 
 }  // namespace burlfall
--- a/src/serve/serve.cpp
+++ b/src/serve/serve.cpp
@@ -16,10 +16,11 @@
 namespace burlfall {
 namespace {
 
-constexpr Micros kLastLines = 300 * kMs;
-constexpr int kUnusableFile = 2;
+// For the last log lines, if the reader of standard error is slow.
+constexpr Micros kLogFlushTimeout = 300 * kMs;
+constexpr int kExitBadSettings = 2;
 
-void TellCounters(const Program& program, Log& log) {
+void LogCounters(const Program& program, Log& log) {
   log.Tell<"counters">(program.counters(), static_cast<int>(program.phase()));
 }
 
@@ -28,8 +29,8 @@
   return path.empty() ? Properties() : LoadProperties(path, files);
 }
 
-// A file that can't be used leaves what was read before in force. The variables don't go before it any more:
-// they are those of the start.
+// Reads the files again. If a file is invalid, the settings that were read before stay in force. Environment
+// variables no longer override the file, because they still have their values from the start.
 void Reload(Program& program, const std::string& path, Files& files, Log& log) {
   try {
     auto file = [](const char* name) -> const char* {
@@ -49,27 +50,27 @@
   }
 }
 
-// Where balancers decide that together, a reload is asked for first; the end of the program waits for
-// nothing.
-Task<> ReloadOnce(Program& program, const std::string& path, Files& files, Log& log) {
-  const Leave leave = co_await program.MayReload();
+// Requests the permission for a reload if there is a coordinator group, then reloads. A shutdown does not
+// wait for this.
+Task<> RequestAndReload(Program& program, const std::string& path, Files& files, Log& log) {
+  const Leave leave = co_await program.RequestReload();
   if (!leave.granted) co_return;
   Reload(program, path, files, log);
-  co_await program.ReloadEnded(leave);
+  co_await program.EndReload(leave);
 }
 
-// SIGTERM and SIGINT end the program in order, SIGUSR1 prints the counters, SIGHUP has the files read.
-Task<> HearSignals(ProcessSignals& signals, Program& program, const std::string& path, Files& files,
-                   Log& log) {
+// SIGTERM and SIGINT shut the program down in order, SIGUSR1 prints the counters, SIGHUP reloads the files.
+Task<> HandleSignals(ProcessSignals& signals, Program& program, const std::string& path, Files& files,
+                     Log& log) {
   Task<> reloading;
   while (true) {
-    while (const int one = signals.Take()) {
-      if (one == SIGUSR1) {
-        TellCounters(program, log);
+    while (const int signal_number = signals.Take()) {
+      if (signal_number == SIGUSR1) {
+        LogCounters(program, log);
         program.Dump();
-      } else if (one == SIGHUP) {
-        if (!reloading.Done()) continue;  // one is being asked for
-        reloading = ReloadOnce(program, path, files, log);
+      } else if (signal_number == SIGHUP) {
+        if (!reloading.Done()) continue;  // the previous reload is still in progress
+        reloading = RequestAndReload(program, path, files, log);
         reloading.Start();
       } else {
         program.Drain();
@@ -105,24 +106,24 @@
 
 int Serve(const std::string& path, LogFormat format, const std::string& start_path,
           const std::string& cluster_path, const std::string& council_path) {
-  // Before all else: a signal that comes while the program starts must wait, not end it.
+  // Signals are blocked first, so that one that arrives during the start waits and does not kill the process.
   RealMachine machine;
   ProcessSignals signals(machine.scheduler(), {SIGTERM, SIGINT, SIGUSR1, SIGHUP});
   signal(SIGPIPE, SIG_IGN);
-  signal(SIGXFSZ, SIG_IGN);  // a file that may not grow is a write that fails, and not the end
+  signal(SIGXFSZ, SIG_IGN);  // a write beyond the file size limit fails instead of killing the process
   const auto environment = [](const char* name) -> const char* { return std::getenv(name); };
   Config config = LoadConfig(environment, machine.files());
   const Properties properties = ReadProperties(path, machine.files());
   std::optional<StartSettings> start;
   std::optional<ClusterSettings> cluster;
   std::optional<CouncilSettings> council;
-  std::string wrong;
-  if (!start_path.empty()) start = ReadStart(start_path, machine.files(), wrong);
-  if (!cluster_path.empty()) cluster = ReadCluster(cluster_path, machine.files(), wrong);
-  if (!council_path.empty()) council = ReadCouncil(council_path, machine.files(), wrong);
-  if (!wrong.empty()) {
-    std::fputs(wrong.c_str(), stderr);
-    return kUnusableFile;
+  std::string settings_errors;
+  if (!start_path.empty()) start = ReadStart(start_path, machine.files(), settings_errors);
+  if (!cluster_path.empty()) cluster = ReadCluster(cluster_path, machine.files(), settings_errors);
+  if (!council_path.empty()) council = ReadCouncil(council_path, machine.files(), settings_errors);
+  if (!settings_errors.empty()) {
+    std::fputs(settings_errors.c_str(), stderr);
+    return kExitBadSettings;
   }
   Outlet errors(machine.scheduler(), machine.StandardError());
   Counters counters;
@@ -130,15 +131,15 @@
   Program program(machine, config, properties, log, counters, start, cluster, council);
   log.Tell<"starting">(config.name, BURLFALL_VERSION, config.discovery.text, config.known.hosts.size(),
                        program.descriptors(), properties.On());
-  Task<> hearing = HearSignals(signals, program, path, machine.files(), log);
-  hearing.Start();
+  Task<> signal_task = HandleSignals(signals, program, path, machine.files(), log);
+  signal_task.Start();
   program.Start();
   const Micros began = machine.Now();
   machine.scheduler().Run();
   program.Finish();
-  TellCounters(program, log);
+  LogCounters(program, log);
   log.Tell<"stopped">((machine.Now() - began) / kMs);
-  log.Finish(kLastLines);
+  log.Finish(kLogFlushTimeout);
   return 0;
 }
 
--- a/src/serve/serve.h
+++ b/src/serve/serve.h
@@ -1,4 +1,4 @@
-// `burlfall serve`: the program on the real machine, until a signal ends it.
+// `burlfall serve`: runs the balancer on the real machine until a signal ends it.
 #ifndef BURLFALL_SERVE_SERVE_H_
 #define BURLFALL_SERVE_SERVE_H_
 
@@ -13,15 +13,19 @@
 
 namespace burlfall {
 
-// `path` names the operators' own settings; empty: every feature is off. The platform's configuration is
-// where the environment says. Returns the exit code; throws, with one plain line, where it can't start.
-// `start` names the settings of the start; empty: nothing of it is on. Exit code 2 where that file is wrong.
-// `cluster` names the settings of the cluster, likewise; empty: it knows of no other balancer. `council`
-// names those of what the balancers decide together; empty: nothing of it is on.
+// Runs the balancer. The environment names the platform's configuration file. The paths name settings files
+// of the operators; an empty path leaves the features of that file off:
+// - `path`: the properties.
+// - `start`: the start settings.
+// - `cluster`: the cluster settings; without them the balancer knows of no other balancer.
+// - `council`: the settings of the coordinator group.
+// Returns the exit code: 2 if the start, cluster or council settings are invalid. Throws an exception with
+// a one-line message if the balancer can't start.
 int Serve(const std::string& path, LogFormat format = LogFormat::kText, const std::string& start = "",
           const std::string& cluster = "", const std::string& council = "");
-// The settings of the start, of the cluster and of the council; nothing where the file is wrong, and `errors`
-// then has a line for each slip. Throw BadConfig where it can't be read.
+
+// Read the settings of the start, the cluster and the coordinator group. If the file is invalid, they return
+// nullopt and append one line for each error to `errors`. They throw BadConfig if the file can't be read.
 std::optional<StartSettings> ReadStart(const std::string& path, Files& files, std::string& errors);
 std::optional<ClusterSettings> ReadCluster(const std::string& path, Files& files, std::string& errors);
 std::optional<CouncilSettings> ReadCouncil(const std::string& path, Files& files, std::string& errors);
