--- a/src/serve/program.cpp
+++ b/src/serve/program.cpp
@@ -247,7 +247,7 @@
   if (handover_) estate = co_await handover_->Claim();
   if (estate && shutdown_requested_at_) {
     // The predecessor keeps the listener. Otherwise both processes would end, although only this one was
-    // asked to.
+    // asked to end.
     handover_.reset();
     phase_ = Phase::kStopped;
     machine_.scheduler().Stop();
--- a/tests/features/capture_test.cpp
+++ b/tests/features/capture_test.cpp
@@ -335,7 +335,7 @@
   CHECK(counters().find(" capture_errors=") != std::string::npos);
   CHECK(counters().find(" capture_dropped=") != std::string::npos);
   std::filesystem::remove(blocked.path);
-  const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(kPatience);
+  const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(kTimeoutSeconds);
   while (!std::filesystem::is_directory(blocked.path) && std::chrono::steady_clock::now() < until) {
     Load(program.port, 2);
   }
--- a/tests/features/figures_test.cpp
+++ b/tests/features/figures_test.cpp
@@ -60,7 +60,7 @@
   }
   std::string Hear() {
     char piece[65536];
-    REQUIRE(Readable(fd.get(), kPatience * 1000));
+    REQUIRE(Readable(fd.get(), kTimeoutSeconds * 1000));
     return {piece, static_cast<size_t>(recv(fd.get(), piece, sizeof piece, 0))};
   }
   Descriptor fd;
@@ -202,7 +202,7 @@
     char piece[4096];
     while (heard.size() < sent.size()) {
       outlet.Drain(0);
-      REQUIRE(Readable(in.get(), kPatience * 1000));
+      REQUIRE(Readable(in.get(), kTimeoutSeconds * 1000));
       heard.append(piece, static_cast<size_t>(read(in.get(), piece, sizeof piece)));
     }
     CHECK(heard == sent);
@@ -235,7 +235,7 @@
   char piece[4096];
   while (heard.find("request_time:1499.000") == std::string::npos) {
     figures.Flush();
-    REQUIRE(Readable(in.get(), kPatience * 1000));
+    REQUIRE(Readable(in.get(), kTimeoutSeconds * 1000));
     heard.append(piece, static_cast<size_t>(read(in.get(), piece, sizeof piece)));
   }
   figures.Flush();
@@ -345,7 +345,7 @@
   CHECK(client.Read().find("served=400") != std::string::npos);
   CHECK((fcntl(program.fd(), F_GETFL) & O_NONBLOCK) == 0);
   program.Signal(SIGTERM);
-  CHECK(program.EndsUnread());
+  CHECK(program.ExitsWithoutReader());
   CHECK(program.Wait() == 0);
   for (const std::string& line : Lines(program.output)) {  // none torn
     CAPTURE(line);
--- a/tests/features/properties_test.cpp
+++ b/tests/features/properties_test.cpp
@@ -99,12 +99,12 @@
   Program program(ConfigText({.discovery = discovery.port}), {"serve", "--config", file.path});
   file.Write("figures.flush_ms = soon\n");
   program.Signal(SIGHUP);
-  CHECK(program.Line() == "burlfall: configuration read anew\n");
-  CHECK(program.Line().starts_with("burlfall: properties kept as they were: "));
+  CHECK(program.ReadLineExceptDiscovery() == "burlfall: configuration read anew\n");
+  CHECK(program.ReadLineExceptDiscovery().starts_with("burlfall: properties kept as they were: "));
   file.Write("figures.flush_ms = 3600000\n");
   program.Signal(SIGHUP);
-  CHECK(program.Line() == "burlfall: configuration read anew\n");
-  CHECK(program.Line().starts_with("burlfall: properties read anew"));
+  CHECK(program.ReadLineExceptDiscovery() == "burlfall: configuration read anew\n");
+  CHECK(program.ReadLineExceptDiscovery().starts_with("burlfall: properties read anew"));
   CHECK(program.Wait(SIGTERM) == 0);
 }
 
--- a/tests/features/rate_limiter_test.cpp
+++ b/tests/features/rate_limiter_test.cpp
@@ -168,8 +168,8 @@
 
   file.Write("door.rate.default = 1000\n");
   program.Signal(SIGHUP);
-  program.Line();
-  CHECK(program.Line().starts_with("burlfall: properties read anew"));
+  program.ReadLineExceptDiscovery();
+  CHECK(program.ReadLineExceptDiscovery().starts_with("burlfall: properties read anew"));
   served("shut");
   CHECK(program.Wait(SIGTERM) == 0);
   CHECK(program.output.find(" limited=") != std::string::npos);
--- a/tests/features/tokens_test.cpp
+++ b/tests/features/tokens_test.cpp
@@ -176,8 +176,8 @@
   auto reload = [&](const std::string& text) {
     file.Write(text);
     program.Signal(SIGHUP);
-    program.Line();
-    return program.Line();
+    program.ReadLineExceptDiscovery();
+    return program.ReadLineExceptDiscovery();
   };
   const std::string first = "tokens.key.k1 = " + kHex1 + "\n", second = "tokens.key.k2 = " + kHex2 + "\n";
   const std::string required = "tokens.required = true\n";
--- a/tests/histories/cold_test.cpp
+++ b/tests/histories/cold_test.cpp
@@ -1,5 +1,5 @@
-// Cold nodes under the whole program, twenty balancers of it on one clock: what discovery tells, when, and
-// what the host group makes of that. Verdicts are on counts at the nodes.
+// Cold nodes with the complete program, twenty balancers on one clock: which lists discovery sends, when, and
+// how the host group applies them. The checks use counts taken at the nodes.
 #include <gtest/gtest.h>
 
 #include <numeric>
@@ -14,8 +14,8 @@
 
 struct Case {
   const char* name;
-  const char* faults;            // of the nodes that are watched
-  const char* late = "20, 300";  // until discovery knows, ms
+  const char* faults;            // of the nodes under test
+  const char* late = "20, 300";  // ms until discovery announces a change
 };
 void PrintTo(const Case& c, std::ostream* out) { *out << c.name; }
 
@@ -27,7 +27,7 @@
       << "[load]\nrate_per_s = 60\n"
       << "[[classes]]\nname = \"look\"\nwork_ms = [30, 30]\n"
       << "[[classes]]\nname = \"take\"\neffect = \"unsafe\"\nwork_ms = [40, 40]\n"
-      // Once quiet, then bursts of half as much again as the nodes carry.
+      // First little load, then bursts of 1.5 times the capacity of the nodes.
       << "[[faults]]\nkind = \"traffic-jump\"\nat_s = [9, 9]\nfor_s = [3, 3]\nsize = [6, 6]\n"
       << "[[faults]]\nkind = \"traffic-jump\"\nat_s = [15, 15]\nfor_s = [3, 3]\nsize = [6, 6]\n"
       << c.faults;
@@ -36,18 +36,18 @@
 
 class ColdHistory : public testing::TestWithParam<Case> {};
 
-TEST_P(ColdHistory, NoNodeThatIsColdIsPushedOver) {
+TEST_P(ColdHistory, NoColdNodeIsOverloaded) {
   const std::string text = Site(GetParam());
   const Loaded<Experiment> site = ParseExperiment("cold.toml", text);
   for (const auto& error : site.errors) ADD_FAILURE() << error.Line() << "\n" << text;
   ASSERT_TRUE(site.errors.empty());
-  const VirtualRun run = PlayVirtually(*site.value, 3);
-  ASSERT_TRUE(run.whole) << run.why_not;
+  const VirtualRun run = RunVirtually(*site.value, 3);
+  ASSERT_TRUE(run.completed) << run.failure;
   EXPECT_EQ(run.verdict.fleet.fell, 0u);
   for (const RuleResult& rule : run.verdict.rules) {
     for (const Finding& finding : rule.findings) ADD_FAILURE() << rule.rule << ": " << finding.why;
   }
-  uint64_t late = 0;  // what nodes were sent in the last seconds: none is left out
+  uint64_t late = 0;  // nodes with attempts in the last seconds: all of them
   for (const auto& attempts : run.verdict.series.attempts_by_node) {
     late += std::accumulate(attempts.end() - 4, attempts.end(), uint64_t{0}) > 0;
   }
--- a/tests/histories/ends_test.cpp
+++ b/tests/histories/ends_test.cpp
@@ -1,5 +1,5 @@
-// The end of a process, and its start, on a virtual clock: what is owed when the platform may kill it, which
-// links it waits for, and when it says that it can serve. The moments are exact, whatever the machine does.
+// The shutdown of a process on a virtual clock: which queries are open when the platform may kill it, and
+// which links it waits for. Times are exact, whatever the load of the machine.
 #include <gtest/gtest.h>
 
 #include <list>
@@ -16,7 +16,7 @@
 namespace burlfall {
 namespace {
 
-constexpr char kDoor[] = "127.0.0.1:8000";
+constexpr char kListenAddress[] = "127.0.0.1:8000";
 constexpr char kNode[] = "127.0.0.1:9000";
 constexpr char kDiscovery[] = "127.0.0.1:7000";
 
@@ -28,9 +28,9 @@
   return R"({"version":1,"full":true,"servers":[)" + entries + "]}";
 }
 
-// One class of safe queries, with this deadline.
+// A configuration with one class of safe queries that has this deadline.
 std::string ConfigText(Micros deadline, const std::string& known, const std::string& descriptors) {
-  return std::string(R"({"name":"n1","listen":")") + kDoor + R"(","discovery":")" + kDiscovery +
+  return std::string(R"({"name":"n1","listen":")") + kListenAddress + R"(","discovery":")" + kDiscovery +
          R"(","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":)" + descriptors +
          R"(},"known":)" + ListOf(known) +
          R"(,"settings":{"Balancers":1,"MyZone":0,"Zones":["a"],"MachineTypes":["m"],"Categories":[)"
@@ -48,10 +48,10 @@
   return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// The process, from its start to its end, and what stands round it.
-class Stage {
+// One balancer process, from its start to its end, and its environment.
+class Simulation {
  public:
-  explicit Stage(const std::string& config, size_t descriptors = 1024)
+  explicit Simulation(const std::string& config, size_t descriptors = 1024)
       : outside(world_, 1 << 16), machine_(world_, descriptors), pause_(world_.scheduler) {
     world_.files["config.json"] = config;
     const auto environment = [](const char* name) -> const char* {
@@ -62,32 +62,32 @@
     program_ = std::make_unique<Program>(machine_, LoadConfig(environment, machine_.files()), Properties(),
                                          *log_, counters_);
     world_.scheduler.on_stop = [this] { ended_at = Now(); };
-    began_ = Now();
+    started_at_ = Now();
     program_->Start();
   }
 
   Micros Now() const { return world_.scheduler.Now(); }
-  Micros since_start() const { return Now() - began_; }
-  Waiter Until(Micros after_start) { return pause_.Wait(began_ + after_start); }
+  Micros time_since_start() const { return Now() - started_at_; }
+  Waiter Until(Micros after_start) { return pause_.Wait(started_at_ + after_start); }
   Event MakeEvent() { return Event(world_.scheduler); }
   bool ended() const { return ended_at != 0; }
   void Terminate() { program_->Drain(); }
-  // As the system does with what a process that ended, or was killed, leaves.
-  void Bury() { program_.reset(); }
+  // Closes what the process has open, as the kernel does when a process ends.
+  void DestroyProgram() { program_.reset(); }
   const std::string& said() const { return machine_.said; }
   const Counters& counters() const { return counters_; }
-  std::unique_ptr<Stream> Connect(const char* to = kDoor) {
+  std::unique_ptr<Stream> Connect(const char* to = kListenAddress) {
     NoConnection why{};
     return outside.network().Connect(*ReadAddress(to), why);
   }
   std::unique_ptr<Listener> Listen(const char* at) { return outside.network().Listen(*ReadAddress(at)); }
-  void Play(Task<> story) {
-    story.Start();
-    while (!over_ && !world_.scheduler.stuck()) world_.scheduler.Run();
-    EXPECT_TRUE(over_);
+  void RunScenario(Task<> scenario) {
+    scenario.Start();
+    while (!finished_ && !world_.scheduler.stuck()) world_.scheduler.Run();
+    EXPECT_TRUE(finished_);
   }
-  void Over() {
-    over_ = true;
+  void Finish() {
+    finished_ = true;
     world_.scheduler.Halt();
   }
 
@@ -105,11 +105,11 @@
   std::unique_ptr<Outlet> errors_;
   std::unique_ptr<Log> log_;
   std::unique_ptr<Program> program_;
-  Micros began_ = 0;
-  bool over_ = false;
+  Micros started_at_ = 0;
+  bool finished_ = false;
 };
 
-// Reads one message whole; what came until the link ended, where it did.
+// Reads one complete message, or what arrived before the link ended.
 Task<std::string> ReadMessage(Stream& stream) {
   std::string text;
   while (true) {
@@ -134,10 +134,12 @@
   (void)written;
 }
 
-// A node that takes whatever comes and says nothing.
+// A node that accepts every link and never answers.
 class SilentNode {
  public:
-  explicit SilentNode(Stage& stage) : listener_(stage.Listen(kNode)), accepts_(Accept()) { accepts_.Start(); }
+  explicit SilentNode(Simulation& simulation) : listener_(simulation.Listen(kNode)), accepts_(Accept()) {
+    accepts_.Start();
+  }
   std::vector<std::unique_ptr<Stream>> links;
 
  private:
@@ -155,8 +157,8 @@
   Task<> accepts_;
 };
 
-// One query of one client: connects and sends at these times after SIGTERM.
-struct Asking {
+// One query of one client, which connects and sends at these times after SIGTERM.
+struct ClientQuery {
   Micros connects = 0;
   Micros sends = 0;
   std::string answer;
@@ -166,26 +168,26 @@
   Task<> task;
 };
 
-Task<> Ask(Stage& stage, Asking& asking, Micros terminates) {
-  Event pause = stage.MakeEvent();
-  co_await pause.Wait(stage.Now() - stage.since_start() + terminates + asking.connects);
-  asking.link = stage.Connect();
-  co_await pause.Wait(stage.Now() - stage.since_start() + terminates + asking.sends);
-  co_await Write(*asking.link, Query("t"));
-  asking.answer = co_await ReadMessage(*asking.link);
-  asking.answered_at = stage.Now();
-  asking.over = true;
-  asking.link.reset();
+Task<> SendQuery(Simulation& simulation, ClientQuery& query, Micros terminates) {
+  Event pause = simulation.MakeEvent();
+  co_await pause.Wait(simulation.Now() - simulation.time_since_start() + terminates + query.connects);
+  query.link = simulation.Connect();
+  co_await pause.Wait(simulation.Now() - simulation.time_since_start() + terminates + query.sends);
+  co_await Write(*query.link, Query("t"));
+  query.answer = co_await ReadMessage(*query.link);
+  query.answered_at = simulation.Now();
+  query.over = true;
+  query.link.reset();
 }
 
-// What SIGKILL finds unanswered, at the earliest moment at which the platform may send it: none.
-void NothingIsOwedAtTheKill(Micros deadline, bool nodes) {
+// Checks that no query is open at the earliest time at which the platform may send SIGKILL.
+void CheckNoQueryIsOpenAtTheKill(Micros deadline, bool nodes) {
   SCOPED_TRACE("deadline " + std::to_string(deadline));
-  Stage stage(ConfigText(deadline, nodes ? NodeEntry() : "", "1024"));
-  SilentNode node(stage);
+  Simulation simulation(ConfigText(deadline, nodes ? NodeEntry() : "", "1024"));
+  SilentNode node(simulation);
   constexpr Micros kTerminates = 1 * kSecond;
   const Micros kill = kTerminates + std::min(deadline, 3 * kSecond) + 700 * kMs;
-  std::list<Asking> all;
+  std::list<ClientQuery> all;
   for (const auto& [connects, sends] : std::vector<std::pair<int, int>>{{-900, -40},
                                                                         {-900, -1},
                                                                         {-10, 0},
@@ -202,74 +204,74 @@
                                                                         {390, 820},
                                                                         {790, 900},
                                                                         {799, 990}}) {
-    Asking& one = all.emplace_back();
+    ClientQuery& one = all.emplace_back();
     one.connects = connects * kMs;
     one.sends = sends * kMs;
   }
-  const auto story = [&]() -> Task<> {
-    for (Asking& one : all) {
-      one.task = Ask(stage, one, kTerminates);
+  const auto scenario = [&]() -> Task<> {
+    for (ClientQuery& one : all) {
+      one.task = SendQuery(simulation, one, kTerminates);
       one.task.Start();
     }
-    co_await stage.Until(kTerminates);
-    stage.Terminate();
-    co_await stage.Until(kill);
-    for (const Asking& one : all) {
+    co_await simulation.Until(kTerminates);
+    simulation.Terminate();
+    co_await simulation.Until(kill);
+    for (const ClientQuery& one : all) {
       if (kTerminates + one.sends >= kill) continue;
-      // Sent on a link that is open still, and not answered.
+      // Otherwise the query was sent on a link that is still open, and not answered.
       EXPECT_TRUE(one.over) << "connected " << one.connects / kMs << " ms, sent " << one.sends / kMs
                             << " ms after SIGTERM";
-      // Never sent on: refused.
+      // Without nodes the query was never sent on, so it is refused.
       if (nodes || one.answer.empty()) continue;
       EXPECT_EQ(one.answer.substr(0, 12), "HTTP/1.1 503");
     }
-    EXPECT_TRUE(stage.ended());
-    stage.Over();
+    EXPECT_TRUE(simulation.ended());
+    simulation.Finish();
   };
-  stage.Play(story());
-  EXPECT_EQ(stage.counters().left, 0u);
+  simulation.RunScenario(scenario());
+  EXPECT_EQ(simulation.counters().left, 0u);
 }
 
 }  // namespace
 
-TEST(Ends, NothingIsOwedWhenThePlatformMayKillIt) {
+TEST(Ends, NoQueryIsOpenWhenThePlatformMayKillIt) {
   for (const Micros deadline : {50 * kMs, 600 * kMs, 2 * kSecond, 3 * kSecond, 4 * kSecond, 30 * kSecond}) {
-    NothingIsOwedAtTheKill(deadline, true);
-    NothingIsOwedAtTheKill(deadline, false);
+    CheckNoQueryIsOpenAtTheKill(deadline, true);
+    CheckNoQueryIsOpenAtTheKill(deadline, false);
   }
 }
 
-// The link lingers after its last answer, so that what crosses it is read and resets nothing. The process
-// waits for that too.
-TEST(Ends, NoLinkIsCutWhileItsClientHasStillToHearItsLastAnswer) {
-  Stage stage(ConfigText(2 * kSecond, NodeEntry(), "1024"));
-  SilentNode node(stage);
-  const auto story = [&]() -> Task<> {
-    co_await stage.Until(10 * kMs);
-    std::unique_ptr<Stream> client = stage.Connect();
+// The link lingers after its last answer, so that bytes that cross that answer are read and cause no reset.
+// The process waits for this too.
+TEST(Ends, NoLinkIsResetBeforeItsClientHasReadTheLastAnswer) {
+  Simulation simulation(ConfigText(2 * kSecond, NodeEntry(), "1024"));
+  SilentNode node(simulation);
+  const auto scenario = [&]() -> Task<> {
+    co_await simulation.Until(10 * kMs);
+    std::unique_ptr<Stream> client = simulation.Connect();
     co_await Write(*client, Query("t1"));
-    co_await stage.Until(200 * kMs);
-    stage.Terminate();
-    co_await stage.Until(1400 * kMs);  // it closes by now, and owes this answer alone
+    co_await simulation.Until(200 * kMs);
+    simulation.Terminate();
+    co_await simulation.Until(1400 * kMs);  // it is closing by now, and only this query is open
     EXPECT_EQ(node.links.size(), 1u);
     if (node.links.size() == 1) co_await Write(*node.links[0], Ok("owed"));
     const std::string answer = co_await ReadMessage(*client);
     EXPECT_NE(answer.find("Connection: close\r\n"), std::string::npos);
     EXPECT_TRUE(answer.ends_with("owed"));
-    co_await stage.Until(1450 * kMs);
-    if (stage.ended()) stage.Bury();
+    co_await simulation.Until(1450 * kMs);
+    if (simulation.ended()) simulation.DestroyProgram();
     co_await Write(*client, Query("t2"));  // crosses the answer
-    co_await stage.Until(1500 * kMs);
-    if (stage.ended()) stage.Bury();
+    co_await simulation.Until(1500 * kMs);
+    if (simulation.ended()) simulation.DestroyProgram();
     std::string rest;
-    EXPECT_EQ(client->Read(rest), Io::kClosed);  // an end, and no reset
+    EXPECT_EQ(client->Read(rest), Io::kClosed);  // closed, not reset
     client.reset();
-    co_await stage.Until(1600 * kMs);
-    EXPECT_TRUE(stage.ended());  // and nobody is waited for longer than that
-    stage.Over();
+    co_await simulation.Until(1600 * kMs);
+    EXPECT_TRUE(simulation.ended());  // and waits no longer than that
+    simulation.Finish();
   };
-  stage.Play(story());
-  EXPECT_EQ(stage.counters().taken, 1u) << stage.said() << stage.counters().Text();
+  simulation.RunScenario(scenario());
+  EXPECT_EQ(simulation.counters().taken, 1u) << simulation.said() << simulation.counters().Text();
 }
 
 }  // namespace burlfall
--- a/tests/histories/drawn.h
+++ b/tests/histories/random_site.h
@@ -1,7 +1,7 @@
-// A small site with its troubles, drawn from a seed: the file of an experiment, as an operator might write
-// it. Settings range far beyond those of any one deployment.
-#ifndef BURLFALL_TESTS_HISTORIES_DRAWN_H_
-#define BURLFALL_TESTS_HISTORIES_DRAWN_H_
+// A small site with faults, randomly generated from a seed, as the text of an experiment file. Settings range
+// far beyond those of any one deployment.
+#ifndef BURLFALL_TESTS_HISTORIES_RANDOM_SITE_H_
+#define BURLFALL_TESTS_HISTORIES_RANDOM_SITE_H_
 
 #include <algorithm>
 #include <array>
@@ -15,19 +15,19 @@
 
 namespace burlfall::lab {
 
-inline std::string DrawnSite(uint64_t seed) {
-  Stream64 draws(seed, "site");
+inline std::string RandomSite(uint64_t seed) {
+  Stream64 random(seed, "site");
   const auto one_of = [&](auto... values) {
     const std::array all = {values...};
-    return all[static_cast<std::size_t>(draws.Below(static_cast<int>(all.size())))];
+    return all[static_cast<std::size_t>(random.Below(static_cast<int>(all.size())))];
   };
   std::ostringstream out;
-  const bool two_zones = draws.Chance(0.6);
+  const bool two_zones = random.Chance(0.6);
   const int balancers = two_zones ? one_of(2, 3) : one_of(1, 2);
   out << "title = \"Drawn from " << seed
       << "\"\nlength_s = 4\nsettle_s = 0.5\n[site]\nzones = " << (two_zones ? "[\"a\", \"b\"]" : "[\"a\"]")
       << "\nmost_attempts = " << one_of(1, 2, 3, 5)
-      << "\nsecond_copies = " << (draws.Chance(0.5) ? "true" : "false")
+      << "\nsecond_copies = " << (random.Chance(0.5) ? "true" : "false")
       << "\nconnect_timeout_ms = " << one_of(40, 150, 400) << "\ndrain_grace_ms = " << one_of(200, 750)
       << "\noverload_window_ms = " << one_of(500, 1500) << "\nidle_close_s = " << one_of(0.3, 2.0, 10.0)
       << "\nmust_ask_s = " << one_of(4, 10) << "\n[site.balancers]\ncount = " << balancers
@@ -47,19 +47,19 @@
   }
   out << "[[tenants]]\nname = \"t\"\nquota_per_s = " << one_of(0, 20)
       << "\n[clients]\nmost_retries = " << one_of(0, 1, 2) << "\n";
-  for (int i = 2 + draws.Below(4); i > 0; --i) {
+  for (int i = 2 + random.Below(4); i > 0; --i) {
     const auto& all = AllFaults();
-    const FaultTraits& fault = all[static_cast<std::size_t>(draws.Below(static_cast<int>(all.size())))];
+    const FaultTraits& fault = all[static_cast<std::size_t>(random.Below(static_cast<int>(all.size())))];
     if (fault.hits == FaultHits::kZone && !two_zones) continue;
-    if (fault.kind == FaultKind::kBalancersPaused) continue;  // not in this world
-    const double at = 0.6 + 2.2 * draws.Uniform();
+    if (fault.kind == FaultKind::kBalancersPaused) continue;  // the virtual machines can't pause
+    const double at = 0.6 + 2.2 * random.Uniform();
     out << "[[faults]]\nkind = \"" << fault.word << "\"\nat_s = [" << at << ", " << at << "]\n";
     if (fault.lasts) out << "for_s = [0.3, " << one_of(0.5, 1.5) << "]\n";
-    const bool some = fault.hits == FaultHits::kNodes || fault.hits == FaultHits::kBalancers;
-    if (some) out << "share = " << one_of(0.2, 0.5, 1.0) << "\n";
+    const bool hits_some = fault.hits == FaultHits::kNodes || fault.hits == FaultHits::kBalancers;
+    if (hits_some) out << "share = " << one_of(0.2, 0.5, 1.0) << "\n";
     if (!fault.size.empty()) {
-      const double most = std::min(fault.size_most, fault.kind == FaultKind::kTrafficJump ? 4.0 : 30.0);
-      const double size = std::max(fault.size_least, most * draws.Uniform());
+      const double max_size = std::min(fault.size_most, fault.kind == FaultKind::kTrafficJump ? 4.0 : 30.0);
+      const double size = std::max(fault.size_least, max_size * random.Uniform());
       out << "size = [" << size << ", " << size << "]\n";
     }
   }
@@ -68,4 +68,4 @@
 
 }  // namespace burlfall::lab
 
-#endif  // BURLFALL_TESTS_HISTORIES_DRAWN_H_
+#endif  // BURLFALL_TESTS_HISTORIES_RANDOM_SITE_H_
--- a/tests/histories/recorded_test.cpp
+++ b/tests/histories/recorded_test.cpp
@@ -1,5 +1,5 @@
-// Small histories that were recorded, each beside the experiment that it is of: what the world did in them is
-// played to today's code, and what that does is judged. A file says how the code of then did.
+// Small recorded histories, each beside its experiment file. The same world is run with the current code, and
+// the result is checked. The first line of the experiment file names the rules that the recorded run broke.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -22,20 +22,20 @@
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-// What clients asked for, whatever came of it: their first tries.
-std::string Asked(const std::string& history) {
+// The first tries of the clients' queries, whatever their outcome.
+std::string FirstTries(const std::string& history) {
   std::istringstream lines(history);
-  std::string asked;
+  std::string first_tries;
   for (std::string line; std::getline(lines, line);) {
     if (line.find(R"("event":"due")") != std::string::npos &&
         line.find(R"("number":0)") != std::string::npos) {
-      asked += line + "\n";
+      first_tries += line + "\n";
     }
   }
-  return asked;
+  return first_tries;
 }
 
-std::string RulesBroken(const Verdict& verdict) {
+std::string BrokenRules(const Verdict& verdict) {
   std::string broken;
   for (const RuleResult& rule : verdict.rules) {
     if (rule.broken > 0) broken += (broken.empty() ? "" : " ") + rule.rule;
@@ -43,7 +43,7 @@
   return broken.empty() ? "kept" : broken;
 }
 
-TEST(Recorded, TheirWorldsArePlayedToTodaysCode) {
+TEST(Recorded, TheCurrentCodeKeepsTheRulesInTheSameWorlds) {
   std::vector<fs::path> files;
   for (const auto& entry : fs::directory_iterator(RECORDED)) {
     if (entry.path().extension() == ".toml") files.push_back(entry.path());
@@ -57,20 +57,20 @@
     ASSERT_TRUE(experiment.errors.empty()) << experiment.errors.front().Line();
     fs::path recorded = file;
     recorded.replace_extension(".jsonl");
-    const VirtualRun now = PlayVirtually(*experiment.value, experiment.value->seed);
-    // RECORD=1 in the environment makes those anew that are not there.
+    const VirtualRun run = RunVirtually(*experiment.value, experiment.value->seed);
+    // RECORD=1 in the environment records the missing histories again.
     if (std::getenv("RECORD") != nullptr && !fs::exists(recorded)) {
-      std::ofstream(recorded, std::ios::binary) << now.history;
+      std::ofstream(recorded, std::ios::binary) << run.history;
     }
     const std::string history = Text(recorded);
     BadLine bad;
-    const std::optional<JudgedHistory> then = JudgeHistory(history, bad);
-    ASSERT_TRUE(then) << bad.line << ": " << bad.why;
-    const std::string said = "# recorded: " + RulesBroken(then->verdict) + "\n";
-    EXPECT_TRUE(text.starts_with(said)) << said;
-    ASSERT_TRUE(now.whole) << now.why_not;
-    EXPECT_EQ(RulesBroken(now.verdict), "kept");
-    EXPECT_EQ(Asked(now.history), Asked(history));  // the same world
+    const std::optional<JudgedHistory> recorded_run = JudgeHistory(history, bad);
+    ASSERT_TRUE(recorded_run) << bad.line << ": " << bad.why;
+    const std::string expected_line = "# recorded: " + BrokenRules(recorded_run->verdict) + "\n";
+    EXPECT_TRUE(text.starts_with(expected_line)) << expected_line;
+    ASSERT_TRUE(run.completed) << run.failure;
+    EXPECT_EQ(BrokenRules(run.verdict), "kept");
+    EXPECT_EQ(FirstTries(run.history), FirstTries(history));  // the same world
   }
 }
 
--- a/tests/histories/settings_test.cpp
+++ b/tests/histories/settings_test.cpp
@@ -1,5 +1,5 @@
-// Nothing in the program is fitted to one deployment: whole plays with settings that no deployment of ours
-// has. Verdicts are on rules, on counts and on who was served, never on how well or how fast.
+// The program does not depend on one deployment's settings: complete runs with settings that no deployment of
+// ours has. The checks cover rules, counts and who was served, not quality or speed.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -19,7 +19,7 @@
 namespace burlfall::lab {
 namespace {
 
-// What a deployment's settings may say, as lines of an experiment.
+// Settings of a deployment, as lines of an experiment file.
 struct Deployment {
   const char* name;
   const char* zones = "['here']";
@@ -143,8 +143,9 @@
 deadline_ms = 90000
 )";
 
-// Nodes fall silent, drain, are replaced; a balancer is restarted, another killed; the list service is down.
-constexpr const char* kTroubles = R"(
+// Nodes become silent, drain and return errors; one balancer is restarted and one killed; the list service is
+// down for a while.
+constexpr const char* kFaults = R"(
 [[faults]]
 kind = "silent-nodes"
 at_s = [0.7, 0.7]
@@ -181,7 +182,7 @@
 size = [0.9, 0.9]
 )";
 
-std::string TextOf(const Deployment& d) {
+std::string ExperimentText(const Deployment& d) {
   std::ostringstream out;
   out << "title = \"" << d.name << "\"\nlength_s = " << d.length_s
       << "\nsettle_s = 0\n[site]\nzones = " << d.zones << "\n"
@@ -192,20 +193,20 @@
       << "\n"
       << d.classes;
   for (int t = 0; t < d.tenants; ++t) {
-    // Names of all lengths; shares alike, so that each comes to ask.
+    // Names of many lengths; equal shares, so that each tenant sends queries.
     out << "[[tenants]]\nname = \"" << std::string(static_cast<size_t>(t % 30), 'z') << "T-" << t << "\"\n";
   }
-  out << kTroubles << d.faults;
+  out << kFaults << d.faults;
   return out.str();
 }
 
-VirtualRun Played(const std::string& text, uint64_t seed) {
+VirtualRun RunText(const std::string& text, uint64_t seed) {
   const Loaded<Experiment> site = ParseExperiment("settings.toml", text);
   for (const auto& error : site.errors) ADD_FAILURE() << error.Line() << "\n" << text;
-  return site.value ? PlayVirtually(*site.value, seed) : VirtualRun();
+  return site.value ? RunVirtually(*site.value, seed) : VirtualRun();
 }
 
-std::string Broken(const Verdict& verdict) {
+std::string BrokenRules(const Verdict& verdict) {
   std::string all;
   for (const RuleResult& rule : verdict.rules) {
     for (const Finding& finding : rule.findings) {
@@ -216,31 +217,32 @@
   return all;
 }
 
-uint64_t Ends(const Outcomes& o) {
+uint64_t CountOutcomes(const Outcomes& o) {
   return o.in_time + o.late + o.refused + o.failed + o.lost + o.left + o.unreached;
 }
 
-// What is wrong with a play; empty: nothing.
-std::string Wrong(const VirtualRun& run, int tenants) {
-  std::ostringstream wrong;
-  if (!run.whole) wrong << "not whole: " << run.why_not << "\n";
+// The problems of a run. Empty: none.
+std::string FindProblems(const VirtualRun& run, int tenants) {
+  std::ostringstream problems;
+  if (!run.completed) problems << "not whole: " << run.failure << "\n";
   const Verdict& v = run.verdict;
-  if (!v.rules_kept) wrong << Broken(v);
+  if (!v.rules_kept) problems << BrokenRules(v);
   const Outcomes& all = v.outcomes;
-  // Of those that were lost the rules say whether a balancer was killed with them.
-  if (all.asked == 0 || Ends(all) != all.asked) wrong << all.asked << " asked, " << Ends(all) << " ended\n";
-  if (v.ends.untold > 0) wrong << v.ends.untold << " tries broken an end\n";
-  if (all.in_time * 2 <= all.asked) wrong << all.in_time << " of " << all.asked << " in time\n";
+  // For lost queries, the rules check that a balancer was killed with them.
+  if (all.asked == 0 || CountOutcomes(all) != all.asked)
+    problems << all.asked << " asked, " << CountOutcomes(all) << " ended\n";
+  if (v.ends.untold > 0) problems << v.ends.untold << " tries broken an end\n";
+  if (all.in_time * 2 <= all.asked) problems << all.in_time << " of " << all.asked << " in time\n";
   const auto each = [&](const std::vector<GroupResult>& groups, const char* what) {
     for (const GroupResult& one : groups) {
       if (one.outcomes.asked > 0 && one.outcomes.in_time + one.outcomes.late > 0) continue;
-      wrong << what << " " << one.name << ": nothing served of " << one.outcomes.asked << "\n";
+      problems << what << " " << one.name << ": nothing served of " << one.outcomes.asked << "\n";
     }
   };
   each(v.classes, "class");
   each(v.tenants, "tenant");
-  if (v.tenants.size() != static_cast<size_t>(tenants)) wrong << v.tenants.size() << " tenants\n";
-  return wrong.str();
+  if (v.tenants.size() != static_cast<size_t>(tenants)) problems << v.tenants.size() << " tenants\n";
+  return problems.str();
 }
 
 const Deployment kDeployments[] = {
@@ -271,7 +273,7 @@
      .faults = "[start]\n[start.list_service]\ncalls_per_s = 2\n"},
 };
 
-// SEEDS in the environment plays more.
+// The environment variable SEEDS sets the number of seeds.
 uint64_t Seeds() {
   const char* text = std::getenv("SEEDS");
   return text == nullptr ? 4 : std::strtoull(text, nullptr, 10);
@@ -279,25 +281,25 @@
 
 class Settings : public testing::TestWithParam<Deployment> {};
 
-TEST_P(Settings, EachQueryEndsOnceAllAreServedAndNoRuleIsBroken) {
+TEST_P(Settings, EachQueryEndsOnceEveryClassIsServedAndNoRuleIsBroken) {
   for (uint64_t seed = 1; seed <= Seeds(); ++seed) {
-    const std::string text = TextOf(GetParam());
-    const VirtualRun run = Played(text, seed);
-    EXPECT_EQ(Wrong(run, GetParam().tenants), "") << "seed " << seed << "\n" << text;
+    const std::string text = ExperimentText(GetParam());
+    const VirtualRun run = RunText(text, seed);
+    EXPECT_EQ(FindProblems(run, GetParam().tenants), "") << "seed " << seed << "\n" << text;
   }
 }
 
-// What the plays would say of a program that broke a rule, or served one class only.
-TEST(Plays, OneThatGoesWrongIsSeen) {
+// The checks detect a program that breaks a rule or serves only one class.
+TEST(Plays, ARunThatBreaksARuleOrServesOneClassOnlyIsDetected) {
   const std::string slow =
       "[[classes]]\nname = \"slow\"\nwork_ms = [900, 999]\naim_ms = 100\ndeadline_ms = 200\n";
-  const std::string text = TextOf({.name = "Planted", .tenants = 1, .classes = kOne});
-  VirtualRun run = Played(text + slow, 1);
-  EXPECT_NE(Wrong(run, 1).find("class slow: nothing served"), std::string::npos);
-  EXPECT_NE(Wrong(run, 2).find("1 tenants"), std::string::npos);
+  const std::string text = ExperimentText({.name = "Planted", .tenants = 1, .classes = kOne});
+  VirtualRun run = RunText(text + slow, 1);
+  EXPECT_NE(FindProblems(run, 1).find("class slow: nothing served"), std::string::npos);
+  EXPECT_NE(FindProblems(run, 2).find("1 tenants"), std::string::npos);
 
-  run = Played(text, 1);
-  EXPECT_EQ(Wrong(run, 1), "");
+  run = RunText(text, 1);
+  EXPECT_EQ(FindProblems(run, 1), "");
   const size_t answer = run.history.find("\"how\":\"served\"");
   ASSERT_NE(answer, std::string::npos);
   run.history.replace(answer, run.history.find('\n', answer) - answer, "\"how\":\"broken\"}");
@@ -305,13 +307,13 @@
   const std::optional<JudgedHistory> broken = JudgeHistory(run.history, bad);
   ASSERT_TRUE(broken) << bad.line << ": " << bad.why;
   run.verdict = broken->verdict;
-  EXPECT_NE(Wrong(run, 1).find("answer_lost"), std::string::npos);
+  EXPECT_NE(FindProblems(run, 1).find("answer_lost"), std::string::npos);
 }
 
-// As the platform may name things: what a path can't hold is escaped there by clients.
+// Names as the platform may choose them. Clients escape what a path can't contain.
 TEST(Names, InAnyScriptWithBlanksAndSignsAreServedAsAnyOther) {
   const Loaded<Experiment> plain =
-      ParseExperiment("settings.toml", TextOf({.name = "Names", .classes = kMixed}));
+      ParseExperiment("settings.toml", ExperimentText({.name = "Names", .classes = kMixed}));
   ASSERT_TRUE(plain.value);
   Experiment site = *plain.value;
   site.site.zones = {"Zürich, Nord"};
@@ -320,14 +322,15 @@
   site.classes[2].name = "a=b&c,d";
   site.tenants[0].name = "Müller & Söhne";
   site.tenants[1].name = "\"x\\y\"";
-  const VirtualRun run = PlayVirtually(site, 1);
-  EXPECT_EQ(Wrong(run, 2), "");
+  const VirtualRun run = RunVirtually(site, 1);
+  EXPECT_EQ(FindProblems(run, 2), "");
   for (const GroupResult& one : run.verdict.classes) EXPECT_GT(one.outcomes.in_time, 0u) << one.name;
 }
 
-// The list service is down for some seconds, and nodes begin to drain as it returns: each balancer has heard
-// of it 6 s after, whatever time the settings give for asking, and though all ask at the return.
-std::string LateWords(const VirtualRun& run, Micros returns) {
+// The list service is down for some seconds, and nodes begin to drain as it returns. Lists the balancers that
+// did not learn of a drain within 6 s, whatever polling interval the settings give and although all balancers
+// ask when it returns.
+std::string LateDrainNotices(const VirtualRun& run, Micros returns) {
   std::ostringstream late;
   std::istringstream lines(run.history);
   std::map<std::string, Micros> listed;                        // draining nodes
@@ -337,7 +340,8 @@
     const nlohmann::json json = nlohmann::json::parse(line);
     const std::string event = json.value("event", "");
     if (event == "up") balancers.insert(json["balancer"].dump());
-    if (json.value("state", "ready") == "ready") continue;  // one that holds nothing drains and is gone
+    if (json.value("state", "ready") == "ready")
+      continue;  // a draining node without open queries goes at once
     const Micros at = json["at"];
     if (event == "listed") listed.emplace(json["node"].dump(), at);
     if (event == "told") told.emplace(std::pair(json["node"].dump(), json["balancer"].dump()), at);
@@ -345,16 +349,16 @@
   if (listed.empty() || balancers.empty()) late << "nothing to tell\n";
   for (const auto& [node, at] : listed) {
     for (const std::string& balancer : balancers) {
-      const auto word = told.find({node, balancer});
-      if (word != told.end() && word->second <= std::max(at, returns) + 6 * kSecond) continue;
+      const auto notice = told.find({node, balancer});
+      if (notice != told.end() && notice->second <= std::max(at, returns) + 6 * kSecond) continue;
       late << balancer << " of " << node << ", listed " << at << ": ";
-      word == told.end() ? late << "never\n" : late << word->second << "\n";
+      notice == told.end() ? late << "never\n" : late << notice->second << "\n";
     }
   }
   return late.str();
 }
 
-TEST(Lists, WhatDrainsAsTheListServiceReturnsIsHeardSixSecondsLater) {
+TEST(Lists, DrainsThatBeginAsTheListServiceReturnsAreKnownWithinSixSeconds) {
   for (const char* must_ask : {"1", "10", "60"}) {
     for (const char* discovery : {"calls_per_s = 4", "pushed = true"}) {
       for (uint64_t seed = 1; seed <= Seeds(); ++seed) {
@@ -365,7 +369,7 @@
                                        .balancers = 6,
                                        .length_s = 14,
                                        .classes = kOne};
-        std::string text = TextOf(deployment);
+        std::string text = ExperimentText(deployment);
         text.erase(text.find("[[faults]]"));
         text += R"(
 [[faults]]
@@ -378,9 +382,9 @@
 for_s = [7, 7]
 share = 0.3
 )";
-        const VirtualRun run = Played(text, seed);
-        EXPECT_EQ(Wrong(run, deployment.tenants), "") << "seed " << seed << "\n" << text;
-        EXPECT_EQ(LateWords(run, 6 * kSecond), "") << "seed " << seed << "\n" << text;
+        const VirtualRun run = RunText(text, seed);
+        EXPECT_EQ(FindProblems(run, deployment.tenants), "") << "seed " << seed << "\n" << text;
+        EXPECT_EQ(LateDrainNotices(run, 6 * kSecond), "") << "seed " << seed << "\n" << text;
       }
     }
   }
--- a/tests/histories/stall_test.cpp
+++ b/tests/histories/stall_test.cpp
@@ -1,5 +1,5 @@
-// A process that stands still in the middle of a turn: what it would send then it sends only once it has
-// heard what came meanwhile.
+// A process that pauses in the middle of a turn: before it sends anything after the pause, it processes what
+// has arrived in the meantime.
 #include <gtest/gtest.h>
 
 #include "codec/payload.h"
@@ -9,11 +9,11 @@
 namespace burlfall {
 namespace {
 
-struct Nothing final : Payload {
+struct EmptyPayload final : Payload {
   bool Consumed() const override { return false; }
 };
 
-struct Sent final : Upstream {
+struct RecordingUpstream final : Upstream {
   bool Knows(meadowslip::BackendId) const override { return true; }
   Task<ServerAnswer> Exchange(meadowslip::BackendId to, const Payload&, Micros, Micros) override {
     to_.push_back(to);
@@ -24,12 +24,12 @@
   std::vector<meadowslip::BackendId> to_;
 };
 
-struct Patient final : ResponseSink {
-  void Serve(const Payload&) override { ++told; }
-  void Throttle(Micros) override { ++told; }
-  void Fail() override { ++told; }
+struct CountingSink final : ResponseSink {
+  void Serve(const Payload&) override { ++answers; }
+  void Throttle(Micros) override { ++answers; }
+  void Fail() override { ++answers; }
   bool ClientGone() const override { return false; }
-  int told = 0;
+  int answers = 0;
 };
 
 void NothingGoesToADrainedNode(Micros drain_grace, Micros pause_for) {
@@ -41,38 +41,38 @@
     settings.max_attempts = 3;
     settings.drain_grace = drain_grace;
     Counters counters;
-    Sent upstream;
-    Patient sink;
+    RecordingUpstream upstream;
+    CountingSink sink;
     Dispatcher dispatcher(
         world.scheduler, settings, seed, upstream, [] {}, counters);
     dispatcher.OnList({meadowslip::ListKind::kFull, {{.id = 1}, {.id = 2}}});
     dispatcher.Start();
-    const auto ask = [&] {
+    const auto submit = [&] {
       IncomingQuery query;
       query.request.give_up_at = world.scheduler.Now() + 10 * kSecond;
-      query.payload = std::make_unique<Nothing>();
+      query.payload = std::make_unique<EmptyPayload>();
       query.sink = &sink;
       dispatcher.Submit(std::move(query));
     };
-    const auto story = [&]() -> Task<> {
+    const auto scenario = [&]() -> Task<> {
       Event pause(world.scheduler);
       co_await pause.Wait(world.scheduler.Now() + kMs);
-      ask();
-      EXPECT_EQ(upstream.to_.size(), 1u);  // at once, as a rule
+      submit();
+      EXPECT_EQ(upstream.to_.size(), 1u);  // normally sent at once
       co_await pause.Wait(world.scheduler.Now() + kMs);
       upstream.to_.clear();
       world.scheduler.StandStill(pause_for);
-      ask();
+      submit();
       EXPECT_TRUE(upstream.to_.empty());
       dispatcher.OnList(
           {meadowslip::ListKind::kChanges, {{.id = 1, .state = meadowslip::BackendState::kDraining}}});
       co_await pause.Wait(world.scheduler.Now() + 20 * kMs);
       for (meadowslip::BackendId to : upstream.to_) EXPECT_EQ(to, 2u) << seed;
-      EXPECT_EQ(sink.told, 2);
+      EXPECT_EQ(sink.answers, 2);
       world.scheduler.Halt();
     };
-    Task<> telling = story();
-    telling.Start();
+    Task<> scenario_task = scenario();
+    scenario_task.Start();
     world.scheduler.Run();
   }
 }
--- a/tests/lab/children_test.cpp
+++ b/tests/lab/children_test.cpp
@@ -29,7 +29,7 @@
     machine.scheduler().Run();
   }
   Task<> Until(std::function<bool()> that) {
-    const Micros patience = machine.Now() + kPatience * kSecond;
+    const Micros patience = machine.Now() + kTimeoutSeconds * kSecond;
     while (!that() && machine.Now() < patience) co_await tick.Wait(machine.Now() + 5 * kMs);
     REQUIRE(that());
   }
@@ -151,7 +151,7 @@
     CHECK(usage.peak_rss_bytes >= usage.rss_bytes);
   });
   CHECK_FALSE(InTheBooks(child));
-  for (int i = 0; i < kPatience * 100 && !Gone(grandchild); ++i) poll(nullptr, 0, 10);
+  for (int i = 0; i < kTimeoutSeconds * 100 && !Gone(grandchild); ++i) poll(nullptr, 0, 10);
   CHECK(Gone(grandchild));
 }
 
@@ -169,12 +169,12 @@
     _exit(1);
   }
   pid_t child = -1;
-  REQUIRE(Readable(in.get(), kPatience * 1000));
+  REQUIRE(Readable(in.get(), kTimeoutSeconds * 1000));
   REQUIRE(read(in.get(), &child, sizeof child) == sizeof child);
   CHECK_FALSE(Gone(child));
   kill(parent, SIGKILL);
   waitpid(parent, nullptr, 0);
-  for (int i = 0; i < kPatience * 100 && !Gone(child); ++i) poll(nullptr, 0, 10);
+  for (int i = 0; i < kTimeoutSeconds * 100 && !Gone(child); ++i) poll(nullptr, 0, 10);
   CHECK(Gone(child));
 }
 
--- a/tests/lab/peers_serve_test.cpp
+++ b/tests/lab/peers_serve_test.cpp
@@ -21,8 +21,8 @@
   CHECK(link.Read().ends_with("x"));
   link.Write("HTTP/1.1 500 Odd\r\nContent-Length: 0\r\n\r\n");
   CHECK(client.Read().starts_with("HTTP/1.1 502 "));
-  CHECK_FALSE(server.Called());
-  CHECK_FALSE(other.Called());
+  CHECK_FALSE(server.HasPendingConnection());
+  CHECK_FALSE(other.HasPendingConnection());
   CHECK(program.Wait(SIGTERM) == 0);
   CHECK(program.output.find(" taken=2 sent=2 served=1 ") != std::string::npos);
 }
--- a/tests/races/client_links_test.cpp
+++ b/tests/races/client_links_test.cpp
@@ -55,7 +55,7 @@
 
 bool PeerEnds(const Link& link) {
   pollfd one{link.fd(), POLLRDHUP, 0};
-  return poll(&one, 1, kPatience * 1000) == 1 && (one.revents & POLLRDHUP) != 0;
+  return poll(&one, 1, kTimeoutSeconds * 1000) == 1 && (one.revents & POLLRDHUP) != 0;
 }
 
 }  // namespace
@@ -76,13 +76,14 @@
         EndClient(client, how);
       }
       ++left;
-      CHECK(Until([&] { return ReadCounter(program.port, "left") == left || server.Called(); }));
+      CHECK(WaitUntil(
+          [&] { return ReadCounter(program.port, "left") == left || server.HasPendingConnection(); }));
       CHECK(ReadCounter(program.port, "sent") == 0);
       if (how == End::kHalfClose) CHECK(client.Read().empty());
     }
   }
   CHECK(ReadCounter(program.port, "taken") == left);
-  CHECK_FALSE(server.Called());
+  CHECK_FALSE(server.HasPendingConnection());
 }
 
 TEST_CASE("a client that ends behind more requests than are read ahead has left") {
@@ -101,7 +102,7 @@
     EndClient(client, how);
     CHECK(link.Ended());
     ++left;
-    CHECK(Until([&] { return ReadCounter(program.port, "left") == left; }));
+    CHECK(WaitUntil([&] { return ReadCounter(program.port, "left") == left; }));
     CHECK(ReadCounter(program.port, "sent") == left);
   }
 }
@@ -117,9 +118,9 @@
   Link client = Link::To(program.port);
   client.Write("POST /open HTTP/1.1\r\nX-Trace-Id: t\r\nContent-Length: 20000000\r\n\r\n" +
                std::string(150000, 'x'));
-  CHECK(Until([&] { return ReadCounter(program.port, "sent") == 1; }));
+  CHECK(WaitUntil([&] { return ReadCounter(program.port, "sent") == 1; }));
   client.Close();
-  CHECK(Until([&] { return ReadCounter(program.port, "left") == 1; }));
+  CHECK(WaitUntil([&] { return ReadCounter(program.port, "left") == 1; }));
   CHECK(ReadCounter(program.port, "sent") == 1);
 }
 
@@ -132,14 +133,14 @@
     clients.push_back(Link::To(program.port));
     clients.back().Write(Get(std::to_string(i)));
   }
-  CHECK(Until([&] { return ReadCounter(program.port, "taken") == kClients; }));
+  CHECK(WaitUntil([&] { return ReadCounter(program.port, "taken") == kClients; }));
   const long sent = ReadCounter(program.port, "sent"), refused = ReadCounter(program.port, "throttled");
   CHECK(sent < kClients / 2);  // the others wait for their first attempt
   {
     const PausedProgram paused(program);
     for (Link& one : clients) one.Close();
   }
-  CHECK(Until([&] { return ReadCounter(program.port, "left") + refused == kClients; }));
+  CHECK(WaitUntil([&] { return ReadCounter(program.port, "left") + refused == kClients; }));
   CHECK(ReadCounter(program.port, "sent") == sent);
 }
 
@@ -149,17 +150,17 @@
   for (const std::string& crossing : {Post("open", "t", "x"), std::string("POST /op")}) {
     Link client = Link::To(program.port);
     client.Write("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");  // its answer is not read yet
-    REQUIRE(Readable(client.fd(), kPatience * 1000));
-    REQUIRE(Tell(program.admin, "/healthcheck/fail") == 200);
+    REQUIRE(Readable(client.fd(), kTimeoutSeconds * 1000));
+    REQUIRE(PostCall(program.admin, "/healthcheck/fail") == 200);
     REQUIRE(PeerEnds(client));
     client.Write(crossing);
     CHECK_FALSE(WasReset(client));
     CHECK(client.Read().starts_with("HTTP/1.1 200 "));
     CHECK(client.Ended());
-    REQUIRE(Tell(program.admin, "/healthcheck/ok") == 200);
+    REQUIRE(PostCall(program.admin, "/healthcheck/ok") == 200);
   }
   CHECK(ReadCounter(program.port, "taken") == 0);
-  CHECK_FALSE(server.Called());
+  CHECK_FALSE(server.HasPendingConnection());
 }
 
 TEST_CASE("unread bytes do not reset the last answer before the process ends") {
@@ -171,8 +172,8 @@
   CHECK_FALSE(link.Read().empty());
   client.Write(std::string(160 * 1024, 'x'));  // more than is read ahead
   program.Signal(SIGTERM);
-  std::string line = program.Line();
-  while (line.find("closing") == std::string::npos && !line.empty()) line = program.Line();
+  std::string line = program.ReadLineExceptDiscovery();
+  while (line.find("closing") == std::string::npos && !line.empty()) line = program.ReadLineExceptDiscovery();
   poll(nullptr, 0, 400);  // until it closes with hurry: only the open query keeps it running
   link.Write(Ok("owed"));
   CHECK(program.Wait() == 0);
@@ -225,7 +226,7 @@
     const std::unique_ptr<Stream> made = machine.network().Connect(listener->Local(), why);
     REQUIRE(made);
     std::unique_ptr<Stream> accepted;
-    REQUIRE(Until([&] { return listener->Accept(accepted) == Listener::Accepted::kOne; }));
+    REQUIRE(WaitUntil([&] { return listener->Accept(accepted) == Listener::Accepted::kOne; }));
     CHECK(sends_at_once(*made));
     CHECK(sends_at_once(*accepted));
     // Like a link that another process handed over.
--- a/tests/service/crowd_test.cpp
+++ b/tests/service/crowd_test.cpp
@@ -1,4 +1,4 @@
-// Stories of crowds: connections that say nothing, or half a query, by hundreds, where descriptors are few.
+// Tests with hundreds of connections that send nothing or half a query, while descriptors are few.
 #include <chrono>
 #include <thread>
 #include <vector>
@@ -7,7 +7,7 @@
 
 namespace burlfall {
 
-TEST_CASE("a slow honest query is served while dead half queries go, and SIGTERM answers what is owed") {
+TEST_CASE("a slow query is served while stalled ones are closed, and SIGTERM answers the open query") {
   Peer server;
   Program program(ConfigText({.known = Entry("s-1", server.port), .sockets = 128, .admin = "127.0.0.1:0"}));
   std::vector<Link> crowd;
@@ -20,7 +20,7 @@
       if (i % 2 == 0) crowd.back().TryWrite("GET /look HTTP/1.1\r\nX-Tr");
     }
     CHECK(program.Descriptors() < 128);
-    std::this_thread::sleep_for(std::chrono::milliseconds(200));  // the slowness itself
+    std::this_thread::sleep_for(std::chrono::milliseconds(200));  // the client is slow
   }
   Link link = server.Accept();
   CHECK(link.Read().find("X-Trace-Id: slow") != std::string::npos);
--- a/tests/service/messages_test.cpp
+++ b/tests/service/messages_test.cpp
@@ -1,4 +1,4 @@
-// Stories of messages that come slowly, in pieces, or are large.
+// Tests of messages that arrive slowly, in pieces, or are large.
 #include <algorithm>
 #include <chrono>
 #include <thread>
@@ -8,7 +8,7 @@
 
 namespace burlfall {
 
-TEST_CASE("a body that came with its head gets no leave to come, now or before the next answer") {
+TEST_CASE("a body that arrives with its head gets no 100 Continue, neither now nor before the next answer") {
   Peer server;
   Program program(ConfigText({.known = Entry("s-1", server.port)}));
   Link client = Link::To(program.port);
@@ -25,7 +25,7 @@
   CHECK(client.Read().ends_with("two"));
 }
 
-TEST_CASE("a query that takes two seconds to come is served, and its time runs from its last byte") {
+TEST_CASE("a query that takes two seconds to arrive is served, and its deadline counts from its last byte") {
   Peer server;
   Program program(ConfigText({.known = Entry("s-1", server.port), .admin = "127.0.0.1:0"}));
   Link client = Link::To(program.port);
@@ -34,7 +34,7 @@
       "POST /open HTTP/1.1\r\nX-Expires-In: 1500m\r\n" + query.substr(query.find("X-Trace"));
   for (size_t at = 0; at < timed.size(); at += timed.size() / 16) {
     client.Write(timed.substr(at, timed.size() / 16));
-    std::this_thread::sleep_for(std::chrono::milliseconds(130));  // the slowness itself
+    std::this_thread::sleep_for(std::chrono::milliseconds(130));  // the client is slow
   }
   Link link = server.Accept();
   const std::string sent = link.Read();
@@ -49,12 +49,12 @@
 
 constexpr size_t kLarge = 32 * 1024 * 1024;
 
-// What comes until the link ends, or so many bytes have.
-size_t Count(Link& link, size_t most, int pause_ms = 0) {
+// Receives until the link ends or `max_bytes` have arrived; returns the number of bytes.
+size_t ReceiveBytes(Link& link, size_t max_bytes, int pause_ms = 0) {
   std::vector<char> piece(65536);
   size_t all = 0;
-  while (all < most) {
-    const ssize_t n = recv(link.fd(), piece.data(), std::min(piece.size(), most - all), 0);
+  while (all < max_bytes) {
+    const ssize_t n = recv(link.fd(), piece.data(), std::min(piece.size(), max_bytes - all), 0);
     if (n <= 0) break;
     all += static_cast<size_t>(n);
     if (pause_ms > 0) std::this_thread::sleep_for(std::chrono::milliseconds(pause_ms));
@@ -62,14 +62,14 @@
   return all;
 }
 
-std::string HeadOf(Link& link) {
+std::string ReadHead(Link& link) {
   std::string head;
   char c;
   while (!head.ends_with("\r\n\r\n") && recv(link.fd(), &c, 1, 0) == 1) head += c;
   return head;
 }
 
-void PourBytes(Link& link, size_t all) {
+void SendBytes(Link& link, size_t all) {
   const std::string piece(65536, 'z');
   while (all > 0) {
     const ssize_t n = send(link.fd(), piece.data(), std::min(piece.size(), all), MSG_NOSIGNAL);
@@ -86,7 +86,7 @@
   return 0;
 }
 
-Setup InService(const std::string& known) {
+Setup SmallMemorySetup(const std::string& known) {
   return {.known = known, .admin = "127.0.0.1:0", .memory_mb = 48};
 }
 
@@ -94,7 +94,7 @@
 
 TEST_CASE("thirty-two MB both ways at once, slowly taken, while small queries go on, in little memory") {
   Peer server;
-  Program program(ConfigText(InService(Entry("s-1", server.port))));
+  Program program(ConfigText(SmallMemorySetup(Entry("s-1", server.port))));
   std::vector<Link> readers, nodes;
   std::vector<std::thread> work;
   for (int i = 0; i < 6; ++i) {
@@ -104,27 +104,27 @@
     nodes.back().Read();
     nodes.back().Write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kLarge) + "\r\n\r\n");
   }
-  for (Link& node : nodes) work.emplace_back([&node] { PourBytes(node, kLarge); });
+  for (Link& node : nodes) work.emplace_back([&node] { SendBytes(node, kLarge); });
   Link writer = Link::To(program.port);
   writer.Write("POST /open HTTP/1.1\r\nX-Trace-Id: up\r\nContent-Length: " + std::to_string(kLarge) +
                "\r\n\r\n");
-  work.emplace_back([&writer] { PourBytes(writer, kLarge); });
+  work.emplace_back([&writer] { SendBytes(writer, kLarge); });
   Link uploaded = server.Accept();
-  CHECK(HeadOf(uploaded).find("Content-Length: " + std::to_string(kLarge)) != std::string::npos);
-  // One node does not take its query yet, and nobody their answers: small queries go on all the same.
+  CHECK(ReadHead(uploaded).find("Content-Length: " + std::to_string(kLarge)) != std::string::npos);
+  // While one node does not read its query and no client reads its answer, small queries are still served.
   Link small = Link::To(program.port);
   small.Write(Get("small"));
   Link quick = server.Accept();
   quick.Read();
   quick.Write(Ok("quick"));
   CHECK(small.Read().ends_with("quick"));
-  CHECK(Count(uploaded, kLarge) == kLarge);
+  CHECK(ReceiveBytes(uploaded, kLarge) == kLarge);
   uploaded.Write(Ok("stored"));
   CHECK(writer.Read().ends_with("stored"));
   for (Link& reader : readers) {
-    const std::string head = HeadOf(reader);
+    const std::string head = ReadHead(reader);
     CHECK(head.starts_with("HTTP/1.1 200 "));
-    CHECK(Count(reader, kLarge) == kLarge);
+    CHECK(ReceiveBytes(reader, kLarge) == kLarge);
   }
   for (std::thread& one : work) one.join();
   const size_t peak = PeakKb(program);
@@ -134,9 +134,9 @@
 #endif
 }
 
-TEST_CASE("a large answer of no known length goes on as it comes, to old clients too") {
+TEST_CASE("a large answer of unknown length is streamed, also to HTTP/1.0 clients") {
   Peer server;
-  Program program(ConfigText(InService(Entry("s-1", server.port))));
+  Program program(ConfigText(SmallMemorySetup(Entry("s-1", server.port))));
   for (const bool old : {false, true}) {
     CAPTURE(old);
     Link client = Link::To(program.port);
@@ -144,7 +144,7 @@
     Link link = server.Accept();
     link.Read();
     link.Write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5;x=y\r\nfirst\r\n");
-    const std::string head = HeadOf(client);  // before the answer is whole
+    const std::string head = ReadHead(client);  // before the answer is complete
     CHECK((head.find("Transfer-Encoding: chunked") != std::string::npos) == !old);
     link.Write("4\r\nlast\r\n0\r\nSum: 1\r\n\r\n");
     if (old) {
@@ -160,9 +160,9 @@
   }
 }
 
-TEST_CASE("a node that breaks off a large answer shows: the client's link ends short of it") {
+TEST_CASE("if a node breaks off a large answer, the client's link ends before the answer is complete") {
   Peer server;
-  Program program(ConfigText(InService(Entry("s-1", server.port))));
+  Program program(ConfigText(SmallMemorySetup(Entry("s-1", server.port))));
   for (const char* framing :
        {"Content-Length: 100000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n186a0\r\n"}) {
     CAPTURE(framing);
@@ -171,41 +171,41 @@
     Link link = server.Accept();
     link.Read();
     link.Write(std::string("HTTP/1.1 200 OK\r\n") + framing + std::string(70000, 'p'));
-    CHECK(HeadOf(client).starts_with("HTTP/1.1 200 "));
+    CHECK(ReadHead(client).starts_with("HTTP/1.1 200 "));
     link.Reset();
-    const size_t got = Count(client, 1000000);
+    const size_t got = ReceiveBytes(client, 1000000);
     CHECK(got < 100000);
   }
 }
 
-TEST_CASE("a large body that was begun is not sent again, and the client hears that it has not run") {
+TEST_CASE("a large body that was partly sent is not sent again, and the client is told that it has not run") {
   Peer one, two;
-  Program program(ConfigText(InService(Entry("s-1", one.port) + "," + Entry("s-2", two.port))));
+  Program program(ConfigText(SmallMemorySetup(Entry("s-1", one.port) + "," + Entry("s-2", two.port))));
   Link client = Link::To(program.port);
   client.Write("POST /open HTTP/1.1\r\nX-Trace-Id: t\r\nContent-Length: 20000000\r\n\r\n" +
                std::string(100000, 'x'));
-  Link link = Peer::Called(one, two).Accept();
-  CHECK(HeadOf(link).find("Content-Length: 20000000") != std::string::npos);
+  Link link = Peer::FirstContacted(one, two).Accept();
+  CHECK(ReadHead(link).find("Content-Length: 20000000") != std::string::npos);
   link.Reset();
-  std::thread rest([&client] { PourBytes(client, 20000000 - 100000); });
+  std::thread rest([&client] { SendBytes(client, 20000000 - 100000); });
   CHECK(client.Read().starts_with("HTTP/1.1 503 "));
   rest.join();
-  CHECK_FALSE(one.Called());
-  CHECK_FALSE(two.Called());
+  CHECK_FALSE(one.HasPendingConnection());
+  CHECK_FALSE(two.HasPendingConnection());
 }
 
 TEST_CASE(
-    "a body of some hundred KB is held whole: slow to come, it keeps no node waiting, and is sent again") {
+    "a body of some hundred KB is buffered: it occupies no node while it arrives, and can be sent again") {
   Peer one, two;
-  Program program(ConfigText(InService(Entry("s-1", one.port) + "," + Entry("s-2", two.port))));
+  Program program(ConfigText(SmallMemorySetup(Entry("s-1", one.port) + "," + Entry("s-2", two.port))));
   Link client = Link::To(program.port);
   const std::string body(300000, 'h');
   client.Write("POST /open HTTP/1.1\r\nX-Trace-Id: t\r\nContent-Length: 300000\r\n\r\n" +
                body.substr(0, 200000));
   CHECK_FALSE(Readable(one.fd(), 300));
-  CHECK_FALSE(two.Called());
+  CHECK_FALSE(two.HasPendingConnection());
   client.Write(body.substr(200000));
-  Peer& first = Peer::Called(one, two);
+  Peer& first = Peer::FirstContacted(one, two);
   Link link = first.Accept();
   CHECK(link.Read().size() > 300000);
   link.Write("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n");
@@ -215,24 +215,25 @@
   CHECK(client.Read().ends_with("done"));
 }
 
-TEST_CASE("a large body that ends early, stalls or is broken is told so, and its node never has the whole") {
+TEST_CASE(
+    "a large body that ends early, stalls or is malformed is rejected, and its node never has all of it") {
   Peer server;
-  Program program(ConfigText(InService(Entry("s-1", server.port))));
+  Program program(ConfigText(SmallMemorySetup(Entry("s-1", server.port))));
   const std::string head = "POST /open HTTP/1.1\r\nX-Trace-Id: t\r\n";
   {
     Link client = Link::To(program.port);
     client.Write(head + "Content-Length: 20000000\r\n\r\n" + std::string(100000, 'x'));
     Link link = server.Accept();
-    CHECK_FALSE(HeadOf(link).empty());
-    CHECK(client.Read().starts_with("HTTP/1.1 408 "));  // it stalls
-    CHECK(Count(link, 20000000) < 20000000);
+    CHECK_FALSE(ReadHead(link).empty());
+    CHECK(client.Read().starts_with("HTTP/1.1 408 "));  // it stalled
+    CHECK(ReceiveBytes(link, 20000000) < 20000000);
   }
   {
     Link client = Link::To(program.port);
     client.Write(head + "Content-Length: 20000000\r\n\r\n" + std::string(100000, 'x'));
     Link link = server.Accept();
     client.Close();
-    CHECK(Count(link, 20000000) < 20000000);
+    CHECK(ReceiveBytes(link, 20000000) < 20000000);
   }
   {
     Link client = Link::To(program.port);
@@ -249,13 +250,13 @@
 
 TEST_CASE("HEAD is answered without a body and with the length that it would have") {
   Peer server;
-  Program program(ConfigText(InService(Entry("s-1", server.port))));
+  Program program(ConfigText(SmallMemorySetup(Entry("s-1", server.port))));
   Link client = Link::To(program.port);
   client.Write("HEAD /look HTTP/1.1\r\nX-Trace-Id: t1\r\n\r\n");
   Link link = server.Accept();
   CHECK(link.Read().starts_with("HEAD /look "));
   link.Write("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n");
-  const std::string head = HeadOf(client);
+  const std::string head = ReadHead(client);
   CHECK(head.find("Content-Length: 900\r\n") != std::string::npos);
   client.Write(Get("t2"));
   CHECK(link.Read().starts_with("GET /look"));  // on the same link
@@ -266,17 +267,17 @@
 TEST_CASE("a large query is captured, and replays without a difference") {
   Peer server;
   TextFile file("capture.enabled = true\n");
-  Program program(ConfigText(InService(Entry("s-1", server.port))), {"serve", "--config", file.path});
+  Program program(ConfigText(SmallMemorySetup(Entry("s-1", server.port))), {"serve", "--config", file.path});
   for (const bool breaks : {false, true}) {
     Link client = Link::To(program.port);
     client.Write("POST /open HTTP/1.1\r\nX-Trace-Id: t\r\nContent-Length: 9000000\r\n\r\n" +
                  std::string(100000, 'x'));
     Link link = server.Accept();
-    CHECK_FALSE(HeadOf(link).empty());
+    CHECK_FALSE(ReadHead(link).empty());
     if (breaks) link.Reset();
-    std::thread rest([&client] { PourBytes(client, 9000000 - 100000); });
+    std::thread rest([&client] { SendBytes(client, 9000000 - 100000); });
     if (!breaks) {
-      CHECK(Count(link, 9000000) == 9000000);
+      CHECK(ReceiveBytes(link, 9000000) == 9000000);
       link.Write(Ok("done", "Connection: close\r\n"));
     }
     CHECK(client.Read().starts_with(breaks ? "HTTP/1.1 503 " : "HTTP/1.1 200 "));
--- a/tests/service/operators_test.cpp
+++ b/tests/service/operators_test.cpp
@@ -1,4 +1,4 @@
-// Stories of the second address: what operators tell a balancer that runs, and what comes of it.
+// Tests of the admin address: operator calls to a running balancer and their effects.
 #define CATCH_CONFIG_MAIN
 #include "service/operators.h"
 
@@ -9,17 +9,17 @@
 
 using Clock = std::chrono::steady_clock;
 
-TEST_CASE("the second address answers its calls, and says no in plain words to what is none") {
+TEST_CASE("the admin address answers its calls, and rejects invalid ones with their status") {
   Peer server;
   Program program(ConfigText({.known = Entry("s-1", server.port), .admin = "127.0.0.1:0"}));
   REQUIRE(program.admin != 0);
-  CHECK(Call(program.admin, "GET", "/healthcheck") == 200);
-  CHECK(Tell(program.admin, "/nodes/s-9/maint") == 404);
-  CHECK(Tell(program.admin, "/nodes/s-1/maint") == 200);
-  CHECK(Tell(program.admin, "/nodes/s-1/maint") == 200);
-  CHECK(Tell(program.admin, "/nodes/s-1/ready") == 200);
-  CHECK(Call(program.admin, "GET", "/nodes/s-1/maint") == 405);
-  CHECK(Call(program.admin, "GET", "/up") == 404);
+  CHECK(CallStatus(program.admin, "GET", "/healthcheck") == 200);
+  CHECK(PostCall(program.admin, "/nodes/s-9/maint") == 404);
+  CHECK(PostCall(program.admin, "/nodes/s-1/maint") == 200);
+  CHECK(PostCall(program.admin, "/nodes/s-1/maint") == 200);
+  CHECK(PostCall(program.admin, "/nodes/s-1/ready") == 200);
+  CHECK(CallStatus(program.admin, "GET", "/nodes/s-1/maint") == 405);
+  CHECK(CallStatus(program.admin, "GET", "/up") == 404);
   Link bad = Link::To(program.admin);
   bad.Write("nonsense\r\n\r\n");
   CHECK(bad.Read().starts_with("HTTP/1.1 400 "));
@@ -36,7 +36,7 @@
   CHECK(program.Wait(SIGTERM) == 0);
 }
 
-TEST_CASE("without a second address there is none, and one that can't be used ends the start in one line") {
+TEST_CASE("no admin address is opened unless configured, and an invalid one fails the start with one line") {
   Program none(ConfigText({}));
   CHECK(none.admin == 0);
   Program bad(ConfigText({.admin = "nowhere"}));
@@ -47,18 +47,18 @@
   CHECK(variable.admin != 0);
 }
 
-TEST_CASE("callers who say nothing or half a call never keep the next one waiting") {
+TEST_CASE("admin connections that send nothing or half a call do not delay the next call") {
   Peer server;
   Program program(ConfigText({.known = Entry("s-1", server.port), .sockets = 256, .admin = "127.0.0.1:0"}));
   std::vector<Link> silent;
-  std::vector<Link> crowd;  // at the clients' door, more than fit
+  std::vector<Link> crowd;  // client links, more than fit
   for (int i = 0; i < 400; ++i) crowd.push_back(Link::To(program.port));
   for (int i = 0; i < 200; ++i) {
     silent.push_back(Link::To(program.admin));
     if (i % 2 == 0) silent.back().TryWrite("POST /healthcheck/fa");
     if (i % 10 != 9) continue;
     const auto began = Clock::now();
-    CHECK(Call(program.admin, "GET", "/healthcheck") == 200);
+    CHECK(CallStatus(program.admin, "GET", "/healthcheck") == 200);
     CHECK(Clock::now() - began < std::chrono::seconds(1));
   }
   CHECK(program.Descriptors() < 256);
@@ -68,18 +68,18 @@
   Peer one, two;
   Program program(
       ConfigText({.known = Entry("s-1", one.port) + "," + Entry("s-2", two.port), .admin = "127.0.0.1:0"}));
-  REQUIRE(Tell(program.admin, "/nodes/s-1/maint") == 200);
+  REQUIRE(PostCall(program.admin, "/nodes/s-1/maint") == 200);
   Link client = Link::To(program.port);
   for (int i = 0; i < 20; ++i) {
-    CHECK(Served(client, two, "t" + std::to_string(i)).ends_with("fine"));
+    CHECK(ServeQuery(client, two, "t" + std::to_string(i)).ends_with("fine"));
   }
-  CHECK_FALSE(one.Called());
-  REQUIRE(Tell(program.admin, "/nodes/s-1/ready") == 200);
+  CHECK_FALSE(one.HasPendingConnection());
+  REQUIRE(PostCall(program.admin, "/nodes/s-1/ready") == 200);
   bool used = false;
-  const auto until = Clock::now() + std::chrono::seconds(kPatience);
+  const auto until = Clock::now() + std::chrono::seconds(kTimeoutSeconds);
   for (int i = 0; !used && Clock::now() < until; ++i) {
     client.Write(Get("u" + std::to_string(i)));
-    Peer& called = Peer::Called(one, two);
+    Peer& called = Peer::FirstContacted(one, two);
     used = &called == &one;
     Link link = called.Accept();
     link.Read();
@@ -93,107 +93,110 @@
   Peer one;
   REQUIRE(listen(one.fd(), 0) == 0);
   std::vector<Link> before;
-  before.push_back(Link::To(one.port));  // fills the line: the next connection does not come up for a while
+  before.push_back(Link::To(one.port));  // fills the accept queue: the next connection is delayed
   Program program(
       ConfigText({.known = Entry("s-1", one.port), .connect_timeout = 9000000, .admin = "127.0.0.1:0"}));
   Link client = Link::To(program.port);
   client.Write(Post("open", "t1", "x"));
-  REQUIRE(Call(program.admin, "GET", "/healthcheck") == 200);  // it has been read by now
-  REQUIRE(Tell(program.admin, "/nodes/s-1/maint") == 200);
+  REQUIRE(CallStatus(program.admin, "GET", "/healthcheck") == 200);  // the query has been read by now
+  REQUIRE(PostCall(program.admin, "/nodes/s-1/maint") == 200);
   one.Accept();
   Link late = one.Accept();
   CHECK(late.Read().empty());
   CHECK(client.Read().starts_with("HTTP/1.1 50"));
 }
 
-TEST_CASE("nodes that were out when a process was killed are out in the next one in the same folder") {
-  Folder folder;
+TEST_CASE(
+    "nodes that were out of service when a process was killed are so in the next one with the same folder") {
+  TempFolder folder;
   Peer one, two;
   const std::string config =
       ConfigText({.known = Entry("s-1", one.port) + "," + Entry("s-2", two.port), .admin = "127.0.0.1:0"});
-  const World world = {.variables = {{"TMPDIR", folder.path}}};
-  Program first(config, {"serve"}, nullptr, world);
-  REQUIRE(Tell(first.admin, "/nodes/s-1/maint") == 200);
+  const ChildEnvironment environment = {.variables = {{"TMPDIR", folder.path}}};
+  Program first(config, {"serve"}, nullptr, environment);
+  REQUIRE(PostCall(first.admin, "/nodes/s-1/maint") == 200);
   first.Wait(SIGKILL);
   {
-    Program second(config, {"serve"}, nullptr, world);
+    Program second(config, {"serve"}, nullptr, environment);
     CHECK(second.output.find("1 nodes are out by hand since before this start") != std::string::npos);
     Link client = Link::To(second.port);
     for (int i = 0; i < 10; ++i) {
-      CHECK(Served(client, two, "t" + std::to_string(i)).ends_with("fine"));
+      CHECK(ServeQuery(client, two, "t" + std::to_string(i)).ends_with("fine"));
     }
-    CHECK_FALSE(one.Called());
-    REQUIRE(Tell(second.admin, "/nodes/s-1/ready") == 200);
+    CHECK_FALSE(one.HasPendingConnection());
+    REQUIRE(PostCall(second.admin, "/nodes/s-1/ready") == 200);
     CHECK(second.Wait(SIGTERM) == 0);
   }
-  Program third(config, {"serve"}, nullptr, world);
+  Program third(config, {"serve"}, nullptr, environment);
   CHECK(third.output.find("are out") == std::string::npos);
   third.Wait(SIGKILL);
-  std::ofstream(folder.path + "/burlfall-n1.out") << "burlfall-out 1\n17 s-1\n";  // torn
-  Program fourth(config, {"serve"}, nullptr, world);
+  std::ofstream(folder.path + "/burlfall-n1.out") << "burlfall-out 1\n17 s-1\n";  // truncated
+  Program fourth(config, {"serve"}, nullptr, environment);
   CHECK(fourth.output.find("is damaged and was not read") != std::string::npos);
 }
 
-TEST_CASE("a call out that can't be kept is refused and changes nothing; one back holds all the same") {
-  Folder folder;
+TEST_CASE("a node can't be taken out of service if that can't be saved, but it can be put back") {
+  TempFolder folder;
   Peer one;
   Program program(ConfigText({.known = Entry("s-1", one.port), .admin = "127.0.0.1:0"}), {"serve"}, nullptr,
                   {.variables = {{"TMPDIR", folder.path}}});
-  REQUIRE(Tell(program.admin, "/nodes/s-1/maint") == 200);
+  REQUIRE(PostCall(program.admin, "/nodes/s-1/maint") == 200);
   std::filesystem::remove_all(folder.path);
-  CHECK(Tell(program.admin, "/nodes/s-1/ready") == 200);
-  CHECK(Tell(program.admin, "/nodes/s-1/maint") == 500);
+  CHECK(PostCall(program.admin, "/nodes/s-1/ready") == 200);
+  CHECK(PostCall(program.admin, "/nodes/s-1/maint") == 500);
   Link client = Link::To(program.port);
   client.Write(Get("t"));
   Link link = one.Accept();
   CHECK_FALSE(link.Read().empty());
 }
 
-TEST_CASE("a drain by hand says no, loses no query, closes what is idle, and can be taken back") {
+TEST_CASE("a manual drain fails the health check, loses no query, closes idle links, and can be reverted") {
   Peer server;
   Program program(ConfigText({.known = Entry("s-1", server.port), .admin = "127.0.0.1:0"}));
   Link idle = Link::To(program.port), busy = Link::To(program.port), silent = Link::To(program.port);
-  CHECK(Served(idle, server, "t1").find("Connection: close") == std::string::npos);
+  CHECK(ServeQuery(idle, server, "t1").find("Connection: close") == std::string::npos);
   busy.Write(Get("t2"));
-  Link at_work = server.Accept();
-  at_work.Read();
+  Link open_attempt = server.Accept();
+  open_attempt.Read();
   const auto began = Clock::now();
-  REQUIRE(Tell(program.admin, "/healthcheck/fail") == 200);
-  REQUIRE(Tell(program.admin, "/healthcheck/fail") == 200);
-  CHECK(Up(program.port) == 503);
-  CHECK(Call(program.admin, "GET", "/healthcheck") == 200);
-  Link late = Link::To(program.port);  // the front has not looked yet
-  CHECK(Served(late, server, "t3").find("Connection: close") != std::string::npos);
+  REQUIRE(PostCall(program.admin, "/healthcheck/fail") == 200);
+  REQUIRE(PostCall(program.admin, "/healthcheck/fail") == 200);
+  CHECK(UpStatus(program.port) == 503);
+  CHECK(CallStatus(program.admin, "GET", "/healthcheck") == 200);
+  Link late = Link::To(program.port);  // the load balancer in front has not checked /up yet
+  CHECK(ServeQuery(late, server, "t3").find("Connection: close") != std::string::npos);
   CHECK(idle.Ended());
   CHECK(silent.Ended());
   CHECK(Clock::now() - began < std::chrono::seconds(4));
-  at_work.Write(Ok("late", "Connection: close\r\n"));
+  open_attempt.Write(Ok("late", "Connection: close\r\n"));
   const std::string answer = busy.Read();
   CHECK(answer.ends_with("late"));
   CHECK(answer.find("Connection: close") != std::string::npos);
-  REQUIRE(Tell(program.admin, "/healthcheck/ok") == 200);
-  CHECK(Up(program.port) == 200);
+  REQUIRE(PostCall(program.admin, "/healthcheck/ok") == 200);
+  CHECK(UpStatus(program.port) == 200);
   Link again = Link::To(program.port);
-  CHECK(Served(again, server, "t4").find("Connection: close") == std::string::npos);
-  CHECK(Tell(program.admin, "/healthcheck/ok") == 200);
+  CHECK(ServeQuery(again, server, "t4").find("Connection: close") == std::string::npos);
+  CHECK(PostCall(program.admin, "/healthcheck/ok") == 200);
 }
 
-TEST_CASE("SIGTERM and SIGHUP during a drain by hand") {
+TEST_CASE("SIGTERM and SIGHUP during a manual drain") {
   Peer server;
   Program program(ConfigText({.known = Entry("s-1", server.port), .admin = "127.0.0.1:0"}));
-  REQUIRE(Tell(program.admin, "/healthcheck/fail") == 200);
+  REQUIRE(PostCall(program.admin, "/healthcheck/fail") == 200);
   program.Signal(SIGHUP);
-  std::string line = program.Line();
-  while (line.find("configuration read anew") == std::string::npos && !line.empty()) line = program.Line();
-  CHECK(Up(program.port) == 503);  // it drains on
+  std::string line = program.ReadLineExceptDiscovery();
+  while (line.find("configuration read anew") == std::string::npos && !line.empty())
+    line = program.ReadLineExceptDiscovery();
+  CHECK(UpStatus(program.port) == 503);  // still draining
   Link client = Link::To(program.port);
   client.Write(Get("t1"));
   Link link = server.Accept();
   link.Read();
   program.Signal(SIGTERM);
-  while (line.find("draining: ") == std::string::npos && !line.empty()) line = program.Line();
-  CHECK(Tell(program.admin, "/healthcheck/ok") == 409);
-  CHECK(Call(program.admin, "GET", "/healthcheck") == 503);
+  while (line.find("draining: ") == std::string::npos && !line.empty())
+    line = program.ReadLineExceptDiscovery();
+  CHECK(PostCall(program.admin, "/healthcheck/ok") == 409);
+  CHECK(CallStatus(program.admin, "GET", "/healthcheck") == 503);
   link.Write(Ok("owed"));
   CHECK(client.Read().ends_with("owed"));
   CHECK(program.Wait() == 0);
--- a/tests/service/room_test.cpp
+++ b/tests/service/room_test.cpp
@@ -1,3 +1,4 @@
+// Tests of the choice of links to close when descriptors are needed.
 #include <gtest/gtest.h>
 
 #include "links/link_shedding.h"
@@ -8,7 +9,7 @@
 using Activity = LinkStatus::Activity;
 constexpr int64_t kMilli = 1000;
 
-TEST(WhoMakesRoom, TheSilentFirstThenHalfQueriesThenTheIdleEachByHowLongItStalled) {
+TEST(WhoMakesRoom, LinksWithoutAQueryThenPartialQueriesThenIdleEachLongestStalledFirst) {
   const std::vector<LinkStatus> links = {
       {Activity::kIdle, 9000 * kMilli},      {Activity::kPartialQuery, 700 * kMilli},
       {Activity::kNoQueryYet, 300 * kMilli}, {Activity::kPartialQuery, 1500 * kMilli},
@@ -18,11 +19,11 @@
   EXPECT_TRUE(ChooseLinksToClose(links, 0).empty());
 }
 
-TEST(WhoMakesRoom, NoneThatMayWellGoOn) {
+TEST(WhoMakesRoom, NoneThatIsBusyOrHasJustBeenActive) {
   const std::vector<LinkStatus> links = {
       {Activity::kBusy, 60000 * kMilli},
       {Activity::kNoQueryYet, 249 * kMilli},
-      {Activity::kPartialQuery, 599 * kMilli},  // a slow writer, between two pieces
+      {Activity::kPartialQuery, 599 * kMilli},  // a slow sender, between two pieces
       {Activity::kIdle, 999 * kMilli}};
   EXPECT_TRUE(ChooseLinksToClose(links, 99).empty());
 }
--- a/tests/service/under_load.h
+++ b/tests/service/under_load.h
@@ -1,4 +1,5 @@
-// Load for stories of several processes: a server that counts what ran, and clients that ask on and on.
+// Load for tests with several processes: a server that records the queries it ran, and clients that send
+// queries continuously.
 #ifndef BURLFALL_TESTS_SERVICE_UNDER_LOAD_H_
 #define BURLFALL_TESTS_SERVICE_UNDER_LOAD_H_
 
@@ -15,15 +16,15 @@
 
 namespace burlfall {
 
-// Answers each `open` that comes, and keeps its trace. One thread for each link that it is given.
+// Answers each `open` query and records its trace id. Uses one thread per link.
 class CountingServer {
  public:
   CountingServer() : accepts_([this] { Accept(); }) {}
   CountingServer(const CountingServer&) = delete;
   ~CountingServer() { Stop(); }
-  // What ran, once nothing more can.
+  // Stops the server; returns the trace ids of the queries that ran.
   const std::multiset<std::string>& Stop() {
-    over_ = true;
+    stopping_ = true;
     if (accepts_.joinable()) accepts_.join();
     for (std::thread& one : links_) one.join();
     links_.clear();
@@ -33,7 +34,7 @@
 
  private:
   void Accept() {
-    while (!over_) {
+    while (!stopping_) {
       if (!Readable(server_.fd(), 20)) continue;
       auto link = std::make_shared<Descriptor>(accept4(server_.fd(), nullptr, nullptr, SOCK_CLOEXEC));
       links_.emplace_back([this, link] { Serve(link->get()); });
@@ -42,7 +43,7 @@
   void Serve(int link) {
     std::string in;
     char piece[4096];
-    while (!over_) {
+    while (!stopping_) {
       if (!Readable(link, 20)) continue;
       const ssize_t n = recv(link, piece, sizeof piece, 0);
       if (n <= 0) return;
@@ -60,23 +61,24 @@
   }
 
   Peer server_;
-  std::atomic<bool> over_{false};
+  std::atomic<bool> stopping_{false};
   std::mutex mutex_;
   std::multiset<std::string> ran_;
   std::vector<std::thread> links_;
   std::thread accepts_;
 };
 
-// Each asks one unsafe query after the other on a link of its own, and on a new one where that ended.
-class LoadingClients {
+// Each client sends one unsafe query after another on its own link, and opens a new link when that one ends.
+class LoadClients {
  public:
-  LoadingClients(uint16_t port, int clients, int queries) {
+  LoadClients(uint16_t port, int clients, int queries) {
     for (int c = 0; c < clients; ++c) {
-      threads_.emplace_back([this, port, c, queries] { Ask(port, std::to_string(c) + "-", queries); });
+      threads_.emplace_back(
+          [this, port, c, queries] { SendQueries(port, std::to_string(c) + "-", queries); });
     }
   }
-  LoadingClients(const LoadingClients&) = delete;
-  ~LoadingClients() { Join(); }
+  LoadClients(const LoadClients&) = delete;
+  ~LoadClients() { Join(); }
   void Join() {
     for (std::thread& one : threads_) {
       if (one.joinable()) one.join();
@@ -87,11 +89,11 @@
   std::atomic<int> asked{0};
   std::atomic<int> answered{0};  // 200
   std::atomic<int> refused{0};   // 429 or 503
-  std::atomic<int> broken{0};    // the link ended, or never came up
-  std::atomic<int> hung{0};      // nothing came for kPatience
+  std::atomic<int> broken{0};    // the link ended or could not be opened
+  std::atomic<int> hung{0};      // no complete answer within kTimeoutSeconds
 
  private:
-  void Ask(uint16_t port, const std::string& name, int queries) {
+  void SendQueries(uint16_t port, const std::string& name, int queries) {
     Descriptor link;
     for (int i = 0; i < queries && !stop_; ++i) {
       ++asked;
@@ -108,25 +110,25 @@
       send(link.get(), query.data(), query.size(), MSG_NOSIGNAL);
       std::string answer;
       char piece[4096];
-      bool late = false;
-      while (!Whole(answer)) {
-        late = !Readable(link.get(), kPatience * 1000);
-        const ssize_t n = late ? 0 : recv(link.get(), piece, sizeof piece, 0);
+      bool timed_out = false;
+      while (!IsComplete(answer)) {
+        timed_out = !Readable(link.get(), kTimeoutSeconds * 1000);
+        const ssize_t n = timed_out ? 0 : recv(link.get(), piece, sizeof piece, 0);
         if (n <= 0) break;
         answer.append(piece, static_cast<size_t>(n));
       }
-      if (!Whole(answer)) {
-        ++(late ? hung : broken);
+      if (!IsComplete(answer)) {
+        ++(timed_out ? hung : broken);
       } else if (answer.starts_with("HTTP/1.1 200 ")) {
         ++answered;
       } else {
         ++refused;
       }
-      if (!Whole(answer) || answer.find("Connection: close") != std::string::npos) link = Descriptor();
+      if (!IsComplete(answer) || answer.find("Connection: close") != std::string::npos) link = Descriptor();
       poll(nullptr, 0, 1);
     }
   }
-  static bool Whole(const std::string& answer) {
+  static bool IsComplete(const std::string& answer) {
     const size_t end = answer.find("\r\n\r\n");
     if (end == std::string::npos) return false;
     const size_t at = answer.find("Content-Length: ");
--- a/tests/service/upgrade_test.cpp
+++ b/tests/service/upgrade_test.cpp
@@ -1,4 +1,4 @@
-// Stories of an upgrade: two real processes of one balancer, with the clients' listener passed to both.
+// Tests of an upgrade: two real processes of one balancer that both inherit the clients' listener.
 #include <fcntl.h>
 #include <sys/socket.h>
 #include <sys/un.h>
@@ -17,33 +17,33 @@
 
 namespace {
 
-// What the platform has: a listener that every process inherits, and a folder that all see.
+// What the platform provides: a listener that every process inherits, and a folder that they share.
 struct Platform {
-  Peer door;
-  Folder folder;
-  World world() {
-    return {.variables = {{"TMPDIR", folder.path}, {"PROXY_PASSED_SOCKET", "5"}}, .passed = door.fd()};
+  Peer listener;
+  TempFolder folder;
+  ChildEnvironment environment() {
+    return {.variables = {{"TMPDIR", folder.path}, {"PROXY_PASSED_SOCKET", "5"}}, .passed = listener.fd()};
   }
   std::string socket() const { return folder.path + "/burlfall-n1.sock"; }
 };
 
-std::string SiteText(const std::string& known) {
+std::string AdminConfigText(const std::string& known) {
   return ConfigText({.known = known, .admin = "127.0.0.1:0"});
 }
 
 std::string Numbered(std::string name, int i) { return name.append(std::to_string(i)); }
 
-// Reads lines until one that has `what`, or there are none for kPatience.
-bool Says(Program& program, const std::string& what) {
+// Reads log lines until one contains `what`; false if none arrives for kTimeoutSeconds.
+bool WaitForLog(Program& program, const std::string& what) {
   if (program.output.find(what) != std::string::npos) return true;
-  for (std::string line = program.AnyLine(); !line.empty(); line = program.AnyLine()) {
+  for (std::string line = program.ReadLine(); !line.empty(); line = program.ReadLine()) {
     program.output += line;
     if (line.find(what) != std::string::npos) return true;
   }
   return false;
 }
 
-Descriptor Meet(const std::string& path) {
+Descriptor ConnectToSocket(const std::string& path) {
   Descriptor fd(socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC, 0));
   sockaddr_un at{};
   at.sun_family = AF_UNIX;
@@ -51,12 +51,12 @@
   REQUIRE(connect(fd.get(), reinterpret_cast<sockaddr*>(&at), sizeof at) == 0);
   return fd;
 }
-void Say(const Descriptor& fd, const std::string& message) {
+void SendMessage(const Descriptor& fd, const std::string& message) {
   REQUIRE(send(fd.get(), message.data(), message.size(), MSG_NOSIGNAL) ==
           static_cast<ssize_t>(message.size()));
 }
-std::string Hear(const Descriptor& fd) {  // empty: it ended
-  if (!Readable(fd.get(), kPatience * 1000)) return "";
+std::string ReceiveMessage(const Descriptor& fd) {  // empty: the channel ended
+  if (!Readable(fd.get(), kTimeoutSeconds * 1000)) return "";
   std::string message(65536, '\0');
   const ssize_t n = recv(fd.get(), message.data(), message.size(), 0);
   message.resize(n > 0 ? static_cast<size_t>(n) : 0);
@@ -65,71 +65,71 @@
 
 }  // namespace
 
-TEST_CASE("an upgrade passes quiet links on, with what was read of them, and answers what is on its way") {
+TEST_CASE("an upgrade passes idle links on, with the bytes read from them, and answers open queries") {
   Platform platform;
   Peer server;
-  const std::string config = SiteText(Entry("s-1", server.port));
-  Program old(config, {"serve"}, nullptr, platform.world());
-  Link quiet = Link::To(platform.door.port), half = Link::To(platform.door.port),
-       busy = Link::To(platform.door.port), fresh = Link::To(platform.door.port);
-  CHECK(Served(quiet, server, "t1").ends_with("fine"));
+  const std::string config = AdminConfigText(Entry("s-1", server.port));
+  Program old(config, {"serve"}, nullptr, platform.environment());
+  Link idle_link = Link::To(platform.listener.port), half = Link::To(platform.listener.port),
+       busy = Link::To(platform.listener.port), fresh = Link::To(platform.listener.port);
+  CHECK(ServeQuery(idle_link, server, "t1").ends_with("fine"));
   const std::string query = Get("t2");
   half.Write(query.substr(0, 20));
   busy.Write(Get("t3"));
-  Link at_work = server.Accept();
-  at_work.Read();
-  Program next(config, {"serve"}, nullptr, platform.world());
-  CHECK(Call(next.admin, "GET", "/healthcheck") == 200);
+  Link open_attempt = server.Accept();
+  open_attempt.Read();
+  Program next(config, {"serve"}, nullptr, platform.environment());
+  CHECK(CallStatus(next.admin, "GET", "/healthcheck") == 200);
   CHECK(next.output.find("took over: 1 known nodes, 0 out by hand; 1 queries stay") != std::string::npos);
-  CHECK(Says(old, "handed over"));
+  CHECK(WaitForLog(old, "handed over"));
   old.Signal(SIGTERM);
   half.Write(query.substr(20));
   Link for_half = server.Accept();
   for_half.Read();
   for_half.Write(Ok("half", "Connection: close\r\n"));
   CHECK(half.Read().ends_with("half"));
-  const std::string answer = Served(quiet, server, "t4");
+  const std::string answer = ServeQuery(idle_link, server, "t4");
   CHECK(answer.ends_with("fine"));
   CHECK(answer.find("Connection: close") == std::string::npos);
-  CHECK(Served(fresh, server, "t5").ends_with("fine"));
-  at_work.Write(Ok("late", "Connection: close\r\n"));
+  CHECK(ServeQuery(fresh, server, "t5").ends_with("fine"));
+  open_attempt.Write(Ok("late", "Connection: close\r\n"));
   CHECK(busy.Read().ends_with("late"));
   CHECK(old.Wait() == 0);
-  CHECK(Served(busy, server, "t6").ends_with("fine"));  // that link too is the new one's
-  Link after = Link::To(platform.door.port);
-  CHECK(Served(after, server, "t7").ends_with("fine"));
+  CHECK(ServeQuery(busy, server, "t6").ends_with("fine"));  // the successor holds that link too
+  Link after = Link::To(platform.listener.port);
+  CHECK(ServeQuery(after, server, "t7").ends_with("fine"));
   CHECK(next.Wait(SIGTERM) == 0);
 }
 
-TEST_CASE("nodes out by hand, a drain and what operators say later hold for both processes") {
+TEST_CASE("nodes out of service, a manual drain and later operator calls apply to both processes") {
   Platform platform;
   Peer one, two;
-  const std::string config = SiteText(Entry("s-1", one.port) + "," + Entry("s-2", two.port));
-  Program old(config, {"serve"}, nullptr, platform.world());
-  Link client = Link::To(platform.door.port);
-  client.Write(Get("t0"));  // keeps the old one there
-  Peer& holder = Peer::Called(one, two);
-  Link at_work = holder.Accept();
-  at_work.Read();
-  REQUIRE(Tell(old.admin, "/nodes/s-1/maint") == 200);
-  REQUIRE(Tell(old.admin, "/healthcheck/fail") == 200);
-  // Without the file: the hand-over itself tells.
+  const std::string config = AdminConfigText(Entry("s-1", one.port) + "," + Entry("s-2", two.port));
+  Program old(config, {"serve"}, nullptr, platform.environment());
+  Link client = Link::To(platform.listener.port);
+  client.Write(Get("t0"));  // keeps the old process running
+  Peer& holder = Peer::FirstContacted(one, two);
+  Link open_attempt = holder.Accept();
+  open_attempt.Read();
+  REQUIRE(PostCall(old.admin, "/nodes/s-1/maint") == 200);
+  REQUIRE(PostCall(old.admin, "/healthcheck/fail") == 200);
+  // Without the file, the hand-over state itself carries the nodes.
   std::filesystem::remove(platform.folder.path + "/burlfall-n1.out");
-  Program next(config, {"serve"}, nullptr, platform.world());
+  Program next(config, {"serve"}, nullptr, platform.environment());
   CHECK(next.output.find("1 out by hand") != std::string::npos);
-  CHECK(Call(next.admin, "GET", "/healthcheck") == 200);
-  CHECK(Says(next, "burlfall-n1.out is written again"));
-  CHECK(Up(platform.door.port) == 503);
-  REQUIRE(Tell(next.admin, "/healthcheck/ok") == 200);
-  CHECK(Up(platform.door.port) == 200);
-  Link again = Link::To(platform.door.port);
-  for (int i = 0; i < 10; ++i) CHECK(Served(again, two, Numbered("t", i)).ends_with("fine"));
-  REQUIRE(Tell(old.admin, "/nodes/s-2/maint") == 200);  // at the old one's address
-  REQUIRE(Tell(next.admin, "/nodes/s-1/ready") == 200);
-  CHECK(Says(next, "s-2 is out by hand"));
-  CHECK(Says(old, "s-1 is back"));
-  for (int i = 0; i < 5; ++i) CHECK(Served(again, one, Numbered("u", i)).ends_with("fine"));
-  at_work.Write(Ok("done", "Connection: close\r\n"));
+  CHECK(CallStatus(next.admin, "GET", "/healthcheck") == 200);
+  CHECK(WaitForLog(next, "burlfall-n1.out is written again"));
+  CHECK(UpStatus(platform.listener.port) == 503);
+  REQUIRE(PostCall(next.admin, "/healthcheck/ok") == 200);
+  CHECK(UpStatus(platform.listener.port) == 200);
+  Link again = Link::To(platform.listener.port);
+  for (int i = 0; i < 10; ++i) CHECK(ServeQuery(again, two, Numbered("t", i)).ends_with("fine"));
+  REQUIRE(PostCall(old.admin, "/nodes/s-2/maint") == 200);  // at the old process's address
+  REQUIRE(PostCall(next.admin, "/nodes/s-1/ready") == 200);
+  CHECK(WaitForLog(next, "s-2 is out by hand"));
+  CHECK(WaitForLog(old, "s-1 is back"));
+  for (int i = 0; i < 5; ++i) CHECK(ServeQuery(again, one, Numbered("u", i)).ends_with("fine"));
+  open_attempt.Write(Ok("done", "Connection: close\r\n"));
   CHECK(client.Read().ends_with("done"));
   CHECK(old.Wait() == 0);
 }
@@ -137,97 +137,97 @@
 TEST_CASE("a second upgrade right after the first, and the first process still has an answer to give") {
   Platform platform;
   Peer server;
-  const std::string config = SiteText(Entry("s-1", server.port));
-  Program first(config, {"serve"}, nullptr, platform.world());
-  Link busy = Link::To(platform.door.port), quiet = Link::To(platform.door.port);
-  CHECK(Served(quiet, server, "t1").ends_with("fine"));
+  const std::string config = AdminConfigText(Entry("s-1", server.port));
+  Program first(config, {"serve"}, nullptr, platform.environment());
+  Link busy = Link::To(platform.listener.port), idle_link = Link::To(platform.listener.port);
+  CHECK(ServeQuery(idle_link, server, "t1").ends_with("fine"));
   busy.Write(Post("open", "t2", "x"));
-  Link at_work = server.Accept();
-  at_work.Read();
-  Program second(config, {"serve"}, nullptr, platform.world());
-  Program third(config, {"serve"}, nullptr, platform.world());
+  Link open_attempt = server.Accept();
+  open_attempt.Read();
+  Program second(config, {"serve"}, nullptr, platform.environment());
+  Program third(config, {"serve"}, nullptr, platform.environment());
   CHECK(third.output.find("took over") != std::string::npos);
-  CHECK(Served(quiet, server, "t3").ends_with("fine"));
-  at_work.Write(Ok("once", "Connection: close\r\n"));
+  CHECK(ServeQuery(idle_link, server, "t3").ends_with("fine"));
+  open_attempt.Write(Ok("once", "Connection: close\r\n"));
   CHECK(busy.Read().ends_with("once"));
-  CHECK_FALSE(server.Called());
+  CHECK_FALSE(server.HasPendingConnection());
   CHECK(first.Wait() == 0);
   CHECK(second.Wait() == 0);
-  CHECK(Served(quiet, server, "t4").ends_with("fine"));
+  CHECK(ServeQuery(idle_link, server, "t4").ends_with("fine"));
 }
 
-TEST_CASE("an heir that dies before it serves leaves the door to the old process, and after it too") {
+TEST_CASE("a successor that dies, before or after it serves, leaves the listener to the old process") {
   Platform platform;
   Peer server;
-  const std::string config = SiteText(Entry("s-1", server.port));
-  Program old(config, {"serve"}, nullptr, platform.world());
-  Link quiet = Link::To(platform.door.port);
-  CHECK(Served(quiet, server, "t1").ends_with("fine"));
+  const std::string config = AdminConfigText(Entry("s-1", server.port));
+  Program old(config, {"serve"}, nullptr, platform.environment());
+  Link idle_link = Link::To(platform.listener.port);
+  CHECK(ServeQuery(idle_link, server, "t1").ends_with("fine"));
   const std::string claim = Pack('T', Claim{kHandoverVersion, "n1"});
   {
-    const Descriptor heir = Meet(platform.socket());
-    Say(heir, claim);
-    CHECK(Hear(heir).front() == 'Z');
+    const Descriptor successor = ConnectToSocket(platform.socket());
+    SendMessage(successor, claim);
+    CHECK(ReceiveMessage(successor).front() == 'Z');
   }
-  CHECK(Says(old, "did not come to serve"));
-  Link client = Link::To(platform.door.port);
-  CHECK(Served(client, server, "t2").ends_with("fine"));
+  CHECK(WaitForLog(old, "did not come to serve"));
+  Link client = Link::To(platform.listener.port);
+  CHECK(ServeQuery(client, server, "t2").ends_with("fine"));
   {
-    const Descriptor heir = Meet(platform.socket());
-    Say(heir, claim);
-    CHECK(Hear(heir).front() == 'Z');
-    Say(heir, "S");
-    CHECK(Says(old, "handed over"));
+    const Descriptor successor = ConnectToSocket(platform.socket());
+    SendMessage(successor, claim);
+    CHECK(ReceiveMessage(successor).front() == 'Z');
+    SendMessage(successor, "S");
+    CHECK(WaitForLog(old, "handed over"));
   }
-  CHECK(Says(old, "this one serves again"));
-  Link after = Link::To(platform.door.port);
-  CHECK(Served(after, server, "t3").ends_with("fine"));
-  Program next(config, {"serve"}, nullptr, platform.world());  // and can be taken over from again
+  CHECK(WaitForLog(old, "this one serves again"));
+  Link after = Link::To(platform.listener.port);
+  CHECK(ServeQuery(after, server, "t3").ends_with("fine"));
+  Program next(config, {"serve"}, nullptr, platform.environment());  // another successor can take over again
   CHECK(next.output.find("took over") != std::string::npos);
   CHECK(old.Wait() == 0);
 }
 
-TEST_CASE("an heir that hangs leaves the door to the old process after a while") {
+TEST_CASE("a successor that hangs leaves the listener to the old process after a time-out") {
   Platform platform;
   Peer server;
-  Program old(SiteText(Entry("s-1", server.port)), {"serve"}, nullptr, platform.world());
-  const Descriptor heir = Meet(platform.socket());
-  Say(heir, Pack('T', Claim{kHandoverVersion, "n1"}));
-  CHECK(Hear(heir).front() == 'Z');
-  Link client = Link::To(platform.door.port);
-  CHECK(Served(client, server, "t1").ends_with("fine"));
+  Program old(AdminConfigText(Entry("s-1", server.port)), {"serve"}, nullptr, platform.environment());
+  const Descriptor successor = ConnectToSocket(platform.socket());
+  SendMessage(successor, Pack('T', Claim{kHandoverVersion, "n1"}));
+  CHECK(ReceiveMessage(successor).front() == 'Z');
+  Link client = Link::To(platform.listener.port);
+  CHECK(ServeQuery(client, server, "t1").ends_with("fine"));
   CHECK(old.Wait(SIGTERM) == 0);
 }
 
-TEST_CASE("claims that can't be met are refused by name, and nothing stops") {
+TEST_CASE("invalid claims are refused with a reason, and the old process continues") {
   Platform platform;
   Peer server;
-  Program old(SiteText(Entry("s-1", server.port)), {"serve"}, nullptr, platform.world());
-  CHECK(Says(old, "serves at"));
+  Program old(AdminConfigText(Entry("s-1", server.port)), {"serve"}, nullptr, platform.environment());
+  CHECK(WaitForLog(old, "serves at"));
   for (const std::string& bad :
        {Pack('T', Claim{7, "n1"}), Pack('T', Claim{1, "n2"}), std::string("Tnonsense"), std::string("T")}) {
-    const Descriptor heir = Meet(platform.socket());
-    Say(heir, bad);
-    CHECK(Hear(heir).front() == 'N');
+    const Descriptor successor = ConnectToSocket(platform.socket());
+    SendMessage(successor, bad);
+    CHECK(ReceiveMessage(successor).front() == 'N');
   }
-  const Descriptor heir = Meet(platform.socket());
+  const Descriptor successor = ConnectToSocket(platform.socket());
   for (const char* odd : {"L", "S", "U123", "Q", "x", "O\xff\xff\xff\xff\xff\xff\xff\xff\xff", "E", "Z"}) {
-    Say(heir, odd);
+    SendMessage(successor, odd);
   }
-  Say(heir, Pack('T', Claim{kHandoverVersion, "n1"}));
-  std::string message = Hear(heir);
+  SendMessage(successor, Pack('T', Claim{kHandoverVersion, "n1"}));
+  std::string message = ReceiveMessage(successor);
   CHECK(message.front() == 'Z');
   EstateReader reader;
   CHECK(reader.Take(message) == EstateReader::Read::kWhole);
   CHECK(reader.estate().hosts.size() == 1);
-  Link client = Link::To(platform.door.port);
-  CHECK(Served(client, server, "t1").ends_with("fine"));
+  Link client = Link::To(platform.listener.port);
+  CHECK(ServeQuery(client, server, "t1").ends_with("fine"));
 }
 
-TEST_CASE("an old process that hangs, a stale socket, a refusal: the new one begins by itself") {
+TEST_CASE("if the old process hangs or its socket is stale, the new one starts without it") {
   Platform platform;
   Peer server;
-  const std::string config = SiteText(Entry("s-1", server.port));
+  const std::string config = AdminConfigText(Entry("s-1", server.port));
   {
     Descriptor stale(socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC, 0));
     sockaddr_un at{};
@@ -235,48 +235,50 @@
     platform.socket().copy(at.sun_path, sizeof at.sun_path - 1);
     REQUIRE(bind(stale.get(), reinterpret_cast<sockaddr*>(&at), sizeof at) == 0);
   }
-  Program old(config, {"serve"}, nullptr, platform.world());
-  Link client = Link::To(platform.door.port);
-  CHECK(Served(client, server, "t1").ends_with("fine"));
+  Program old(config, {"serve"}, nullptr, platform.environment());
+  Link client = Link::To(platform.listener.port);
+  CHECK(ServeQuery(client, server, "t1").ends_with("fine"));
   old.Signal(SIGSTOP);
   const auto began = std::chrono::steady_clock::now();
-  Program next(config, {"serve"}, nullptr, platform.world());
+  Program next(config, {"serve"}, nullptr, platform.environment());
   CHECK(std::chrono::steady_clock::now() - began < std::chrono::seconds(6));
   CHECK(next.output.find("nothing taken over: no answer in time") != std::string::npos);
-  CHECK(Call(next.admin, "GET", "/healthcheck") == 200);
-  Link after = Link::To(platform.door.port);
-  CHECK(Served(after, server, "t2").ends_with("fine"));
+  CHECK(CallStatus(next.admin, "GET", "/healthcheck") == 200);
+  Link after = Link::To(platform.listener.port);
+  CHECK(ServeQuery(after, server, "t2").ends_with("fine"));
 }
 
-TEST_CASE("a module of other settings is not taken over, but nodes, bans and the door are") {
+TEST_CASE(
+    "the decision state for other settings is not taken over, but nodes, those out of service and the "
+    "listener are") {
   Platform platform;
   Peer one, two;
   const std::string known = Entry("s-1", one.port) + "," + Entry("s-2", two.port);
-  Program old(SiteText(known), {"serve"}, nullptr, platform.world());
-  REQUIRE(Tell(old.admin, "/nodes/s-1/maint") == 200);
+  Program old(AdminConfigText(known), {"serve"}, nullptr, platform.environment());
+  REQUIRE(PostCall(old.admin, "/nodes/s-1/maint") == 200);
   Program next(ConfigText({.connect_timeout = 900000, .admin = "127.0.0.1:0"}), {"serve"}, nullptr,
-               platform.world());
+               platform.environment());
   CHECK(next.output.find("took over without what the process before had learned: other settings") !=
         std::string::npos);
-  Link client = Link::To(platform.door.port);
-  for (int i = 0; i < 5; ++i) CHECK(Served(client, two, Numbered("t", i)).ends_with("fine"));
+  Link client = Link::To(platform.listener.port);
+  for (int i = 0; i < 5; ++i) CHECK(ServeQuery(client, two, Numbered("t", i)).ends_with("fine"));
   CHECK(old.Wait() == 0);
 }
 
-TEST_CASE("SIGTERM before the claim: the new process takes the door of one that drains") {
+TEST_CASE("SIGTERM before the claim: the new process takes the listener of one that drains") {
   Platform platform;
   Peer server;
-  const std::string config = SiteText(Entry("s-1", server.port));
-  Program old(config, {"serve"}, nullptr, platform.world());
-  Link busy = Link::To(platform.door.port);
+  const std::string config = AdminConfigText(Entry("s-1", server.port));
+  Program old(config, {"serve"}, nullptr, platform.environment());
+  Link busy = Link::To(platform.listener.port);
   busy.Write(Get("t1"));
-  Link at_work = server.Accept();
-  at_work.Read();
+  Link open_attempt = server.Accept();
+  open_attempt.Read();
   old.Signal(SIGTERM);
-  Program next(config, {"serve"}, nullptr, platform.world());
-  Link client = Link::To(platform.door.port);
-  CHECK(Served(client, server, "t2").ends_with("fine"));
-  at_work.Write(Ok("owed", "Connection: close\r\n"));
+  Program next(config, {"serve"}, nullptr, platform.environment());
+  Link client = Link::To(platform.listener.port);
+  CHECK(ServeQuery(client, server, "t2").ends_with("fine"));
+  open_attempt.Write(Ok("owed", "Connection: close\r\n"));
   CHECK(busy.Read().ends_with("owed"));
   CHECK(old.Wait() == 0);
 }
@@ -284,15 +286,15 @@
 TEST_CASE("upgrades under load: each query is answered once, and no unsafe one runs twice") {
   Platform platform;
   CountingServer server;
-  const std::string config = SiteText(Entry("s-1", server.port()));
+  const std::string config = AdminConfigText(Entry("s-1", server.port()));
   int descriptors = 0;
   std::vector<std::unique_ptr<Program>> processes;
   processes.push_back(
-      std::make_unique<Program>(config, std::vector<std::string>{"serve"}, nullptr, platform.world()));
-  LoadingClients clients(platform.door.port, 8, 400);
+      std::make_unique<Program>(config, std::vector<std::string>{"serve"}, nullptr, platform.environment()));
+  LoadClients clients(platform.listener.port, 8, 400);
   for (int i = 0; i < 3; ++i) {
-    processes.push_back(
-        std::make_unique<Program>(config, std::vector<std::string>{"serve"}, nullptr, platform.world()));
+    processes.push_back(std::make_unique<Program>(config, std::vector<std::string>{"serve"}, nullptr,
+                                                  platform.environment()));
     const long both = processes[processes.size() - 2]->Descriptors() + processes.back()->Descriptors();
     descriptors = std::max(descriptors, static_cast<int>(both));
     processes[processes.size() - 2]->Signal(SIGTERM);
@@ -328,9 +330,10 @@
   CHECK(folder.output == "burlfall: TMPDIR: /nowhere: No such file or directory\n");
 }
 
-TEST_CASE("an upgrade of a cluster's member is a new life in its place: nobody misses it or holds it dead") {
+TEST_CASE(
+    "an upgraded cluster member continues as a new incarnation: no member misses it or declares it dead") {
   Platform platform;
-  // Loopback has addresses to spare: one for this process, which no other test takes.
+  // A loopback address for this process alone, which no other test uses.
   const int pid = getpid();
   std::string host("127.77.");
   host.append(std::to_string(pid / 250 % 250)).append(".").append(std::to_string(1 + pid % 250));
@@ -344,104 +347,104 @@
         .append(":7947\"]\n");
   };
   const TextFile one(settings("7946")), two(settings("7947"));
-  Program old(SiteText(""), {"serve", "--cluster", one.path}, nullptr, platform.world());
-  Program other(SiteText(""), {"serve", "--cluster", two.path}, nullptr,
+  Program old(AdminConfigText(""), {"serve", "--cluster", one.path}, nullptr, platform.environment());
+  Program other(AdminConfigText(""), {"serve", "--cluster", two.path}, nullptr,
                 {.variables = {{"PROXY_NAME", "n2"}}});
-  REQUIRE(Says(other, "n1 is there"));
-  REQUIRE(Says(old, "n2 is there"));
-  Program heir(SiteText(""), {"serve", "--cluster", one.path}, nullptr, platform.world());
+  REQUIRE(WaitForLog(other, "n1 is there"));
+  REQUIRE(WaitForLog(old, "n2 is there"));
+  Program successor(AdminConfigText(""), {"serve", "--cluster", one.path}, nullptr, platform.environment());
   CHECK(old.Wait() == 0);
-  CHECK(Says(heir, "n2 is there"));
-  REQUIRE(Says(other, "n1 is there, again"));
-  // Longer than a suspicion lasts: a member that was missed would be dead by then.
+  CHECK(WaitForLog(successor, "n2 is there"));
+  REQUIRE(WaitForLog(other, "n1 is there, again"));
+  // Longer than the suspicion timeout: a missed member would be declared dead by then.
   std::this_thread::sleep_for(std::chrono::seconds(6));
-  CHECK(heir.Wait(SIGTERM) == 0);
-  REQUIRE(Says(other, "n1 has left"));
+  CHECK(successor.Wait(SIGTERM) == 0);
+  REQUIRE(WaitForLog(other, "n1 has left"));
   CHECK(other.output.find("n1 has left") == other.output.rfind("n1 has left"));
   CHECK(other.output.find("n1 is held dead") == std::string::npos);
   CHECK(other.output.find("no way to n1") == std::string::npos);
 }
 
-// ---- Signals, and an heir that dies, in any order --------------------------------------------------------
+// ---- Signals, and a successor that dies, in any order ----------------------------------------------------
 
 namespace {
 
-// What this process has heard of by now it has acted on: two turns have gone by since.
-void TwoTurns(Program& program) {
+// Waits for two turns of the event loop, so that the process has handled everything it has received so far.
+void WaitTwoTurns(Program& program) {
   for (int i = 0; i < 2; ++i) {
     program.Signal(SIGUSR1);
-    std::string line = program.AnyLine();
+    std::string line = program.ReadLine();
     while (!line.empty() && line.find("taken=") == std::string::npos) {
       program.output += line;
-      line = program.AnyLine();
+      line = program.ReadLine();
     }
     program.output += line;
   }
 }
 
-// An heir that claims the door; it is scripted from then on.
-Descriptor Claimed(const Platform& platform) {
-  Descriptor heir = Meet(platform.socket());
-  Say(heir, Pack('T', Claim{kHandoverVersion, "n1"}));
-  CHECK(Hear(heir).front() == 'Z');
-  return heir;
+// A scripted successor that has claimed the listener.
+Descriptor ClaimListener(const Platform& platform) {
+  Descriptor successor = ConnectToSocket(platform.socket());
+  SendMessage(successor, Pack('T', Claim{kHandoverVersion, "n1"}));
+  CHECK(ReceiveMessage(successor).front() == 'Z');
+  return successor;
 }
 
 }  // namespace
 
-TEST_CASE(
-    "an heir that takes the door of a process that closes already, and dies, ends nothing that is owed") {
+TEST_CASE("a successor that claims from a process that is already closing, and dies, costs no open query") {
   Platform platform;
   Peer server;
-  Program old(SiteText(Entry("s-1", server.port)), {"serve"}, nullptr, platform.world());
-  Link busy = Link::To(platform.door.port);
+  Program old(AdminConfigText(Entry("s-1", server.port)), {"serve"}, nullptr, platform.environment());
+  Link busy = Link::To(platform.listener.port);
   busy.Write(Get("t1"));
-  Link at_work = server.Accept();
-  at_work.Read();
+  Link open_attempt = server.Accept();
+  open_attempt.Read();
   old.Signal(SIGTERM);
-  CHECK(Says(old, "draining: "));
+  CHECK(WaitForLog(old, "draining: "));
   {
-    const Descriptor heir = Claimed(platform);
-    CHECK(Says(old, "closing: "));
-    Say(heir, "S");
-    CHECK(Says(old, "handed over"));
+    const Descriptor successor = ClaimListener(platform);
+    CHECK(WaitForLog(old, "closing: "));
+    SendMessage(successor, "S");
+    CHECK(WaitForLog(old, "handed over"));
   }
-  TwoTurns(old);
-  at_work.Write(Ok("owed"));
+  WaitTwoTurns(old);
+  open_attempt.Write(Ok("owed"));
   CHECK(busy.Read().ends_with("owed"));
   CHECK(old.Wait() == 0);
 }
 
-TEST_CASE("a process that was told to end ends, also where it takes the door back from an heir that died") {
+TEST_CASE("a process ends after SIGTERM, also if it takes the listener back from a successor that died") {
   Platform platform;
   Peer server;
-  Program old(SiteText(Entry("s-1", server.port)), {"serve"}, nullptr, platform.world());
-  Link busy = Link::To(platform.door.port);
+  Program old(AdminConfigText(Entry("s-1", server.port)), {"serve"}, nullptr, platform.environment());
+  Link busy = Link::To(platform.listener.port);
   busy.Write(Get("t1"));
-  Link at_work = server.Accept();
-  at_work.Read();
+  Link open_attempt = server.Accept();
+  open_attempt.Read();
   {
-    const Descriptor heir = Claimed(platform);
-    Say(heir, "S");
-    CHECK(Says(old, "handed over"));
+    const Descriptor successor = ClaimListener(platform);
+    SendMessage(successor, "S");
+    CHECK(WaitForLog(old, "handed over"));
     old.Signal(SIGTERM);
-    TwoTurns(old);
+    WaitTwoTurns(old);
   }
-  CHECK(Says(old, "this one serves again"));
-  at_work.Write(Ok("owed"));
+  CHECK(WaitForLog(old, "this one serves again"));
+  open_attempt.Write(Ok("owed"));
   CHECK(busy.Read().ends_with("owed"));
-  REQUIRE(old.EndsUnread());
+  REQUIRE(old.ExitsWithoutReader());
   CHECK(old.Wait() == 0);
   CHECK(old.output.find("draining: ") != std::string::npos);
 }
 
 namespace {
 
-// The process before, scripted up to its heir's word that it serves. Between the claim and the estate it does
-// what the story says, with the heir's process.
-class ScriptedOld {
+// A scripted old process, up to its successor's message that it serves. Between the claim and the hand-over
+// state it calls `before_state` with the successor's process id.
+class ScriptedPredecessor {
  public:
-  ScriptedOld(const Platform& platform, const Peer& server, std::function<void(pid_t)> between = {})
+  ScriptedPredecessor(const Platform& platform, const Peer& server,
+                      std::function<void(pid_t)> before_state = {})
       : listener_(socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC, 0)) {
     sockaddr_un at{};
     at.sun_family = AF_UNIX;
@@ -454,14 +457,15 @@
     host.name = "s-1";
     host.address = "127.0.0.1:" + std::to_string(server.port);
     host.listed = meadowslip::BackendState::kReady;
-    thread_ = std::thread([this, between = std::move(between)] { Run(between); });
+    thread_ = std::thread([this, before_state = std::move(before_state)] { Run(before_state); });
   }
-  ScriptedOld(const ScriptedOld&) = delete;
-  ~ScriptedOld() { Join(); }
+  ScriptedPredecessor(const ScriptedPredecessor&) = delete;
+  ~ScriptedPredecessor() { Join(); }
   void Join() {
     if (thread_.joinable()) thread_.join();
   }
-  bool took_door() const { return took_door_; }  // once joined: the heir says that it serves
+  // After Join(): whether the successor announced that it serves.
+  bool successor_serves() const { return successor_serves_; }
   void Pass(const Link& link, const PassedLink& as) const {
     const std::string message = Pack('L', as);
     iovec part{const_cast<char*>(message.data()), message.size()};
@@ -477,39 +481,39 @@
     rights->cmsg_len = CMSG_LEN(sizeof(int));
     const int fd = link.fd();
     std::memcpy(CMSG_DATA(rights), &fd, sizeof fd);
-    REQUIRE(sendmsg(heir_.get(), &header, MSG_NOSIGNAL) > 0);
+    REQUIRE(sendmsg(successor_.get(), &header, MSG_NOSIGNAL) > 0);
   }
-  void End() { heir_ = Descriptor(); }
-  std::string HearHeir() const { return Hear(heir_); }
+  void End() { successor_ = Descriptor(); }
+  std::string ReceiveFromSuccessor() const { return ReceiveMessage(successor_); }
 
  private:
-  void Run(const std::function<void(pid_t)>& between) {
-    if (!Readable(listener_.get(), kPatience * 1000)) return;
-    heir_ = Descriptor(accept4(listener_.get(), nullptr, nullptr, SOCK_CLOEXEC));
-    std::string message = Hear(heir_);
-    ucred who{};
-    socklen_t length = sizeof who;
-    getsockopt(heir_.get(), SOL_SOCKET, SO_PEERCRED, &who, &length);
-    if (between) between(who.pid);
+  void Run(const std::function<void(pid_t)>& before_state) {
+    if (!Readable(listener_.get(), kTimeoutSeconds * 1000)) return;
+    successor_ = Descriptor(accept4(listener_.get(), nullptr, nullptr, SOCK_CLOEXEC));
+    std::string message = ReceiveMessage(successor_);
+    ucred credentials{};
+    socklen_t length = sizeof credentials;
+    getsockopt(successor_.get(), SOL_SOCKET, SO_PEERCRED, &credentials, &length);
+    if (before_state) before_state(credentials.pid);
     for (const std::string& piece : Pieces(std::move(estate_))) {
-      send(heir_.get(), piece.data(), piece.size(), MSG_NOSIGNAL);
+      send(successor_.get(), piece.data(), piece.size(), MSG_NOSIGNAL);
     }
-    while (!(message = Hear(heir_)).empty() && message.front() != 'S') {
+    while (!(message = ReceiveMessage(successor_)).empty() && message.front() != 'S') {
     }
-    took_door_ = !message.empty();
+    successor_serves_ = !message.empty();
   }
 
-  Descriptor listener_, heir_;
+  Descriptor listener_, successor_;
   Estate estate_;
-  bool took_door_ = false;
+  bool successor_serves_ = false;
   std::thread thread_;
 };
 
-// Sends the signal, and waits until the process has taken it.
+// Sends the signal and waits until it is no longer pending.
 void SignalAndWait(pid_t process, int signal) {
   kill(process, signal);
-  Until([&] {
-    const std::string status = Text("/proc/" + std::to_string(process) + "/status");
+  WaitUntil([&] {
+    const std::string status = ReadFile("/proc/" + std::to_string(process) + "/status");
     const size_t at = status.find("ShdPnd:\t");
     return at != std::string::npos &&
            (std::stoull(status.substr(at + 8), nullptr, 16) >> (signal - 1) & 1U) == 0;
@@ -518,200 +522,204 @@
 
 }  // namespace
 
-TEST_CASE("an heir that is told to end before it serves leaves the door to the old process, and ends") {
+TEST_CASE("a successor that gets SIGTERM before it serves leaves the listener to the old process, and ends") {
   Platform platform;
   Peer server;
-  ScriptedOld old(platform, server, [](pid_t heir) { SignalAndWait(heir, SIGTERM); });
-  Program heir(SiteText(Entry("s-1", server.port)), {"serve"}, nullptr, platform.world());
-  REQUIRE(heir.EndsUnread());
-  CHECK(heir.Wait() == 0);
+  ScriptedPredecessor old(platform, server, [](pid_t successor) { SignalAndWait(successor, SIGTERM); });
+  Program successor(AdminConfigText(Entry("s-1", server.port)), {"serve"}, nullptr, platform.environment());
+  REQUIRE(successor.ExitsWithoutReader());
+  CHECK(successor.Wait() == 0);
   old.Join();
-  CHECK_FALSE(old.took_door());
+  CHECK_FALSE(old.successor_serves());
 }
 
-TEST_CASE("SIGHUP while a process awaits its estate: it begins at the discovery that the file now names") {
+TEST_CASE(
+    "SIGHUP while a process waits for the hand-over state: it starts with the discovery that the file now "
+    "names") {
   Platform platform;
   Peer server, before, now;
   Setup setup = {.known = Entry("s-1", server.port), .discovery = before.port};
   const TextFile file(ConfigText(setup));
   setup.discovery = now.port;
-  ScriptedOld old(platform, server, [&](pid_t heir) {
+  ScriptedPredecessor old(platform, server, [&](pid_t successor) {
     file.Write(ConfigText(setup));
-    SignalAndWait(heir, SIGHUP);
-    if (!Readable(now.fd(), 300)) return;  // as it should be: it has nothing yet that could take a list
+    SignalAndWait(successor, SIGHUP);
+    if (!Readable(now.fd(), 300)) return;  // expected: it can't receive a list yet
     Link call = now.Accept();
     call.Read();
     call.TryWrite(Ok(List(2, true, Entry("s-1", server.port))));
     call.Read();
   });
-  World world = platform.world();
-  world.variables["PROXY_CONFIG"] = file.path;
-  Program heir("", {"serve"}, nullptr, world);
+  ChildEnvironment environment = platform.environment();
+  environment.variables["PROXY_CONFIG"] = file.path;
+  Program successor("", {"serve"}, nullptr, environment);
   old.Join();
-  CHECK(old.took_door());
+  CHECK(old.successor_serves());
   Link call = now.Accept();
-  // Versions may differ there: the whole list.
+  // List versions may differ there, so the complete list is requested.
   CHECK(call.Read().starts_with("GET /discovery/hosts HTTP/1.1\r\n"));
   call.Write(Ok(List(2, true, Entry("s-1", server.port))));
   CHECK(call.Read().starts_with("GET /discovery/hosts?index=2&wait="));
-  CHECK_FALSE(before.Called());
-  Link client = Link::To(platform.door.port);
-  CHECK(Served(client, server, "t1").ends_with("fine"));
-  CHECK(heir.Wait(SIGTERM) == 0);
+  CHECK_FALSE(before.HasPendingConnection());
+  Link client = Link::To(platform.listener.port);
+  CHECK(ServeQuery(client, server, "t1").ends_with("fine"));
+  CHECK(successor.Wait(SIGTERM) == 0);
 }
 
-TEST_CASE("links on their way are taken also where the old process ended with words of the heir's unread") {
+TEST_CASE("links in transit are taken even if the old process ended with unread messages of the successor") {
   Platform platform;
   Peer server, elsewhere;
-  ScriptedOld old(platform, server);
-  Program heir(SiteText(Entry("s-1", server.port)), {"serve"}, nullptr, platform.world());
+  ScriptedPredecessor old(platform, server);
+  Program successor(AdminConfigText(Entry("s-1", server.port)), {"serve"}, nullptr, platform.environment());
   old.Join();
-  REQUIRE(old.took_door());
-  REQUIRE(Tell(heir.admin, "/nodes/s-1/maint") == 200);  // told to the old one, which does not read it
-  REQUIRE(Tell(heir.admin, "/nodes/s-1/ready") == 200);
+  REQUIRE(old.successor_serves());
+  // The call is forwarded to the old process, which does not read it.
+  REQUIRE(PostCall(successor.admin, "/nodes/s-1/maint") == 200);
+  REQUIRE(PostCall(successor.admin, "/nodes/s-1/ready") == 200);
   Link client = Link::To(elsewhere.port);
-  heir.Signal(SIGSTOP);
+  successor.Signal(SIGSTOP);
   siginfo_t info{};
-  REQUIRE(waitid(P_PID, static_cast<id_t>(heir.pid()), &info, WSTOPPED | WNOWAIT) == 0);
+  REQUIRE(waitid(P_PID, static_cast<id_t>(successor.pid()), &info, WSTOPPED | WNOWAIT) == 0);
   {
     const Link accepted = elsewhere.Accept();
     old.Pass(accepted, {true, 0, "GET /look?user=1 HTTP/1.1\r\n"});
   }
   old.End();
-  heir.Signal(SIGCONT);
+  successor.Signal(SIGCONT);
   client.Write("X-Trace-Id: t1\r\n\r\n");
-  REQUIRE(Readable(server.fd(), kPatience * 1000));
+  REQUIRE(Readable(server.fd(), kTimeoutSeconds * 1000));
   Link link = server.Accept();
   CHECK(link.Read().find("X-Trace-Id: t1\r\n") != std::string::npos);
   link.Write(Ok("fine"));
   CHECK(client.Read().ends_with("fine"));
-  CHECK(heir.Wait(SIGTERM) == 0);
+  CHECK(successor.Wait(SIGTERM) == 0);
 }
 
-TEST_CASE("a drain by hand during a hand-over holds where the door is taken back, and its end does too") {
+TEST_CASE(
+    "a manual drain that begins or ends during a hand-over is retained when the listener is taken back") {
   Platform platform;
   Peer server;
-  Program old(SiteText(Entry("s-1", server.port)), {"serve"}, nullptr, platform.world());
+  Program old(AdminConfigText(Entry("s-1", server.port)), {"serve"}, nullptr, platform.environment());
   const auto taken_back_after = [&](const std::function<void(const Descriptor&)>& during) {
-    Link busy = Link::To(platform.door.port);  // keeps the old one there
+    Link busy = Link::To(platform.listener.port);  // keeps the old process running
     busy.Write(Get("t"));
-    Link at_work = server.Accept();
-    at_work.Read();
+    Link open_attempt = server.Accept();
+    open_attempt.Read();
     old.output.clear();
     {
-      const Descriptor heir = Claimed(platform);
-      Say(heir, "S");
-      CHECK(Says(old, "handed over"));
-      during(heir);
+      const Descriptor successor = ClaimListener(platform);
+      SendMessage(successor, "S");
+      CHECK(WaitForLog(old, "handed over"));
+      during(successor);
     }
-    CHECK(Says(old, "this one serves again"));
-    at_work.Write(Ok("owed", "Connection: close\r\n"));
+    CHECK(WaitForLog(old, "this one serves again"));
+    open_attempt.Write(Ok("owed", "Connection: close\r\n"));
     CHECK(busy.Read().ends_with("owed"));
-    return Up(platform.door.port);
+    return UpStatus(platform.listener.port);
   };
-  // Told at its own second address, then by the heir, whom operators told.
-  CHECK(taken_back_after([&](const Descriptor&) { CHECK(Tell(old.admin, "/healthcheck/fail") == 200); }) ==
-        503);
-  CHECK(taken_back_after([&](const Descriptor&) { CHECK(Tell(old.admin, "/healthcheck/ok") == 200); }) ==
+  // First through its own admin address, then through the successor.
+  CHECK(taken_back_after(
+            [&](const Descriptor&) { CHECK(PostCall(old.admin, "/healthcheck/fail") == 200); }) == 503);
+  CHECK(taken_back_after([&](const Descriptor&) { CHECK(PostCall(old.admin, "/healthcheck/ok") == 200); }) ==
         200);
-  CHECK(taken_back_after([&](const Descriptor& heir) { Say(heir, "A"), TwoTurns(old); }) == 503);
-  CHECK(taken_back_after([&](const Descriptor& heir) { Say(heir, "W"), TwoTurns(old); }) == 200);
+  CHECK(taken_back_after(
+            [&](const Descriptor& successor) { SendMessage(successor, "A"), WaitTwoTurns(old); }) == 503);
+  CHECK(taken_back_after(
+            [&](const Descriptor& successor) { SendMessage(successor, "W"), WaitTwoTurns(old); }) == 200);
   CHECK(old.Wait(SIGTERM) == 0);
 }
 
-TEST_CASE("an heir that is drained by hand tells the process before it") {
+TEST_CASE("a successor that is drained manually notifies the old process") {
   Platform platform;
   Peer server;
-  ScriptedOld old(platform, server);
-  Program heir(SiteText(Entry("s-1", server.port)), {"serve"}, nullptr, platform.world());
+  ScriptedPredecessor old(platform, server);
+  Program successor(AdminConfigText(Entry("s-1", server.port)), {"serve"}, nullptr, platform.environment());
   old.Join();
-  REQUIRE(old.took_door());
-  REQUIRE(Tell(heir.admin, "/healthcheck/fail") == 200);
-  CHECK(old.HearHeir() == "A");
-  REQUIRE(Tell(heir.admin, "/healthcheck/ok") == 200);
-  CHECK(old.HearHeir() == "W");
-  CHECK(heir.Wait(SIGTERM) == 0);
+  REQUIRE(old.successor_serves());
+  REQUIRE(PostCall(successor.admin, "/healthcheck/fail") == 200);
+  CHECK(old.ReceiveFromSuccessor() == "A");
+  REQUIRE(PostCall(successor.admin, "/healthcheck/ok") == 200);
+  CHECK(old.ReceiveFromSuccessor() == "W");
+  CHECK(successor.Wait(SIGTERM) == 0);
 }
 
-TEST_CASE("a process that is told to end ends, also where its heir takes none of its links") {
+TEST_CASE("a process ends after SIGTERM even if its successor takes none of its links") {
   Platform platform;
   Peer server;
   const Setup setup = {.known = Entry("s-1", server.port), .sockets = 8192, .admin = "127.0.0.1:0"};
-  Program old(ConfigText(setup), {"serve"}, nullptr, platform.world());
-  std::vector<Link> links;  // more than the system holds on their way
+  Program old(ConfigText(setup), {"serve"}, nullptr, platform.environment());
+  std::vector<Link> links;  // more than the kernel can hold in transit
   for (int i = 0; i < 500; ++i) {
-    links.push_back(Link::To(platform.door.port));
+    links.push_back(Link::To(platform.listener.port));
     links.back().Write("GET /up HTTP/1.1\r\n\r\n");
     REQUIRE(links.back().Read().find("Connection: close") == std::string::npos);
   }
-  const Descriptor heir = Claimed(platform);
-  Say(heir, "S");
-  CHECK(Says(old, "handed over"));
+  const Descriptor successor = ClaimListener(platform);
+  SendMessage(successor, "S");
+  CHECK(WaitForLog(old, "handed over"));
   old.Signal(SIGTERM);
-  REQUIRE(old.EndsUnread());
+  REQUIRE(old.ExitsWithoutReader());
   CHECK(old.Wait() == 0);
 }
 
 // ---- A successor that dies before it holds what it was given ---------------------------------------------
 //
-// Clients saw that nobody answered at all after an upgrade whose new process died early. The old one ended
-// once its last connection was written to the channel; nothing said that the new one had taken it. Where that
-// one died in between, the listener had nobody, and the connections were gone. Seen under the sanitizers,
-// where the window is wide: killed at the messages oL and oU of hT oZ hS oU oL oL oL oU oQ, the old process
-// was a zombie with exit code 0, and had not been told to end. In Release the scripted successor below makes
-// it happen each time. Now the old process asks, and ends once the new one says that it holds the listener
-// and all connections.
+// These tests guard against the loss of the listener and of all connections when the successor dies early. An
+// old process that ends once its last connection is written to the channel leaves no process behind if the
+// successor dies before it has taken that connection (at the messages oL and oU of hT oZ hS oU oL oL oL oU
+// oQ). The old process therefore asks its successor, and ends only after the answer that it holds the
+// listener and all connections.
 
 namespace {
 
-constexpr int kQuietLinks = 3;
+constexpr int kIdleLinks = 3;
 
-std::vector<Link> QuietLinks(const Platform& platform, Peer& server) {
+std::vector<Link> OpenIdleLinks(const Platform& platform, Peer& server) {
   std::vector<Link> links;
-  for (int i = 0; i < kQuietLinks; ++i) {
-    links.push_back(Link::To(platform.door.port));
-    CHECK(Served(links.back(), server, Numbered("quiet-", i)).ends_with("fine"));
+  for (int i = 0; i < kIdleLinks; ++i) {
+    links.push_back(Link::To(platform.listener.port));
+    CHECK(ServeQuery(links.back(), server, Numbered("quiet-", i)).ends_with("fine"));
   }
   return links;
 }
 
-// A scripted successor that has the listener, and says that it answers C.
+// A scripted successor that serves and has announced that it answers the message C.
 Descriptor Serving(const Platform& platform, Program& old) {
-  Descriptor successor = Claimed(platform);
-  Say(successor, "SC");
-  CHECK(Says(old, "handed over"));
+  Descriptor successor = ClaimListener(platform);
+  SendMessage(successor, "SC");
+  CHECK(WaitForLog(old, "handed over"));
   return successor;
 }
 
-// Reads on until it is asked what it holds.
-bool IsAsked(const Descriptor& successor) {
-  std::string message = Hear(successor);
-  while (!message.empty() && message != "C") message = Hear(successor);
+// Reads until the message C, which asks what it holds.
+bool ReceivesHoldQuery(const Descriptor& successor) {
+  std::string message = ReceiveMessage(successor);
+  while (!message.empty() && message != "C") message = ReceiveMessage(successor);
   return message == "C";
 }
 
 }  // namespace
 
-TEST_CASE("a successor that dies at any message, unread, leaves the listener to the old process") {
+TEST_CASE("a successor that dies after any number of messages leaves the listener to the old process") {
   for (const bool by_hand : {false, true}) {
     for (int messages = 0; messages <= 6; ++messages) {
       INFO("read " << messages << " messages, drained by hand: " << by_hand);
       Platform platform;
       Peer server;
-      const std::string config = SiteText(Entry("s-1", server.port));
-      Program old(config, {"serve"}, nullptr, platform.world());
-      const std::vector<Link> quiet = QuietLinks(platform, server);
-      if (by_hand) REQUIRE(Tell(old.admin, "/healthcheck/fail") == 200);
+      const std::string config = AdminConfigText(Entry("s-1", server.port));
+      Program old(config, {"serve"}, nullptr, platform.environment());
+      const std::vector<Link> idle_links = OpenIdleLinks(platform, server);
+      if (by_hand) REQUIRE(PostCall(old.admin, "/healthcheck/fail") == 200);
       {
         const Descriptor successor = Serving(platform, old);
-        for (int i = 0; i < messages; ++i) CHECK_FALSE(Hear(successor).empty());
+        for (int i = 0; i < messages; ++i) CHECK_FALSE(ReceiveMessage(successor).empty());
       }
-      REQUIRE(Says(old, "this one serves again"));
-      CHECK(Up(platform.door.port) == (by_hand ? 503 : 200));
-      Link client = Link::To(platform.door.port);
-      CHECK(Served(client, server, "after").ends_with("fine"));
-      // A second upgrade, and the old process ends by itself.
-      Program next(config, {"serve"}, nullptr, platform.world());
+      REQUIRE(WaitForLog(old, "this one serves again"));
+      CHECK(UpStatus(platform.listener.port) == (by_hand ? 503 : 200));
+      Link client = Link::To(platform.listener.port);
+      CHECK(ServeQuery(client, server, "after").ends_with("fine"));
+      // After a second upgrade the old process ends without a signal.
+      Program next(config, {"serve"}, nullptr, platform.environment());
       CHECK(next.output.find("took over") != std::string::npos);
       CHECK(old.Wait() == 0);
       CHECK(next.Wait(SIGTERM) == 0);
@@ -719,43 +727,44 @@
   }
 }
 
-TEST_CASE("the old process ends once its successor says that it holds all connections, and no sooner") {
+TEST_CASE("the old process ends only once its successor confirms that it holds all connections") {
   Platform platform;
   Peer server;
-  Program old(SiteText(Entry("s-1", server.port)), {"serve"}, nullptr, platform.world());
+  Program old(AdminConfigText(Entry("s-1", server.port)), {"serve"}, nullptr, platform.environment());
   {
-    const std::vector<Link> quiet = QuietLinks(platform, server);
+    const std::vector<Link> idle_links = OpenIdleLinks(platform, server);
     const Descriptor successor = Serving(platform, old);
-    REQUIRE(IsAsked(successor));
-    Say(successor, Pack('K', Held{kQuietLinks - 1}));
-    TwoTurns(old);
+    REQUIRE(ReceivesHoldQuery(successor));
+    SendMessage(successor, Pack('K', Held{kIdleLinks - 1}));
+    WaitTwoTurns(old);
   }
-  REQUIRE(Says(old, "this one serves again, without 1 client links"));
-  const std::vector<Link> quiet = QuietLinks(platform, server);
+  REQUIRE(WaitForLog(old, "this one serves again, without 1 client links"));
+  const std::vector<Link> idle_links = OpenIdleLinks(platform, server);
   const Descriptor successor = Serving(platform, old);
-  REQUIRE(IsAsked(successor));
-  Say(successor, Pack('K', Held{kQuietLinks}));
+  REQUIRE(ReceivesHoldQuery(successor));
+  SendMessage(successor, Pack('K', Held{kIdleLinks}));
   CHECK(old.Wait() == 0);
 }
 
-TEST_CASE("an old process that is told to end waits for its successor's word no longer than a drain lasts") {
+TEST_CASE(
+    "after SIGTERM the old process waits for its successor's confirmation no longer than a drain lasts") {
   Platform platform;
   Peer server;
-  Program old(SiteText(Entry("s-1", server.port)), {"serve"}, nullptr, platform.world());
-  const std::vector<Link> quiet = QuietLinks(platform, server);
+  Program old(AdminConfigText(Entry("s-1", server.port)), {"serve"}, nullptr, platform.environment());
+  const std::vector<Link> idle_links = OpenIdleLinks(platform, server);
   const Descriptor successor = Serving(platform, old);
-  REQUIRE(IsAsked(successor));
+  REQUIRE(ReceivesHoldQuery(successor));
   old.Signal(SIGTERM);
-  REQUIRE(old.EndsUnread());
+  REQUIRE(old.ExitsWithoutReader());
   CHECK(old.Wait() == 0);
 }
 
 TEST_CASE("a successor of an earlier version, which is not asked, ends the old process as before") {
   Platform platform;
   Peer server;
-  Program old(SiteText(Entry("s-1", server.port)), {"serve"}, nullptr, platform.world());
-  const Descriptor successor = Claimed(platform);
-  Say(successor, "S");
+  Program old(AdminConfigText(Entry("s-1", server.port)), {"serve"}, nullptr, platform.environment());
+  const Descriptor successor = ClaimListener(platform);
+  SendMessage(successor, "S");
   CHECK(old.Wait() == 0);
 }
 
--- a/tests/start/start_test.cpp
+++ b/tests/start/start_test.cpp
@@ -15,7 +15,7 @@
   bool written() const { return std::filesystem::exists(file(0)) || std::filesystem::exists(file(1)); }
   std::string path() const { return std::filesystem::exists(file(1)) ? file(1) : file(0); }
 
-  Folder folder;
+  TempFolder folder;
   TextFile settings;
 };
 
@@ -27,7 +27,7 @@
   watch.Read();
   watch.Write(Ok(List(2, true, entries)));
   watch.Read();
-  REQUIRE(Until([&] { return kept.written(); }));
+  REQUIRE(WaitUntil([&] { return kept.written(); }));
   CHECK(program.Wait(SIGTERM) == 0);
 }
 
@@ -46,7 +46,7 @@
   CHECK(program.output.find("starts from a saved list: 1 nodes, version 2, ") != std::string::npos);
   CHECK(program.output.find("start: older_list") == std::string::npos);  // it is told once it serves
   Link client = Link::To(program.port);
-  CHECK(Served(client, server, "t1").ends_with("fine"));
+  CHECK(ServeQuery(client, server, "t1").ends_with("fine"));
   CHECK(program.Wait(SIGTERM) == 0);
   CHECK(program.output.find("start: older_list") != std::string::npos);
 }
@@ -61,14 +61,14 @@
   watch.Write(Ok(List(1, true, Entry("s-2", now.port))));  // an older version, of a service that came back
   watch.Read();
   Link client = Link::To(program.port);
-  CHECK(Served(client, now, "t1").ends_with("fine"));
+  CHECK(ServeQuery(client, now, "t1").ends_with("fine"));
 }
 
 TEST_CASE("a saved list that is damaged, foreign, or too old is refused by name, and the start goes on") {
   Kept kept;
   Peer server;
   Hear(kept, Entry("s-1", server.port));
-  const std::string path = kept.path(), good = Text(path);
+  const std::string path = kept.path(), good = ReadFile(path);
   const auto refused = [&](const std::string& text, const std::string& why) {
     std::ofstream(path) << text;
     Program program(ConfigText({.deadline = 1000000}), kept.words());
@@ -102,15 +102,15 @@
     watch.Read();
     watch.Write(Ok(List(2, true, Entry("s-1", server.port))));
     watch.Read();
-    REQUIRE(Until([&] { return kept.written(); }));
+    REQUIRE(WaitUntil([&] { return kept.written(); }));
     watch.Write(Ok(List(3, false, Entry("s-2", server.port))));
     watch.Read();
-    REQUIRE(Until(
+    REQUIRE(WaitUntil(
         [&] { return std::filesystem::exists(kept.file(0)) && std::filesystem::exists(kept.file(1)); }));
     CHECK(program.Wait(SIGKILL) == -1);
   }
   std::string why;
-  const auto number = [&](int i) { return start::ReadSavedList(Text(kept.file(i)), why)->number; };
+  const auto number = [&](int i) { return start::ReadSavedList(ReadFile(kept.file(i)), why)->number; };
   const int newer = number(0) > number(1) ? 0 : 1;
   std::filesystem::resize_file(kept.file(newer), 50);
   Program program(ConfigText({}), kept.words());
@@ -132,7 +132,7 @@
   REQUIRE(told != std::string::npos);
   CHECK(program.output.rfind(kept.folder.path, told) != std::string::npos);
   Link client = Link::To(program.port);
-  CHECK(Served(client, server, "t1").ends_with("fine"));
+  CHECK(ServeQuery(client, server, "t1").ends_with("fine"));
 }
 
 TEST_CASE("a process that is killed and started again says so, and one that ended in order does not") {
@@ -153,28 +153,28 @@
 
 TEST_CASE("the heir of an upgrade counts its lists on from those that it finds") {
   Kept kept("write_every_s = 0.5\n");
-  Folder shared;
+  TempFolder shared;
   Peer door, discovery, server;
-  const World world = {.variables = {{"TMPDIR", shared.path}, {"PROXY_PASSED_SOCKET", "5"}},
-                       .passed = door.fd()};
+  const ChildEnvironment environment = {.variables = {{"TMPDIR", shared.path}, {"PROXY_PASSED_SOCKET", "5"}},
+                                        .passed = door.fd()};
   const std::string config = ConfigText({.discovery = discovery.port});
-  Program old(config, kept.words(), nullptr, world);
+  Program old(config, kept.words(), nullptr, environment);
   Link watch = discovery.Accept();
   watch.Read();
   watch.Write(Ok(List(2, true, Entry("s-1", server.port))));
   watch.Read();
-  REQUIRE(Until([&] { return kept.written(); }));
+  REQUIRE(WaitUntil([&] { return kept.written(); }));
   std::string why;
-  const uint64_t before = start::ReadSavedList(Text(kept.path()), why)->number;
-  Program heir(config, kept.words(), nullptr, world);
+  const uint64_t before = start::ReadSavedList(ReadFile(kept.path()), why)->number;
+  Program heir(config, kept.words(), nullptr, environment);
   CHECK(heir.output.find("took over") != std::string::npos);
   Link again = discovery.Accept();
   again.Read();
   again.Write(Ok(List(3, true, Entry("s-1", server.port) + "," + Entry("s-2", server.port))));
-  REQUIRE(
-      Until([&] { return std::filesystem::exists(kept.file(0)) && std::filesystem::exists(kept.file(1)); }));
-  const uint64_t one = start::ReadSavedList(Text(kept.file(0)), why)->number;
-  const uint64_t two = start::ReadSavedList(Text(kept.file(1)), why)->number;
+  REQUIRE(WaitUntil(
+      [&] { return std::filesystem::exists(kept.file(0)) && std::filesystem::exists(kept.file(1)); }));
+  const uint64_t one = start::ReadSavedList(ReadFile(kept.file(0)), why)->number;
+  const uint64_t two = start::ReadSavedList(ReadFile(kept.file(1)), why)->number;
   CHECK(std::max(one, two) > before);
 }
 
@@ -225,7 +225,7 @@
   watch.Write(Ok(List(2, true, Entry("s-1", server.port))));
   watch.Read();
   Link client = Link::To(program.port);
-  CHECK(Served(client, server, "t1").ends_with("fine"));
+  CHECK(ServeQuery(client, server, "t1").ends_with("fine"));
   CHECK(program.Wait(SIGTERM) == 0);
 }
 
--- a/tests/stories/log_test.cpp
+++ b/tests/stories/log_test.cpp
@@ -1,4 +1,4 @@
-// The log: its table of events and the page made from it, its two forms, and a standard error that is full.
+// Tests of the log: its table of events, the page made from it, both formats, and a full standard error.
 #include "observe/log.h"
 
 #include <fcntl.h>
@@ -52,8 +52,8 @@
   return lines;
 }
 
-// A log whose lines go into a pipe, at a time that stands still.
-struct Piped {
+// A log that writes into a pipe, with a constant clock.
+struct PipedLog {
   class Clock final : public Scheduler {
    public:
     Micros Now() const override { return 1717000000123456; }
@@ -61,7 +61,7 @@
    private:
     void Poll(Micros) override {}
   };
-  explicit Piped(LogFormat format, int bytes = 65536) {
+  explicit PipedLog(LogFormat format, int bytes = 65536) {
     int ends[2];
     REQUIRE(pipe(ends) == 0);
     in = Descriptor(ends[0]);
@@ -70,7 +70,7 @@
     outlet.emplace(clock, WriteTo(out.get()));
     log.emplace(clock, *outlet, format, counters);
   }
-  std::string Heard() {  // what has come so far
+  std::string ReadAvailable() {  // without waiting
     std::string text;
     char piece[4096];
     while (Readable(in.get(), 0))
@@ -84,7 +84,7 @@
   std::optional<Log> log;
 };
 
-// Its fields are those of the table, in order, and of the types that it names.
+// Checks that the line has the fields of the table, in their order and with their types.
 void CheckShape(const ordered_json& line) {
   CAPTURE(line.dump());
   const size_t at = EventAt(events::kAll, line.at("event").get<std::string>());
@@ -106,7 +106,7 @@
 
 }  // namespace
 
-TEST_CASE("the page of events is what the table says, and the table is sound") {
+TEST_CASE("the page of events matches the table, and the table is valid") {
   if (std::getenv("BURLFALL_WRITE_PAGES") != nullptr) std::ofstream(kPage) << PageOfEvents();
   std::ifstream page(kPage);
   CHECK(std::string(std::istreambuf_iterator<char>(page), {}) == PageOfEvents());
@@ -126,61 +126,60 @@
 }
 
 TEST_CASE("an event is one line of text, or one of JSON at the machine's time") {
-  Piped text(LogFormat::kText), json(LogFormat::kJson);
-  const std::string odd = "a \"b\\\n\x01 \xc3\xbc";
-  for (Piped* piped : {&text, &json}) {
-    piped->log->Tell<"serving">("n1", "127.0.0.1:9000");
-    piped->log->Tell<"config_read">("");
-    piped->log->Tell<"list_heard">(41u, 12u, 0u, 2u, 0u, 1u);
-    piped->log->Tell<"config_kept">(odd);
-    piped->log->Tell<"config_kept">(odd + "\xff");
-    piped->log->Tell<"capture_busy">();
+  PipedLog text(LogFormat::kText), json(LogFormat::kJson);
+  const std::string special_text = "a \"b\\\n\x01 \xc3\xbc";
+  for (PipedLog* piped_log : {&text, &json}) {
+    piped_log->log->Tell<"serving">("n1", "127.0.0.1:9000");
+    piped_log->log->Tell<"config_read">("");
+    piped_log->log->Tell<"list_heard">(41u, 12u, 0u, 2u, 0u, 1u);
+    piped_log->log->Tell<"config_kept">(special_text);
+    piped_log->log->Tell<"config_kept">(special_text + "\xff");
+    piped_log->log->Tell<"capture_busy">();
   }
-  CHECK(text.Heard() ==
+  CHECK(text.ReadAvailable() ==
         "burlfall: n1 serves at 127.0.0.1:9000\n"
         "burlfall: configuration read anew\n"
         "burlfall: discovery: list 41, 12 servers ready, 2 removed, 1 restarted\n"
         "burlfall: configuration kept as it was: a \"b\\   \xc3\xbc\n"
         "burlfall: configuration kept as it was: a \"b\\   \xc3\xbc\xff\n"
         "burlfall: capture: still writing what was asked for before\n");
-  const std::vector<std::string> lines = LinesOf(json.Heard());
+  const std::vector<std::string> lines = LinesOf(json.ReadAvailable());
   REQUIRE(lines.size() == 6);
   CHECK(lines[0] == R"({"event":"serving","name":"n1","address":"127.0.0.1:9000",)"
                     R"("level":"info","t":1717000000123})");
   for (const std::string& line : lines) CheckShape(ordered_json::parse(line));
-  CHECK(ordered_json::parse(lines[3]).at("why") == odd);
+  CHECK(ordered_json::parse(lines[3]).at("why") == special_text);
   CHECK(lines[4].find(R"(\u00c3\u00bc\u00ff")") != std::string::npos);
 }
 
-TEST_CASE("lines that find no room are counted, and told of once there is some") {
-  Piped piped(LogFormat::kJson, 4096);
-  constexpr int kTold = 400;
-  for (int i = 0; i < kTold; ++i) piped.log->Tell<"config_kept">(std::string(100, 'x'));
-  const uint64_t dropped = piped.counters.log_dropped;
+TEST_CASE("lines that do not fit are counted, and reported once there is room") {
+  PipedLog piped_log(LogFormat::kJson, 4096);
+  constexpr int kEvents = 400;
+  for (int i = 0; i < kEvents; ++i) piped_log.log->Tell<"config_kept">(std::string(100, 'x'));
+  const uint64_t dropped = piped_log.counters.log_dropped;
   CHECK(dropped > 0);
-  CHECK(piped.counters.Text().ends_with(" log_dropped=" + std::to_string(dropped)));
-  std::string heard = piped.Heard();
-  for (std::string more = heard; !more.empty(); heard += more) {
-    piped.outlet->Flush();
-    more = piped.Heard();
+  CHECK(piped_log.counters.Text().ends_with(" log_dropped=" + std::to_string(dropped)));
+  std::string received = piped_log.ReadAvailable();
+  for (std::string more = received; !more.empty(); received += more) {
+    piped_log.outlet->Flush();
+    more = piped_log.ReadAvailable();
   }
-  piped.log->Tell<"capture_busy">();
-  const std::vector<std::string> lines = LinesOf(heard + piped.Heard());
-  CHECK(lines.size() + dropped == kTold + 2);
+  piped_log.log->Tell<"capture_busy">();
+  const std::vector<std::string> lines = LinesOf(received + piped_log.ReadAvailable());
+  CHECK(lines.size() + dropped == kEvents + 2);
   CHECK(ordered_json::parse(lines.back()).at("event") == "log_dropped");
   CHECK(ordered_json::parse(lines.back()).at("lines") == dropped);
-  piped.log->Tell<"capture_busy">();
-  CHECK(LinesOf(piped.Heard()).size() == 1);  // and told once
-  CHECK(piped.counters.log_dropped == dropped);
+  piped_log.log->Tell<"capture_busy">();
+  CHECK(LinesOf(piped_log.ReadAvailable()).size() == 1);  // reported only once
+  CHECK(piped_log.counters.log_dropped == dropped);
 
   signal(SIGPIPE, SIG_IGN);
-  piped.in = Descriptor();  // nobody is there any more: every line is lost, and none of them makes another
-  for (int i = 0; i < 5; ++i) piped.log->Tell<"capture_busy">();
-  CHECK(piped.counters.log_dropped == dropped + 5);
+  piped_log.in = Descriptor();  // no reader: every line is lost, and none causes another
+  for (int i = 0; i < 5; ++i) piped_log.log->Tell<"capture_busy">();
+  CHECK(piped_log.counters.log_dropped == dropped + 5);
 }
 
-TEST_CASE(
-    "with --log-format json each event is one JSON line, and the program's life can be read from them") {
+TEST_CASE("with --log-format json each event is one JSON line, from the start of the program to its end") {
   Peer server, discovery;
   TextFile blocked("a file, where a folder should be");
   TextFile properties("capture.dir = ./" + blocked.path + "\n");
@@ -199,19 +198,19 @@
   call.Write(Ok(List(8, false, Entry("s-2", 1, "Terminating"))));
   CHECK(call.Read().find("index=8&") != std::string::npos);
   program.Signal(SIGHUP);
-  auto hear = [&program](const std::string& what) {
+  auto read_until = [&program](const std::string& what) {
     while (program.output.find(what) == std::string::npos) {
-      const std::string line = program.AnyLine();
+      const std::string line = program.ReadLine();
       REQUIRE_FALSE(line.empty());
       program.output += line;
     }
   };
-  hear("properties_read");
-  hear(R"("list_heard","version":8)");
+  read_until("properties_read");
+  read_until(R"("list_heard","version":8)");
   program.Configure("{");
   properties.Write("no");
   program.Signal(SIGHUP);
-  hear("properties_kept");
+  read_until("properties_kept");
   program.Signal(SIGUSR1);
   CHECK(program.Wait(SIGTERM) == 0);
   std::map<std::string, ordered_json> events;
@@ -229,7 +228,7 @@
   CHECK(events.at("starting").at("known") == 1);
   CHECK(events.at("starting").at("features") == "capture");
   CHECK(events.at("list_back").at("calls") == 1);
-  CHECK(events.at("list_heard").at("servers") == 1);  // the last: it sums up what followed the first
+  CHECK(events.at("list_heard").at("servers") == 1);  // the last event summarizes the updates after the first
   CHECK(events.at("list_heard").at("draining") == 1);
   CHECK(events.at("config_read").at("waits") == "");
   CHECK(events.contains("config_kept"));
@@ -238,18 +237,18 @@
   CHECK(events.at("counters").at("phase") == 4);
 }
 
-TEST_CASE("descriptors that run short are told of at the edges alone") {
+TEST_CASE("a shortage of descriptors is logged only when it begins and ends") {
   Program program(ConfigText({.sockets = 64}));
-  std::vector<Link> quiet;
-  for (int i = 0; i < 30; ++i) quiet.push_back(Link::To(program.port));
-  CHECK(program.Line().starts_with("burlfall: descriptors run short: "));
-  for (Link& link : quiet) CHECK(link.Ended());  // as all that say nothing do
-  CHECK(program.Line().starts_with("burlfall: descriptors suffice again: "));
+  std::vector<Link> idle_links;
+  for (int i = 0; i < 30; ++i) idle_links.push_back(Link::To(program.port));
+  CHECK(program.ReadLineExceptDiscovery().starts_with("burlfall: descriptors run short: "));
+  for (Link& link : idle_links) CHECK(link.Ended());  // as all links without a query do
+  CHECK(program.ReadLineExceptDiscovery().starts_with("burlfall: descriptors suffice again: "));
   CHECK(program.Wait(SIGTERM) == 0);
   CHECK(program.output.find("descriptors run short") == std::string::npos);
 }
 
-TEST_CASE("a log that nobody reads stalls no query, and what it lost is counted and told in the end") {
+TEST_CASE("an unread log stalls no query, and lost lines are counted and reported in the end") {
   Peer server;
   Program program(ConfigText({.known = Entry("s-1", server.port)}), {"serve", "--log-format", "json"});
   REQUIRE(fcntl(program.fd(), F_SETPIPE_SZ, 4096) == 4096);
@@ -268,8 +267,8 @@
   }
   const size_t at = counters.find("log_dropped=");
   REQUIRE(at != std::string::npos);
-  std::string line;  // without a further event to be told: what was held comes, and then the sum
-  while ((line = program.AnyLine()).find("log_dropped") == std::string::npos) {
+  std::string line;  // without a further event: the buffered lines, then the number of lost ones
+  while ((line = program.ReadLine()).find("log_dropped") == std::string::npos) {
     REQUIRE(ordered_json::accept(line));
   }
   CHECK(ordered_json::parse(line).at("lines") >= std::stol(counters.substr(at + 12)));
--- a/tests/stories/peers.h
+++ b/tests/stories/peers.h
@@ -1,6 +1,6 @@
-// Scripted peers for the stories: the program itself as a child, and blocking sockets on loopback around it.
-// Their descriptors stay out of the child: a listener that it held would never refuse. Every wait ends after
-// kPatience, which is long: it is only there for a program that is broken.
+// Scripted peers for tests: the program as a child process, and blocking sockets on loopback around it. The
+// child does not inherit their descriptors, because a listener that it held would never refuse a connection.
+// Every wait ends after kTimeoutSeconds, which only a faulty program reaches.
 #ifndef BURLFALL_TESTS_STORIES_PEERS_H_
 #define BURLFALL_TESTS_STORIES_PEERS_H_
 
@@ -30,7 +30,7 @@
 
 namespace burlfall {
 
-constexpr int kPatience = 15;  // seconds
+constexpr int kTimeoutSeconds = 15;
 
 inline sockaddr_in Loopback(uint16_t port) {
   sockaddr_in at{};
@@ -49,8 +49,8 @@
 class Link {
  public:
   explicit Link(Descriptor fd) : fd_(std::move(fd)) {
-    timeval patience{kPatience, 0};
-    setsockopt(fd_.get(), SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+    timeval timeout{kTimeoutSeconds, 0};
+    setsockopt(fd_.get(), SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
   }
   static Link To(uint16_t port) {
     Descriptor fd(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
@@ -62,20 +62,21 @@
     REQUIRE(send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size()));
   }
   void TryWrite(const std::string& bytes) { send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL); }
-  // One message, with its body where Content-Length tells of one; empty where the link ended first.
+  // Reads one message, with its body if it has a Content-Length. Empty: the link ended first.
   std::string Read() {
     std::string message;
-    size_t want = std::string::npos;
+    size_t expected_size = std::string::npos;
     char c;
-    while (message.size() < want && recv(fd_.get(), &c, 1, 0) == 1) {
+    while (message.size() < expected_size && recv(fd_.get(), &c, 1, 0) == 1) {
       message += c;
-      if (want != std::string::npos || !message.ends_with("\r\n\r\n")) continue;
+      if (expected_size != std::string::npos || !message.ends_with("\r\n\r\n")) continue;
       size_t length = message.find("Content-Length: ");
-      want = message.size() + (length == std::string::npos ? 0 : std::stoul(message.substr(length + 16)));
+      expected_size =
+          message.size() + (length == std::string::npos ? 0 : std::stoul(message.substr(length + 16)));
     }
     return message;
   }
-  bool Ended() {  // the other side has closed; whatever comes first is dropped
+  bool Ended() {  // waits until the other side has closed; drops what it sends before
     char c;
     ssize_t n;
     while ((n = recv(fd_.get(), &c, 1, 0)) == 1) continue;
@@ -83,17 +84,17 @@
   }
   int fd() const { return fd_.get(); }
   void Close() { fd_ = Descriptor(); }
-  void Pour(const std::string& head) {  // until the link ends, or for kPatience
+  void SendUntilClosed(const std::string& head) {  // for at most kTimeoutSeconds
     Write(head);
     const std::string piece(65536, 'x');
-    auto until = std::chrono::steady_clock::now() + std::chrono::seconds(kPatience);
+    auto until = std::chrono::steady_clock::now() + std::chrono::seconds(kTimeoutSeconds);
     while (std::chrono::steady_clock::now() < until &&
            send(fd_.get(), piece.data(), piece.size(), MSG_NOSIGNAL) > 0) {
     }
   }
   void Reset() {
-    linger now{1, 0};
-    setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
+    linger abort_on_close{1, 0};
+    setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &abort_on_close, sizeof abort_on_close);
     Close();
   }
 
@@ -101,7 +102,7 @@
   Descriptor fd_;
 };
 
-// Something that listens: a server or discovery.
+// A listening peer: a server or discovery.
 class Peer {
  public:
   Peer() : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
@@ -113,16 +114,16 @@
     port = ntohs(at.sin_port);
   }
   Link Accept() {
-    REQUIRE(Readable(fd_.get(), kPatience * 1000));
+    REQUIRE(Readable(fd_.get(), kTimeoutSeconds * 1000));
     return Link(Descriptor(accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC)));
   }
   int fd() const { return fd_.get(); }
-  bool Called() const { return Readable(fd_.get(), 0); }  // a connection waits
+  bool HasPendingConnection() const { return Readable(fd_.get(), 0); }  // a connection can be accepted
   void Close() { fd_ = Descriptor(); }
-  // The one of two that is called first.
-  static Peer& Called(Peer& a, Peer& b) {
+  // Waits for a connection to either of the two; returns the peer that has one.
+  static Peer& FirstContacted(Peer& a, Peer& b) {
     std::array<pollfd, 2> both = {pollfd{a.fd_.get(), POLLIN, 0}, pollfd{b.fd_.get(), POLLIN, 0}};
-    REQUIRE(poll(both.data(), 2, kPatience * 1000) >= 1);
+    REQUIRE(poll(both.data(), 2, kTimeoutSeconds * 1000) >= 1);
     return both[0].revents != 0 ? a : b;
   }
   uint16_t port = 0;
@@ -156,11 +157,11 @@
   int sockets = 1024;
   int connect_timeout = 1000000;
   int keepalive = 10000000;
-  std::string admin = {};  // empty: no second address
+  std::string admin = {};  // empty: no admin address
   int memory_mb = 192;
   int open_cap = 20000;
   int deadline = 10000000;
-  int window = 60000000;  // in which servers drop repeats of `pay`
+  int window = 60000000;  // us, in which servers drop repeats of `pay`
   int must_ask = 10000000;
 };
 
@@ -186,7 +187,7 @@
          std::to_string(setup.must_ask) + "}}}";
 }
 
-// A file for as long as the test runs.
+// A temporary file that is removed with the object.
 class TextFile {
  public:
   explicit TextFile(const std::string& text = "") { Write(text); }
@@ -197,57 +198,57 @@
     std::ifstream file(path);
     return {std::istreambuf_iterator<char>(file), {}};
   }
-  const std::string path = "burlfall_test_" + std::to_string(getpid()) + "_" + std::to_string(++Made());
+  const std::string path = "burlfall_test_" + std::to_string(getpid()) + "_" + std::to_string(++FileCount());
 
  private:
-  static int& Made() {
-    static int made = 0;
-    return made;
+  static int& FileCount() {
+    static int count = 0;
+    return count;
   }
 };
 
-// What the child finds beside the configuration.
-struct World {
+// The child's environment besides the configuration.
+struct ChildEnvironment {
   std::map<std::string, std::string> variables = {};
-  int passed = -1;  // a descriptor that it inherits as number 5
+  int passed = -1;  // a descriptor that it inherits as descriptor 5
 };
 
-// The program, as its operators start it.
+// The program as a child process, started as operators start it.
 class Program {
  public:
-  explicit Program(const std::string& config, std::vector<std::string> words = {"serve"},
-                   const char* discovery = nullptr, const World& world = {}) {
+  explicit Program(const std::string& config, std::vector<std::string> arguments = {"serve"},
+                   const char* discovery = nullptr, const ChildEnvironment& environment = {}) {
     Configure(config);
-    int ends[2];
-    REQUIRE(pipe(ends) == 0);
+    int pipe_ends[2];
+    REQUIRE(pipe(pipe_ends) == 0);
     pid_ = fork();
     REQUIRE(pid_ >= 0);
     if (pid_ == 0) {
-      dup2(ends[1], 1);
-      dup2(ends[1], 2);
-      close(ends[0]);
-      close(ends[1]);
+      dup2(pipe_ends[1], 1);
+      dup2(pipe_ends[1], 2);
+      close(pipe_ends[0]);
+      close(pipe_ends[1]);
       setenv("PROXY_CONFIG", path_.c_str(), 1);
       if (discovery) setenv("PROXY_DISCOVERY", discovery, 1);
-      for (const auto& [name, value] : world.variables) setenv(name.c_str(), value.c_str(), 1);
-      if (world.passed == 5) fcntl(5, F_SETFD, 0);  // dup2() would leave it to close
-      if (world.passed >= 0) dup2(world.passed, 5);
+      for (const auto& [name, value] : environment.variables) setenv(name.c_str(), value.c_str(), 1);
+      if (environment.passed == 5) fcntl(5, F_SETFD, 0);  // dup2() to itself would keep FD_CLOEXEC
+      if (environment.passed >= 0) dup2(environment.passed, 5);
       std::vector<char*> args = {const_cast<char*>(BURLFALL)};
-      for (std::string& word : words) args.push_back(word.data());
+      for (std::string& argument : arguments) args.push_back(argument.data());
       args.push_back(nullptr);
       execv(BURLFALL, args.data());
       _exit(127);
     }
-    close(ends[1]);
-    out_ = Descriptor(ends[0]);
-    for (std::string line = Line(); !line.empty(); line = Line()) {
+    close(pipe_ends[1]);
+    out_ = Descriptor(pipe_ends[0]);
+    for (std::string line = ReadLineExceptDiscovery(); !line.empty(); line = ReadLineExceptDiscovery()) {
       output += line;
       if (line.find("serves at") == std::string::npos && !line.starts_with(R"({"event":"serving")")) continue;
       port = PortIn(line);
       break;
     }
-    const size_t heard = output.find("operators are heard at");
-    if (heard != std::string::npos) admin = PortIn(output.substr(heard));
+    const size_t admin_line = output.find("operators are heard at");
+    if (admin_line != std::string::npos) admin = PortIn(output.substr(admin_line));
   }
   Program(const Program&) = delete;
   ~Program() {
@@ -256,21 +257,22 @@
   }
   void Configure(const std::string& config) const { std::ofstream(path_) << config; }
   void Signal(int signal) const { kill(pid_, signal); }
-  int fd() const { return out_.get(); }  // what it writes
+  int fd() const { return out_.get(); }  // its standard output and standard error
   long Descriptors() const {
     std::filesystem::directory_iterator all("/proc/" + std::to_string(pid_) + "/fd");
     return std::distance(begin(all), end(all));
   }
-  // Its exit code, or -1 where it crashed; `output` is then whole.
+  // Sends the signal, if any, reads all `output`, and returns the exit code; -1 if a signal ended the
+  // process.
   int Wait(int signal = 0) {
     if (signal != 0) Signal(signal);
-    for (std::string line; !(line = AnyLine()).empty();) output += line;
+    for (std::string line; !(line = ReadLine()).empty();) output += line;
     int status = 0;
     waitpid(std::exchange(pid_, -1), &status, 0);
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
   }
-  bool EndsUnread() const {  // without anybody reading what it writes
-    for (int i = 0; i < kPatience * 100; ++i) {
+  bool ExitsWithoutReader() const {  // waits for its end without reading its output
+    for (int i = 0; i < kTimeoutSeconds * 100; ++i) {
       siginfo_t info{};
       if (waitid(P_PID, static_cast<id_t>(pid_), &info, WEXITED | WNOHANG | WNOWAIT) == 0 &&
           info.si_pid != 0) {
@@ -280,19 +282,20 @@
     }
     return false;
   }
-  // The next line that a story can wait for: what the log says of discovery comes when it comes.
-  std::string Line() {
-    std::string line = AnyLine();
+  // The next line, without those about discovery, which appear at unpredictable times.
+  std::string ReadLineExceptDiscovery() {
+    std::string line = ReadLine();
     while (line.starts_with("burlfall: discovery: ")) {
       output += line;
-      line = AnyLine();
+      line = ReadLine();
     }
     return line;
   }
-  std::string AnyLine() {
+  std::string ReadLine() {
     std::string line;
     char c;
-    while (!line.ends_with('\n') && Readable(out_.get(), kPatience * 1000) && read(out_.get(), &c, 1) == 1) {
+    while (!line.ends_with('\n') && Readable(out_.get(), kTimeoutSeconds * 1000) &&
+           read(out_.get(), &c, 1) == 1) {
       line += c;
     }
     return line;
@@ -306,12 +309,13 @@
   static uint16_t PortIn(const std::string& line) {
     return static_cast<uint16_t>(std::stoul(line.substr(line.find("127.0.0.1:") + 10)));
   }
-  static int& Made() {
-    static int made = 0;
-    return made;
+  static int& FileCount() {
+    static int count = 0;
+    return count;
   }
 
-  std::string path_ = "burlfall_test_" + std::to_string(getpid()) + "_" + std::to_string(++Made()) + ".json";
+  std::string path_ =
+      "burlfall_test_" + std::to_string(getpid()) + "_" + std::to_string(++FileCount()) + ".json";
   pid_t pid_ = -1;
   Descriptor out_;
 };
--- a/tests/stories/restart_test.cpp
+++ b/tests/stories/restart_test.cpp
@@ -1,5 +1,5 @@
-// Planned restarts: clients go on sending on every connection that stays open, while nodes hang just then.
-// Each query that was taken has one answer; the program's own counts and the clients' must tell the same.
+// Planned restarts: clients continue to send on every connection that stays open, while nodes hang. Each
+// query that was taken gets one answer, and the program's counters agree with those of the clients.
 #include <atomic>
 #include <map>
 #include <sstream>
@@ -10,20 +10,20 @@
 namespace burlfall {
 namespace {
 
-// Answers whatever comes, on any number of links, until it is ended; or takes it and says nothing.
+// Answers every query, on any number of links; or, if it hangs, accepts links and does not answer.
 class Node {
  public:
   explicit Node(bool hangs) : hangs_(hangs), thread_([this] { Run(); }) {}
   ~Node() {
-    over_ = true;
+    stopping_ = true;
     thread_.join();
   }
-  std::string Listed(const std::string& id) const { return Entry(id, peer_.port); }
+  std::string ListEntry(const std::string& id) const { return Entry(id, peer_.port); }
 
  private:
   void Run() {
     std::vector<Link> links;
-    while (!over_) {
+    while (!stopping_) {
       std::vector<pollfd> all = {{peer_.fd(), POLLIN, 0}};
       for (const Link& link : links) all.push_back({link.fd(), POLLIN, 0});
       poll(all.data(), all.size(), 20);
@@ -41,29 +41,29 @@
 
   Peer peer_;
   const bool hangs_;
-  std::atomic<bool> over_ = false;
+  std::atomic<bool> stopping_ = false;
   std::thread thread_;
 };
 
-// What a client saw on one link until it ended.
-struct Seen {
+// What a client counted on one link until that ended.
+struct ClientCounts {
   int answers = 0;
-  int unanswered = 0;  // sent, and the link ended instead: the program may have closed it before it read this
+  int unanswered = 0;  // sent, but the link ended: the program may have closed it before reading the query
 };
 
-Seen SendOn(Link link, int number, bool unsafe) {
-  Seen seen;
+ClientCounts SendUntilClosed(Link link, int number, bool unsafe) {
+  ClientCounts counts;
   for (int i = 0;; ++i) {
     const std::string trace =
         std::string("r").append(std::to_string(number)).append("x").append(std::to_string(i));
     link.TryWrite(unsafe ? Post("open", trace, "now") : Get(trace));
     const std::string answer = link.Read();
     if (answer.empty()) {
-      seen.unanswered = 1;
-      return seen;
+      counts.unanswered = 1;
+      return counts;
     }
-    ++seen.answers;
-    if (answer.find("Connection: close") != std::string::npos) return seen;
+    ++counts.answers;
+    if (answer.find("Connection: close") != std::string::npos) return counts;
   }
 }
 
@@ -81,68 +81,66 @@
 void Restart(int deadline_us) {
   Node good(false), silent(true);
   Program program(
-      ConfigText({.known = good.Listed("s-1") + "," + silent.Listed("s-2"), .deadline = deadline_us}));
+      ConfigText({.known = good.ListEntry("s-1") + "," + silent.ListEntry("s-2"), .deadline = deadline_us}));
   constexpr int kLinks = 16;
-  std::vector<Seen> seen(kLinks);
+  std::vector<ClientCounts> counts(kLinks);
   std::vector<std::thread> clients;
   std::atomic<int> answered = 0;
   for (int i = 0; i < kLinks; ++i) {
     clients.emplace_back([&, i, link = Link::To(program.port)]() mutable {
       link.TryWrite(Get("first" + std::to_string(i)));
-      seen[i].answers = link.Read().empty() ? 0 : 1;
+      counts[i].answers = link.Read().empty() ? 0 : 1;
       ++answered;
-      const Seen rest = SendOn(std::move(link), i, i % 4 == 0);
-      seen[i].answers += rest.answers;
-      seen[i].unanswered += rest.unanswered;
+      const ClientCounts rest = SendUntilClosed(std::move(link), i, i % 4 == 0);
+      counts[i].answers += rest.answers;
+      counts[i].unanswered += rest.unanswered;
     });
   }
   while (answered < kLinks) std::this_thread::yield();
   program.Signal(SIGTERM);
   for (std::thread& client : clients) client.join();
   REQUIRE(program.Wait() == 0);
-  std::map<std::string, int> counted = Counters(program.output);
+  std::map<std::string, int> reported = Counters(program.output);
   int answers = 0, unanswered = 0;
-  for (const Seen& one : seen) answers += one.answers, unanswered += one.unanswered;
+  for (const ClientCounts& one : counts) answers += one.answers, unanswered += one.unanswered;
   INFO(program.output);
-  CHECK(counted["taken"] > kLinks);
-  CHECK(counted["left"] == 0);  // no client left, and none was lost as one that did
-  CHECK(counted["taken"] == counted["served"] + counted["throttled"] + counted["failed"]);
-  // A query that crossed the close of its link was never taken.
-  CHECK(answers == counted["taken"] + counted["bad"]);
+  CHECK(reported["taken"] > kLinks);
+  CHECK(reported["left"] == 0);  // no client left, and no query was counted as if one had
+  CHECK(reported["taken"] == reported["served"] + reported["throttled"] + reported["failed"]);
+  // A query that was sent while its link was being closed was never taken.
+  CHECK(answers == reported["taken"] + reported["bad"]);
   CHECK(unanswered <= kLinks);
 }
 
 }  // namespace
 
-TEST_CASE("restart: each query on a link that stays open has its answer, while nodes hang") {
-  Restart(600000);
-}
+TEST_CASE("restart: each query on a link that stays open is answered, while nodes hang") { Restart(600000); }
 
-TEST_CASE("restart: the same where deadlines are short") { Restart(60000); }
+TEST_CASE("restart: each query is answered, while nodes hang and deadlines are short") { Restart(60000); }
 
-// The first word to end counts, and its time; a file is read in any phase.
-TEST_CASE("restart: further signals while it drains and closes change nothing of its end") {
+// Only the first shutdown request and its time count. Files are reloaded in any phase.
+TEST_CASE("restart: further signals while draining and closing do not change the shutdown") {
   Node silent(true);
-  Program program(ConfigText({.known = silent.Listed("s-1"), .deadline = 2000000}));
-  Link owed = Link::To(program.port);
-  owed.Write(Get("t1"));
+  Program program(ConfigText({.known = silent.ListEntry("s-1"), .deadline = 2000000}));
+  Link open_query = Link::To(program.port);
+  open_query.Write(Get("t1"));
   program.Signal(SIGUSR1);
-  CHECK(program.Line().find("taken=1") != std::string::npos);
+  CHECK(program.ReadLineExceptDiscovery().find("taken=1") != std::string::npos);
   program.Signal(SIGTERM);
-  CHECK(program.Line().starts_with("burlfall: draining: "));
-  program.Configure("{");  // half written
+  CHECK(program.ReadLineExceptDiscovery().starts_with("burlfall: draining: "));
+  program.Configure("{");  // truncated
   program.Signal(SIGHUP);
-  CHECK(program.Line().starts_with("burlfall: configuration kept as it was: "));
+  CHECK(program.ReadLineExceptDiscovery().starts_with("burlfall: configuration kept as it was: "));
   program.Signal(SIGTERM);
   program.Signal(SIGINT);
-  CHECK(program.Line().starts_with("burlfall: closing: "));
-  program.Configure(ConfigText({.known = silent.Listed("s-1"), .deadline = 2000000}));
+  CHECK(program.ReadLineExceptDiscovery().starts_with("burlfall: closing: "));
+  program.Configure(ConfigText({.known = silent.ListEntry("s-1"), .deadline = 2000000}));
   program.Signal(SIGHUP);
-  CHECK(program.Line() == "burlfall: configuration read anew\n");
+  CHECK(program.ReadLineExceptDiscovery() == "burlfall: configuration read anew\n");
   program.Signal(SIGTERM);
-  CHECK_FALSE(owed.Read().empty());  // answered, though its node never does
+  CHECK_FALSE(open_query.Read().empty());  // answered, although its node never answers
   CHECK(program.Wait() == 0);
-  CHECK(program.output.find("draining") == std::string::npos);  // not again
+  CHECK(program.output.find("draining") == std::string::npos);  // not logged again
 }
 
 }  // namespace burlfall
--- a/tests/stories/stories_test.cpp
+++ b/tests/stories/stories_test.cpp
@@ -1,4 +1,4 @@
-// Stories of the network code: the program between scripted peers, one for each thing that must not go wrong.
+// Tests of the network code: the program between scripted peers.
 #define CATCH_CONFIG_MAIN
 #include <thread>
 
@@ -35,15 +35,15 @@
   CHECK(link.Read().ends_with("\r\n\r\nmore"));
   link.Write("HTTP/1.1 102 Wait\r\n\r\n" + Ok("second"));
   CHECK(client.Read().ends_with("second"));
-  CHECK_FALSE(server.Called());
+  CHECK_FALSE(server.HasPendingConnection());
 }
 
-TEST_CASE("an unsafe query that was turned away or could not connect goes to another host") {
+TEST_CASE("an unsafe query that was refused or could not connect goes to another host") {
   Peer one, two;
   Program program(ConfigText({.known = Entry("s-1", one.port) + "," + Entry("s-2", two.port)}));
   Link client = Link::To(program.port);
   client.Write(Post("open", "t1", "x"));
-  Peer& a = Peer::Called(one, two);
+  Peer& a = Peer::FirstContacted(one, two);
   Peer& b = &a == &one ? two : one;
   Link link = a.Accept();
   CHECK(link.Read().ends_with("x"));
@@ -53,7 +53,7 @@
   next.Write(Ok("done", "Connection: close\r\n"));
   CHECK(client.Read().ends_with("done"));
   CHECK(next.Ended());
-  b.Close();  // what is sent there now is refused
+  b.Close();  // connections to it are now refused
   link.Close();
   for (int i = 0; i < 4; ++i) {
     CAPTURE(i);
@@ -73,13 +73,13 @@
                              "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort"}) {
     Link client = Link::To(program.port);
     client.Write(Post("open", "t", "x"));
-    Link link = Peer::Called(one, two).Accept();
+    Link link = Peer::FirstContacted(one, two).Accept();
     CHECK(link.Read().ends_with("x"));
     link.Write(answer);
     link.Close();
     CHECK(client.Read().starts_with("HTTP/1.1 502 "));
-    CHECK_FALSE(one.Called());
-    CHECK_FALSE(two.Called());
+    CHECK_FALSE(one.HasPendingConnection());
+    CHECK_FALSE(two.HasPendingConnection());
   }
 }
 
@@ -100,8 +100,7 @@
   CHECK(client.Read().ends_with("two"));
 }
 
-TEST_CASE(
-    "links that servers reset after an idle time are not used again after so long, but sooner they are") {
+TEST_CASE("if a server resets links after an idle time, links are reused only when idle for less than that") {
   Peer server;
   Program program(ConfigText({.known = Entry("s-1", server.port)}));
   Link client = Link::To(program.port);
@@ -112,14 +111,14 @@
     return link;
   };
   std::string query = "first";
-  for (int i = 0; i < 12 && !query.empty(); ++i) {  // more than three where this machine is slow to reset
+  for (int i = 0; i < 12 && !query.empty(); ++i) {  // more than three if this machine is slow to reset
     client.Write(Post("open", "a", "x"));
     Link link = served(server.Accept());
     client.Write(Post("open", "s", "x"));
-    link = served(std::move(link));                               // at once: used again
-    std::this_thread::sleep_for(std::chrono::milliseconds(300));  // the idle time itself
+    link = served(std::move(link));                               // immediately: the link is reused
+    std::this_thread::sleep_for(std::chrono::milliseconds(300));  // idle time of the link
     client.Write(Post("open", "b", "x"));
-    query = link.Read();  // empty: the link was closed and another is made
+    query = link.Read();  // empty: the link was closed and a new one is opened
     if (query.empty()) {
       served(server.Accept());
     } else {
@@ -142,7 +141,7 @@
   CHECK(link.Ended());
 }
 
-TEST_CASE("when the client leaves, its attempt is abandoned and nothing else suffers") {
+TEST_CASE("when the client leaves, its attempt is abandoned and other queries are not affected") {
   Peer server;
   Program program(ConfigText({.known = Entry("s-1", server.port)}));
   Link client = Link::To(program.port);
@@ -159,7 +158,7 @@
   CHECK(other.Read().ends_with("still here"));
 }
 
-TEST_CASE("a silent server's query is answered at its give-up time, with word when to come back") {
+TEST_CASE("a query to a silent server is answered at its give-up time, with Retry-After") {
   Peer server;
   Program program(ConfigText({.known = Entry("s-1", server.port)}));
   Link client = Link::To(program.port);
@@ -172,11 +171,11 @@
   CHECK(answer.find("Retry-After: 1.500\r\n") != std::string::npos);
   CHECK(std::chrono::steady_clock::now() - began >= std::chrono::milliseconds(1690));
   CHECK(link.Ended());
-  client.Write(Get("t2", "X-Expires-In: 0m\r\n"));  // nothing is left: throttled at once
+  client.Write(Get("t2", "X-Expires-In: 0m\r\n"));  // no time is left: throttled at once
   CHECK(client.Read().starts_with("HTTP/1.1 503 "));
 }
 
-TEST_CASE("what comes while a query runs is the next query, and is not lost") {
+TEST_CASE("bytes that arrive while a query runs belong to the next query and are not lost") {
   Peer server;
   Program program(ConfigText({.known = Entry("s-1", server.port)}));
   Link client = Link::To(program.port);
@@ -193,7 +192,7 @@
   CHECK(client.Read().ends_with("two"));
 }
 
-TEST_CASE("bad queries get their status and hurt nobody") {
+TEST_CASE("invalid queries get their status and affect no others") {
   Peer server;
   Program program(ConfigText({.known = Entry("s-1", server.port)}));
   const std::vector<std::pair<std::string, std::string>> cases = {
@@ -208,9 +207,9 @@
       {"POST /open HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", "413"},
       {"GET /" + std::string(20000, 'x'), "413"},
       {"GET /look HTTP/1.1\r\n\r\n", "400"},   // no trace id
-      {"GET /other HTTP/1.1\r\n\r\n", "404"},  // nor a class
+      {"GET /other HTTP/1.1\r\n\r\n", "404"},  // no class either
       {"GET / HTTP/1.1\r\nX-Trace-Id: t\r\n\r\n", "404"},
-      {"GET /other HTTP/1.1\r\nX-Trace-Id: t\r\n\r\n", "502"},  // failed by the module
+      {"GET /other HTTP/1.1\r\nX-Trace-Id: t\r\n\r\n", "502"},  // failed by the decision module
       {"GET /up HTTP/1.1\r\n\r\n", "200"},
       {"GET /counters HTTP/1.0\r\n\r\n", "200"},
   };
@@ -220,7 +219,7 @@
     client.Write(bytes);
     CHECK(client.Read().substr(9, 3) == status);
   }
-  Link client = Link::To(program.port);  // odd headers mean what their absence does
+  Link client = Link::To(program.port);  // headers with invalid values are ignored
   client.Write(Get("t", "X-Expires-In: soon\r\nX-Customer: nobody\r\nX-Size-Hint: \xff\r\n"));
   Link link = server.Accept();
   link.Read();
@@ -229,15 +228,17 @@
 }
 
 TEST_CASE(
-    "a client that sends half a query, or pours on after its error, is ended soon and holds up nobody") {
+    "a client that sends half a query, or goes on sending after its error, is closed soon and delays no "
+    "other") {
   Peer server;
   Program program(ConfigText({.known = Entry("s-1", server.port)}));
   auto began = std::chrono::steady_clock::now();
   Link half = Link::To(program.port);
   half.Write("POST /open HTTP/1.1\r\nX-Trace-Id: t\r\nContent-Length: 50\r\n\r\nhalf");
   Link pouring = Link::To(program.port);
-  std::thread pour(
-      [&] { pouring.Pour("POST /open HTTP/1.1\r\nX-Trace-Id: u\r\nContent-Length: 99000000000\r\n\r\n"); });
+  std::thread pour([&] {
+    pouring.SendUntilClosed("POST /open HTTP/1.1\r\nX-Trace-Id: u\r\nContent-Length: 99000000000\r\n\r\n");
+  });
   Link other = Link::To(program.port);
   other.Write(Get("t1"));
   Link link = server.Accept();
@@ -246,7 +247,7 @@
   CHECK(other.Read().ends_with("served"));
   CHECK(half.Read().starts_with("HTTP/1.1 408 "));
   CHECK(half.Ended());
-  pour.join();  // its link has ended, or this would go on
+  pour.join();  // returns once its link has ended
   CHECK(std::chrono::steady_clock::now() - began < std::chrono::seconds(10));
 }
 
@@ -254,8 +255,8 @@
   Peer old, fresh, discovery;
   Program program(ConfigText({.known = Entry("s-1", old.port), .discovery = discovery.port}));
   {
-    Link call = discovery.Accept();  // without waiting for it, queries are served from the list that is known
-    CHECK(call.Read().starts_with("GET /discovery/hosts?index=1&wait="));  // what has changed since is enough
+    Link call = discovery.Accept();  // queries are served from the known list without waiting for it
+    CHECK(call.Read().starts_with("GET /discovery/hosts?index=1&wait="));  // only the changes since then
     Link client = Link::To(program.port);
     client.Write(Get("t1"));
     Link link = old.Accept();
@@ -279,7 +280,7 @@
   call.Write(Ok(List(7, true, Entry("s-1", old.port) + "," + Entry("s-2", fresh.port))));
   CHECK(call.Read().starts_with("GET /discovery/hosts?index=7&wait="));
   call.Write(Ok(List(8, false, Entry("s-1", old.port, "Terminating"))));
-  CHECK(call.Read().starts_with("GET /discovery/hosts?index=8&wait="));  // so it has taken that in
+  CHECK(call.Read().starts_with("GET /discovery/hosts?index=8&wait="));  // so it has applied the update
   for (int i = 0; i < 3; ++i) {
     Link client = Link::To(program.port);
     client.Write(Get("u" + std::to_string(i)));
@@ -288,7 +289,7 @@
     link.Write(Ok("new", "Connection: close\r\n"));
     CHECK(client.Read().ends_with("new"));
   }
-  CHECK_FALSE(old.Called());
+  CHECK_FALSE(old.HasPendingConnection());
 }
 
 TEST_CASE("idle client links make room for new ones, and descriptors never run out") {
@@ -299,11 +300,11 @@
     idle.push_back(Link::To(program.port));
     CHECK(program.Descriptors() <= 64);
   }
-  // While all the others were accepted a moment ago none of them is idle yet, and it may be told to come
-  // back.
+  // None of the others counts as idle yet, because they were accepted a moment ago, so this client may be
+  // told to retry later.
   Link client = Link::To(program.port);
   client.Write(Get("t1"));
-  for (int i = 0; i < 1000 && !server.Called(); ++i) {
+  for (int i = 0; i < 1000 && !server.HasPendingConnection(); ++i) {
     if (!Readable(client.fd(), 10)) continue;
     CHECK(client.Read().starts_with("HTTP/1.1 503 "));
     client = Link::To(program.port);
@@ -316,28 +317,28 @@
   CHECK(idle.front().Ended());
 }
 
-TEST_CASE("hundreds of links that say nothing do not keep out a client for long, and end soon") {
+TEST_CASE("hundreds of links without a query do not exclude a client for long, and are closed soon") {
   Peer server;
   Program program(ConfigText({.known = Entry("s-1", server.port), .sockets = 64}));
   auto began = std::chrono::steady_clock::now();
-  std::vector<Link> quiet;
-  for (int i = 0; i < 600; ++i) quiet.push_back(Link::To(program.port));
+  std::vector<Link> silent_links;
+  for (int i = 0; i < 600; ++i) silent_links.push_back(Link::To(program.port));
   Link client = Link::To(program.port);
   client.Write("GET /up HTTP/1.1\r\n\r\n");
   CHECK(client.Read().starts_with("HTTP/1.1 200 "));
   CHECK(std::chrono::steady_clock::now() - began < std::chrono::seconds(6));
-  for (Link& link : quiet) CHECK(link.Ended());
+  for (Link& link : silent_links) CHECK(link.Ended());
 }
 
-TEST_CASE("links that asked once and stay are closed where clients crowd, before they shut others out") {
+TEST_CASE("idle links are closed when many clients connect, before they exclude others") {
   Peer server;
   Program program(ConfigText({.known = Entry("s-1", server.port), .sockets = 64}));
-  std::vector<Link> kept;
+  std::vector<Link> idle_links;
   std::string answer;
-  for (int i = 0; i < 12; ++i) {  // of the 21 that clients may hold
-    kept.push_back(Link::To(program.port));
-    kept.back().Write("GET /up HTTP/1.1\r\n\r\n");
-    answer = kept.back().Read();
+  for (int i = 0; i < 12; ++i) {  // of the 21 client links that the limit allows
+    idle_links.push_back(Link::To(program.port));
+    idle_links.back().Write("GET /up HTTP/1.1\r\n\r\n");
+    answer = idle_links.back().Read();
     if (i == 0) CHECK(answer.find("Connection: close") == std::string::npos);
   }
   CHECK(answer.find("Connection: close\r\n") != std::string::npos);
@@ -346,10 +347,11 @@
     busy.push_back(Link::To(program.port));
     busy.back().Write(Get("t" + std::to_string(i)));
   }
-  CHECK(kept.front().Ended());
+  CHECK(idle_links.front().Ended());
 }
 
-TEST_CASE("where descriptors run short clients are told, and a link just accepted is not shed for the next") {
+TEST_CASE(
+    "when descriptors are short clients get Connection: close, and a new link is not closed for the next") {
   Peer server;
   Program program(ConfigText({.known = Entry("s-1", server.port), .sockets = 64}));
   std::vector<Link> busy;
@@ -365,19 +367,19 @@
   CHECK(fresh.Read().starts_with("HTTP/1.1 503 "));
 }
 
-TEST_CASE("after SIGTERM it goes on accepting, answers what it owes and exits") {
+TEST_CASE("after SIGTERM it continues to accept, answers the open queries and exits") {
   Peer server;
   Program program(ConfigText({.known = Entry("s-1", server.port)}));
-  Link owed = Link::To(program.port);
-  owed.Write(Get("t1"));
+  Link open_query = Link::To(program.port);
+  open_query.Write(Get("t1"));
   Link link = server.Accept();
   link.Read();
   Link idle = Link::To(program.port);
   program.Signal(SIGUSR1);
-  CHECK(program.Line().find("taken=1 sent=1") != std::string::npos);
+  CHECK(program.ReadLineExceptDiscovery().find("taken=1 sent=1") != std::string::npos);
   program.Signal(SIGTERM);
   std::string down;
-  while (down.find(" 503 ") == std::string::npos) {  // the signal has arrived
+  while (down.find(" 503 ") == std::string::npos) {  // until the signal has arrived
     Link up = Link::To(program.port);
     up.Write("GET /up HTTP/1.1\r\n\r\n");
     down = up.Read();
@@ -391,14 +393,14 @@
   CHECK(answer.ends_with("late"));
   CHECK(answer.find("Connection: close\r\n") != std::string::npos);
   CHECK(late.Ended());
-  CHECK(idle.Ended());  // once it accepts no more
+  CHECK(idle.Ended());  // once it accepts no more connections
   link.Write(Ok("owed"));
-  CHECK(owed.Read().ends_with("owed"));
+  CHECK(open_query.Read().ends_with("owed"));
   CHECK(program.Wait() == 0);
   CHECK(program.output.find("taken=2 sent=2 served=2") != std::string::npos);
 }
 
-TEST_CASE("on SIGHUP the watch moves to the discovery that the file now names, and no query is dropped") {
+TEST_CASE("on SIGHUP the watch moves to the discovery that the file now names, and no query is lost") {
   Peer server, fresh, old, next;
   const Setup first{.known = Entry("s-1", server.port), .discovery = old.port};
   std::string variable = "127.0.0.1:" + std::to_string(old.port);
@@ -407,41 +409,43 @@
   call.Read();
   call.Write(Ok(List(7, true, Entry("s-1", server.port))));
   CHECK(call.Read().starts_with("GET /discovery/hosts?index=7&wait="));  // held
-  Link owed = Link::To(program.port);
-  owed.Write(Get("t1"));
+  Link open_query = Link::To(program.port);
+  open_query.Write(Get("t1"));
   Link link = server.Accept();
   link.Read();
   program.Configure("{");
   program.Signal(SIGHUP);
-  CHECK(program.Line().starts_with("burlfall: configuration kept as it was: "));
+  CHECK(program.ReadLineExceptDiscovery().starts_with("burlfall: configuration kept as it was: "));
   Setup none = first;
-  none.sockets = 0;  // out of range, and so is all of it left unread
+  none.sockets = 0;  // out of range, so the whole file is rejected
   none.discovery = next.port;
   program.Configure(ConfigText(none));
   program.Signal(SIGHUP);
-  CHECK(program.Line().find(": limits.sockets: expected a whole number from 16 ") != std::string::npos);
+  CHECK(program.ReadLineExceptDiscovery().find(": limits.sockets: expected a whole number from 16 ") !=
+        std::string::npos);
   Setup second = first;
   second.discovery = next.port;
   program.Configure(ConfigText(second));
   program.Signal(SIGHUP);
-  CHECK(program.Line() == "burlfall: configuration read anew\n");
+  CHECK(program.ReadLineExceptDiscovery() == "burlfall: configuration read anew\n");
   Link moved = next.Accept();
   CHECK(call.Ended());
-  CHECK(
-      moved.Read().starts_with("GET /discovery/hosts HTTP/1.1\r\n"));  // versions may differ: the whole list
+  CHECK(moved.Read().starts_with(
+      "GET /discovery/hosts HTTP/1.1\r\n"));  // versions may differ: the complete list
   moved.Write(Ok(List(2, true, Entry("s-2", fresh.port))));
   CHECK(moved.Read().starts_with("GET /discovery/hosts?index=2&wait="));
   link.Write(Ok("owed"));
-  CHECK(owed.Read().ends_with("owed"));
-  owed.Write(Get("t2"));
+  CHECK(open_query.Read().ends_with("owed"));
+  open_query.Write(Get("t2"));
   Link other = fresh.Accept();
   other.Read();
   other.Write(Ok("moved"));
-  CHECK(owed.Read().ends_with("moved"));
+  CHECK(open_query.Read().ends_with("moved"));
   second.keepalive = 9000000;
   program.Configure(ConfigText(second));
   program.Signal(SIGHUP);
-  CHECK(program.Line().find("settings change with the next start only") != std::string::npos);
+  CHECK(program.ReadLineExceptDiscovery().find("settings change with the next start only") !=
+        std::string::npos);
   CHECK(program.Wait(SIGTERM) == 0);
 }
 
@@ -462,7 +466,7 @@
   CHECK(settings.open_cap == 7);
 }
 
-TEST_CASE("the smallest limits start and serve, and are the ones that count") {
+TEST_CASE("the program starts and serves with the smallest limits, and keeps to them") {
   Peer server;
   Program program(ConfigText({.known = Entry("s-1", server.port), .sockets = 16, .memory_mb = 1}));
   Link client = Link::To(program.port);
@@ -475,7 +479,7 @@
   CHECK(program.Wait(SIGTERM) == 0);
 }
 
-TEST_CASE("a start that can't be is one plain line and a code, and nothing half started") {
+TEST_CASE("a start that fails prints one line and returns an exit code") {
   const std::string good = ConfigText({.known = Entry("s-1", 1)});
   std::vector<std::string> bad = {"", "{", "{}", "[1]"};
   for (auto [from, to] : std::vector<std::pair<std::string, std::string>>{{"127.0.0.1:0", "here"},
@@ -492,7 +496,7 @@
     CHECK(program.output.starts_with("burlfall: "));
     CHECK(std::count(program.output.begin(), program.output.end(), '\n') == 1);
   }
-  std::string elsewhere = good;  // a sound file, and an address that this machine does not have
+  std::string elsewhere = good;  // a valid file with an address that this machine does not have
   elsewhere.replace(good.find("127.0.0.1:0"), 11, "192.0.2.1:9");
   Program away(elsewhere);
   CHECK(away.Wait() == 1);
@@ -505,8 +509,8 @@
   CHECK(Program(good, {}).Wait() == 2);
 }
 
-// Fails (F57): /up says yes, so the platform sends clients here, while every request of theirs is refused: no
-// node is known, and the list service has not answered yet.
+// Fails (F57): /up returns 200, so the platform sends clients here, but every query of theirs is refused,
+// because no node is known and the list service has not answered yet.
 TEST_CASE("a balancer that knows no node yet and refuses all does not say that it is up") {
   Peer discovery;
   Program program(ConfigText({.discovery = discovery.port}));
@@ -518,22 +522,23 @@
   CHECK(up.Read().starts_with("HTTP/1.1 503"));
 }
 
-// Fails (F53): an attempt that is given up is closed in order, so what the system still holds of its request
-// goes on to the node, which then has it whole and runs it for nobody.
+// Fails (F53): the link of an abandoned attempt is closed in order, so the kernel still sends the buffered
+// rest of the query to the node, which then has the complete query and runs it for no client.
 TEST_CASE("what is given up does not reach its node whole afterwards") {
   Peer server;
-  const int small = 2048;  // bytes that the node's system takes before the node reads: the rest waits here
+  const int small = 2048;  // bytes that the node's kernel buffers before the node reads; the rest waits in
+                           // the program's kernel
   REQUIRE(setsockopt(server.fd(), SOL_SOCKET, SO_RCVBUF, &small, sizeof small) == 0);
   Program program(ConfigText({.known = Entry("s-1", server.port)}));
   const long before = program.Descriptors();
   const std::string request = Post("open", "t1", std::string(40000, 'x'));
   Link client = Link::To(program.port);
   client.Write(request);
-  Link at_work = server.Accept();
+  Link open_attempt = server.Accept();
   client.Close();
-  for (int i = 0; i < kPatience * 100 && program.Descriptors() > before; ++i) poll(nullptr, 0, 10);
-  REQUIRE(program.Descriptors() <= before);  // both connections are given up
-  CHECK_FALSE(at_work.Read().ends_with(std::string(40000, 'x')));
+  for (int i = 0; i < kTimeoutSeconds * 100 && program.Descriptors() > before; ++i) poll(nullptr, 0, 10);
+  REQUIRE(program.Descriptors() <= before);  // both links are closed
+  CHECK_FALSE(open_attempt.Read().ends_with(std::string(40000, 'x')));
 }
 
 }  // namespace burlfall
