--- a/src/serve/program.cpp
+++ b/src/serve/program.cpp
@@ -30,9 +30,9 @@
 constexpr Micros kManualDrainCloseIdleAfter = 600 * kMs;
 constexpr Micros kManualDrainPollInterval = 50 * kMs;
 
-constexpr Micros kHandoverPollInterval =
-    10 * kMs;  // between attempts to pass links that the socket had no room for
-constexpr Micros kSendUseInterval = 100 * kMs;  // descriptors and memory in use, to the successor
+// Between attempts to pass links that the socket had no room for.
+constexpr Micros kHandoverPollInterval = 10 * kMs;
+constexpr Micros kSendUseInterval = 100 * kMs;  // sends descriptors and memory in use to the successor
 
 // Limits on the operators' simultaneous connections, in proportion to the descriptors.
 constexpr size_t kMinOperatorConnections = 8, kMaxOperatorConnections = 32,
--- a/tests/drills/drills_test.cpp
+++ b/tests/drills/drills_test.cpp
@@ -358,8 +358,8 @@
   Descriptor discovery(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   sockaddr_in at = Loopback(0);
   socklen_t length = sizeof at;
-  REQUIRE(bind(discovery.get(), reinterpret_cast<sockaddr*>(&at), sizeof at) ==
-          0);  // refuses, until it listens
+  // Refuses connections until listen() below.
+  REQUIRE(bind(discovery.get(), reinterpret_cast<sockaddr*>(&at), sizeof at) == 0);
   REQUIRE(getsockname(discovery.get(), reinterpret_cast<sockaddr*>(&at), &length) == 0);
   Peer one, two;
   Program program(ConfigText({.known = Entry("s-1", one.port),
@@ -576,11 +576,11 @@
   CHECK(UpStatus(program.port) == 200);
   client.Write("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
   client.Read();
-  const auto log_lines = std::chrono::steady_clock::now();
+  const auto terminated_at = std::chrono::steady_clock::now();
   program.Signal(SIGTERM);
   CHECK(program.ExitsWithoutReader());
-  CHECK(SecondsSince(log_lines) > 0.4);   // connections still arrive
-  CHECK(SecondsSince(log_lines) < 0.75);  // the longest deadline and 0.7 s
+  CHECK(SecondsSince(terminated_at) > 0.4);   // connections still arrive
+  CHECK(SecondsSince(terminated_at) < 0.75);  // the longest deadline and 0.7 s
   CHECK(program.Wait() == 0);
 }
 
--- a/tests/histories/settings_test.cpp
+++ b/tests/histories/settings_test.cpp
@@ -327,9 +327,9 @@
   for (const GroupResult& one : run.verdict.classes) EXPECT_GT(one.outcomes.in_time, 0u) << one.name;
 }
 
-// The list service is down for some seconds, and nodes begin to drain as it returns. Lists the balancers that
-// did not learn of a drain within 6 s, whatever polling interval the settings give and although all balancers
-// ask when it returns.
+// The list service is down for some seconds, and nodes begin to drain as it returns. Each balancer must know
+// of the drains within 6 s, whatever must_ask_s is, although all balancers ask at the return. Returns one
+// line for each balancer and node for which this fails.
 std::string LateDrainNotices(const VirtualRun& run, Micros returns) {
   std::ostringstream late;
   std::istringstream lines(run.history);
@@ -340,8 +340,8 @@
     const nlohmann::json json = nlohmann::json::parse(line);
     const std::string event = json.value("event", "");
     if (event == "up") balancers.insert(json["balancer"].dump());
-    if (json.value("state", "ready") == "ready")
-      continue;  // a draining node without open queries goes at once
+    // Draining or gone: a draining node without open queries is gone at once.
+    if (json.value("state", "ready") == "ready") continue;
     const Micros at = json["at"];
     if (event == "listed") listed.emplace(json["node"].dump(), at);
     if (event == "told") told.emplace(std::pair(json["node"].dump(), json["balancer"].dump()), at);
--- a/tests/stories/stories_test.cpp
+++ b/tests/stories/stories_test.cpp
@@ -526,8 +526,8 @@
 // rest of the query to the node, which then has the complete query and runs it for no client.
 TEST_CASE("what is given up does not reach its node whole afterwards") {
   Peer server;
-  const int small = 2048;  // bytes that the node's kernel buffers before the node reads; the rest waits in
-                           // the program's kernel
+  // Bytes that the node's kernel buffers before the node reads; the rest waits in the program's kernel.
+  const int small = 2048;
   REQUIRE(setsockopt(server.fd(), SOL_SOCKET, SO_RCVBUF, &small, sizeof small) == 0);
   Program program(ConfigText({.known = Entry("s-1", server.port)}));
   const long before = program.Descriptors();
