--- a/src/control/control_call.cpp
+++ b/src/control/control_call.cpp
@@ -41,7 +41,7 @@
   return c >= 'A' && c <= 'F' ? c - 'A' + 10 : -1;
 }
 
-// A path's part as it was meant; nothing where it is no such text.
+// Decodes %XX escapes in a part of a path; nullopt if it is malformed, empty or too long.
 std::optional<std::string> Decode(std::string_view part) {
   std::string out;
   for (size_t i = 0; i < part.size(); ++i) {
--- a/src/control/control_call.h
+++ b/src/control/control_call.h
@@ -1,4 +1,4 @@
-// One call at the second address, as it is read and answered. No I/O.
+// Parses and answers one call at the control address. Performs no I/O.
 #ifndef BURLFALL_CONTROL_CONTROL_CALL_H_
 #define BURLFALL_CONTROL_CONTROL_CALL_H_
 
@@ -10,14 +10,14 @@
 
 namespace burlfall {
 
-// The whole answer to a call that was read whole; the connection closes after it.
+// Returns the complete response to a complete call; the connection closes after it.
 std::string AnswerCall(const HttpMessage& call, Operations& operations);
-// What a call that was read whole would change; nothing where it changes nothing, or can't be carried out as
-// it is written.
+// Returns the change that a complete call requests; nullopt if it changes nothing or can't be carried out as
+// written.
 std::optional<ChangeCall> ChangeOf(const HttpMessage& call);
-// The answer to one that was refused: 409, with when to ask again.
+// Response to a refused change: 409, with Retry-After if a time is known.
 std::string AnswerRefused(const Leave& leave);
-// The answer to what is no whole call: 400, 408, 413 or 431.
+// Response to an incomplete or invalid call: 400, 408, 413 or 431.
 std::string AnswerBad(int status);
 
 }  // namespace burlfall
--- a/src/control/control_front.cpp
+++ b/src/control/control_front.cpp
@@ -10,9 +10,9 @@
 namespace burlfall {
 namespace {
 
-constexpr size_t kMostCallBody = 4096;           // no call has one; a longer one is refused
-constexpr Micros kCallPatience = 3 * kSecond;    // for a whole call
-constexpr Micros kAnswerPatience = 1 * kSecond;  // for the caller to read its answer and go
+constexpr size_t kMostCallBody = 4096;           // calls need no body; a longer one is refused
+constexpr Micros kCallPatience = 3 * kSecond;    // to receive a complete call
+constexpr Micros kAnswerPatience = 1 * kSecond;  // for the caller to read the response and close
 constexpr Micros kAcceptPause = 10 * kMs;
 
 }  // namespace
@@ -45,7 +45,7 @@
       const Listener::Accepted accepted = listener_->Accept(stream);
       none = accepted != Listener::Accepted::kOne;
       if (none) {
-        // No notice tells when there is a descriptor again.
+        // Free descriptors cause no notification, so retry after a pause.
         const bool room = accepted == Listener::Accepted::kNone;
         co_await listener_->Wait(room ? kNever : machine_.Now() + kAcceptPause);
         continue;
@@ -53,13 +53,13 @@
       calls_.push_back(std::make_unique<Call>(std::move(stream)));
       Call& call = *calls_.back();
       call.task = Serve(call);
-      call.task.Start();  // reads at once: a call that came whole is answered before the next is taken
+      call.task.Start();  // reads at once: a call that arrived completely is answered before the next accept
     }
   }
 }
 
-// The oldest goes, and of those that were answered the oldest first. Guards the next call against callers who
-// say nothing, or half a call, and stay.
+// Closes the oldest connection, preferring those that were answered. Keeps callers that send nothing, or an
+// incomplete call, from blocking the next call.
 void ControlFront::MakeRoom() {
   std::erase_if(calls_, [](const auto& call) { return call->over; });
   if (calls_.size() < most_) return;
@@ -67,12 +67,12 @@
   calls_.erase(it != calls_.end() ? it : calls_.begin());
 }
 
-// What is to be answered by now; empty while more has to come.
+// Returns the response that is due; empty while more input is needed.
 std::string ControlFront::Read(Call& call, Parsed parsed) {
   switch (parsed) {
     case Parsed::kMore:
       return "";
-    case Parsed::kDone:  // Serve() has it
+    case Parsed::kDone:  // handled in Serve()
     case Parsed::kBad:
       return AnswerBad(400);
     case Parsed::kHeadComplete:
@@ -82,7 +82,7 @@
   return "";
 }
 
-// A change is asked for first, where balancers decide that together.
+// Executes a call. A change first needs permission, because the balancers coordinate changes.
 Task<std::string> ControlFront::Carry(HttpMessage message) {
   const std::optional<ChangeCall> change = ChangeOf(message);
   if (!change) co_return AnswerCall(message, operations_);
@@ -123,13 +123,13 @@
     const Micros last = machine_.Now() + kAnswerPatience;
     bool written = co_await WriteAll(*call.stream, answer, last);
     if (written) call.stream->Finish();
-    // Until the caller's end: closing over bytes that were not read would reset the connection, and the
-    // answer could be lost.
+    // Reads until the caller closes: closing with unread bytes would reset the connection, and the response
+    // could be lost.
     while (written && machine_.Now() < last) {
       call.in.clear();
       const Io io = call.stream->Read(call.in);
       if (io != Io::kSome && io != Io::kLater) break;
-      // A piece a turn: guards the others against a caller that pours on.
+      // Reads one piece per turn, so that a caller that keeps sending does not starve the others.
       co_await call.stream->Wait(io == Io::kSome ? machine_.Now() : last);
     }
   }
@@ -138,7 +138,7 @@
   bury_.Notify();
 }
 
-// Not at once: a call that is over is still running.
+// Destroys finished calls later, because a call that has just ended is still running.
 Task<> ControlFront::Bury() {
   while (true) {
     co_await bury_.Wait();
--- a/src/control/control_front.h
+++ b/src/control/control_front.h
@@ -1,4 +1,4 @@
-// The second address: where operators tell this process what to do. One call to a connection, HTTP/1.1.
+// The control address, at which operators send commands to this process. One HTTP/1.1 call per connection.
 #ifndef BURLFALL_CONTROL_CONTROL_FRONT_H_
 #define BURLFALL_CONTROL_CONTROL_FRONT_H_
 
@@ -16,8 +16,8 @@
 
 class ControlFront {
  public:
-  // Binds the address; throws std::system_error where that can't be done. It holds at most `most`
-  // connections, beside the listener.
+  // Binds the address; throws std::system_error on failure. Holds at most `most` connections, in addition to
+  // the listener.
   ControlFront(Machine& machine, const Address& at, size_t most, Operations& operations);
   ~ControlFront();
 
@@ -26,7 +26,7 @@
   size_t open() const { return calls_.size(); }
 
  private:
-  // One connection, from its call to its end.
+  // One connection, from its call to its close.
   struct Call {
     explicit Call(std::unique_ptr<Stream> from);
     std::unique_ptr<Stream> stream;
@@ -36,7 +36,7 @@
     bool over = false;
     Task<> task;  // last: what it uses must outlive it
   };
-  using Calls = std::list<std::unique_ptr<Call>>;  // the oldest first
+  using Calls = std::list<std::unique_ptr<Call>>;  // ordered by age, oldest first
 
   Task<> Accept();
   Task<> Serve(Call& call);
--- a/src/control/operations.h
+++ b/src/control/operations.h
@@ -1,5 +1,5 @@
-// What an operator's calls mean. Whoever serves them knows nothing of servers or phases, and whoever carries
-// them out nothing of HTTP.
+// The operations behind an operator's calls. The HTTP side knows nothing of servers or phases; the
+// implementation knows nothing of HTTP.
 #ifndef BURLFALL_CONTROL_OPERATIONS_H_
 #define BURLFALL_CONTROL_OPERATIONS_H_
 
@@ -13,37 +13,38 @@
 namespace burlfall {
 
 enum class Verdict {
-  kDone,     // in force from here on; also where it was so before
-  kUnknown,  // there is no such server, nor was there
-  kNotNow,   // the program is past it: it ends
-  kFailed,   // it could not be kept for the next start; nothing has changed
+  kDone,     // in effect, also if it was before
+  kUnknown,  // no such server was ever listed
+  kNotNow,   // the process is exiting
+  kFailed,   // could not be saved for the next start; nothing has changed
 };
 
-// A call that changes something, as it is asked for before it is carried out.
+// A requested change, before it is carried out.
 struct ChangeCall {
   enum class What { kTakeOut, kPutBack, kStandAside, kComeBack };
   What what = What::kTakeOut;
-  std::string server;  // of the first two
-  std::string by;      // of whoever breaks the glass, or calls it an emergency; with a reason
+  std::string server;  // for kTakeOut and kPutBack
+  std::string by;      // who requests an emergency override; needs a reason
   std::string reason;
 };
 
-// Whether it may begin.
+// Answer to a request for a change.
 struct Leave {
   bool granted = true;
-  std::string why;                 // where not: the error's name, what stands against it, and what to do
-  Micros retry = 0;                // when to ask again; 0: nobody knows
-  uint64_t change = 0, epoch = 0;  // what was granted, for Ended()
+  std::string why;                 // if refused: the error's name, the cause and what to do
+  Micros retry = 0;                // time until a retry is useful; 0: unknown
+  uint64_t change = 0, epoch = 0;  // identifies the permission, for Ended()
 };
 
 class Operations {
  public:
-  virtual bool Serving() const = 0;  // this process can serve; a drain by hand does not change that
+  virtual bool Serving() const = 0;  // this process can serve; a manual drain does not change that
   virtual Verdict TakeOut(std::string_view server) = 0;
   virtual Verdict PutBack(std::string_view server) = 0;
   virtual Verdict StandAside() = 0;
   virtual Verdict ComeBack() = 0;
-  // Asked before each of the four above that comes as a call, and told once that was done.
+  // MayBegin() is called before each of the four changes above that arrives as a call, Ended() once it was
+  // carried out.
   virtual Task<Leave> MayBegin(ChangeCall call) = 0;
   virtual Task<> Ended(Leave leave) = 0;
 
--- a/src/handover/estate.h
+++ b/src/handover/estate.h
@@ -1,20 +1,21 @@
-// What a process that serves leaves to the one that takes its place, and the messages in which it goes. No
+// The state that a serving process hands over to its successor, and the messages that carry it. Performs no
 // I/O.
 //
-// A message is a packet: a letter, then what the letter says. Protocol version 1.
+// A message is one packet: a letter and its content. Protocol version 1.
 //
-//   new to old   T  a claim: version, name
-//                S  the door is open; then the letters of what else it answers, none in earlier versions
-//                K  in answer to C: how many links it has taken
-//   old to new   N  no: why, in plain words
-//                E  a piece of the estate; the last, which may be empty, is Z
-//                L  a link goes along: whether it has asked before, and what was read of its next query
-//                U  in use by this process: descriptors, memory
-//                C  all links are on their way: does the new process hold them?
-//   both ways    O  an operator took a node out: its name, since when
-//                I  an operator put it back
-//                A  drain by hand;  W  back to work
-//                Q  this process ends in order
+//   new to old   T  claim: protocol version, balancer name
+//                S  the successor's listener is open; then the letters of the other messages that it answers
+//                (none in earlier versions)
+//                K  answer to C: how many links it has received
+//   old to new   N  refusal, with the reason as text
+//                E  a part of the state; the last part, which may be empty, is Z
+//                L  a passed link: whether it has sent a query before, and the bytes read of its next query
+//                U  resources in use by this process: descriptors, memory
+//                C  all links have been sent: has the new process received them?
+//   both ways    O  an operator took a node out of service: its name, since when
+//                I  an operator put the node back
+//                A  drain manually;  W  resume
+//                Q  this process exits in order
 #ifndef BURLFALL_HANDOVER_ESTATE_H_
 #define BURLFALL_HANDOVER_ESTATE_H_
 
@@ -43,10 +44,10 @@
 };
 
 struct Estate {
-  std::string settings;  // as JSON: a module takes over only a state of its own settings
-  bool aside = false;    // drained by hand
+  std::string settings;  // as JSON; a module accepts only state written under the same settings
+  bool aside = false;    // drained manually by an operator
   Micros aside_since = 0;
-  uint64_t list = 0;  // version of discovery's list
+  uint64_t list = 0;  // version of the list from discovery
   std::vector<HostRecord> hosts;
   DispatcherState carried;
   void Fields(auto& a) { a(settings, aside, aside_since, list, hosts, carried); }
@@ -54,12 +55,12 @@
 
 struct PassedLink {
   bool asked = false;
-  Micros began = 0;  // when the first bytes of the query that was begun came; 0: none has
+  Micros began = 0;  // when the first bytes of the incomplete query arrived; 0: none has begun
   std::string read;
   void Fields(auto& a) { a(asked, began, read); }
 };
 
-// What the new process has taken, by its own count.
+// Number of links that the new process has received, by its own count.
 struct Held {
   uint64_t links = 0;
   void Fields(auto& a) { a(links); }
@@ -77,7 +78,8 @@
   void Fields(auto& a) { a(name, since); }
 };
 
-// With a sum over all; nothing where it is not whole, or not what was written.
+// Pack() appends a checksum over the content. Unpack() returns nullopt if the content is truncated or
+// corrupted.
 template <typename T>
 std::string Pack(char letter, T what) {
   meadowslip::state::Writer out;
@@ -93,15 +95,15 @@
   return what;
 }
 
-// The packets of an estate, in order.
+// Splits the state into packets, in order.
 std::vector<std::string> Pieces(Estate estate);
 
-// Puts them together again.
+// Reassembles the packets.
 class EstateReader {
  public:
   enum class Read { kMore, kWhole, kBad };
-  Read Take(std::string_view message);  // with its letter, which is E or Z
-  Estate& estate() { return estate_; }  // after kWhole
+  Read Take(std::string_view message);  // the message with its letter, which is E or Z
+  Estate& estate() { return estate_; }  // valid after kWhole
 
  private:
   std::string bytes_;
--- a/src/handover/handover.cpp
+++ b/src/handover/handover.cpp
@@ -5,9 +5,9 @@
 namespace burlfall {
 namespace {
 
-constexpr Micros kClaimPatience = 1500 * kMs;  // for the whole estate
-constexpr Micros kLookAgain = 200 * kMs;       // for an heir whose call found no descriptor here
-constexpr Micros kDoorPatience = 3 * kSecond;  // for an heir to open the door
+constexpr Micros kClaimPatience = 1500 * kMs;  // to receive the complete state
+constexpr Micros kLookAgain = 200 * kMs;       // after an accept that failed for lack of descriptors
+constexpr Micros kDoorPatience = 3 * kSecond;  // for a successor to open its listener
 constexpr char kServesAndAnswers[] = "SC";
 constexpr size_t kMostUnsent = kMostEstate / kMostPiece + 1024;
 
@@ -18,7 +18,7 @@
 
 Handover::~Handover() = default;
 
-// ---- The heir --------------------------------------------------------------------------------------------
+// ---- Successor -------------------------------------------------------------------------------------------
 
 Task<std::optional<Estate>> Handover::Claim() {
   std::optional<Estate> none;
@@ -71,16 +71,17 @@
   await_.Start();
 }
 
-// ---- The one before --------------------------------------------------------------------------------------
+// ---- Predecessor -----------------------------------------------------------------------------------------
 
 Task<> Handover::Await() {
   while (true) {
     std::unique_ptr<Channel> channel = listener_->Accept();
     if (!channel) {
-      co_await listener_->Wait(machine_.Now() + kLookAgain);  // no notice tells when there is room again
+      co_await listener_->Wait(machine_.Now() + kLookAgain);  // free descriptors cause no notification
       continue;
     }
-    // One at a time. An heir that has the door is asked itself; one that came no further makes room.
+    // One successor at a time. A successor that serves accepts claims itself, so a later connection to this
+    // process is dropped. A successor that does not serve yet is replaced.
     if (has_heir()) continue;
     if (heir_) {
       heir_->task = Task<>();
@@ -123,8 +124,8 @@
   return sent;
 }
 
-// Guards against an end of this process over links that nobody has taken out of the channel: with an heir
-// that dies then, nobody would serve.
+// Keeps this process from exiting while passed links are still unread in the channel: if the successor died
+// then, no process would serve them.
 bool Handover::HeirHoldsAll() {
   if (!has_heir() || heir_->broken) return false;
   if (!heir_->answers_held) return true;
@@ -145,7 +146,8 @@
 Task<> Handover::Hear(Other& other, bool heir) {
   const Micros door_until = machine_.Now() + kDoorPatience;
   bool door_kept = false;
-  // In a turn of its own: what comes at once must not end the task that starts this one.
+  // Resumes in a separate scheduler turn: a message that is already there must not end the task that starts
+  // this one.
   co_await other.channel->Wait(machine_.Now());
   while (!other.broken) {
     Flush(other);
@@ -157,7 +159,7 @@
     } else if (io == Io::kLater) {
       const bool waits = heir && other.claimed && !other.serves && !door_kept;
       bool notified = co_await other.channel->Wait(waits ? door_until : kNever);
-      if (!notified) {  // it may still come to serve; until then the door is ours
+      if (!notified) {  // it may still start to serve; until then this process accepts connections
         door_kept = true;
         heritage_.KeepDoor();
       }
@@ -189,8 +191,8 @@
       if (!heir || !other.claimed || other.serves) break;
       other.serves = true;
       other.answers_held = rest.find('C') != std::string_view::npos;
-      await_ = Task<>();  // before what it waits on
-      listener_.reset();  // the path is the heir's
+      await_ = Task<>();  // destroyed before the listener that it waits on
+      listener_.reset();  // the path belongs to the successor
       return heritage_.HandOn();
     case 'L': {
       std::optional<PassedLink> link = Unpack<PassedLink>(rest);
@@ -235,7 +237,7 @@
 
 void Handover::Send(Other& other, std::string message) {
   if (other.broken) return;
-  if (other.unsent.size() >= kMostUnsent) {  // it does not read: it is as good as gone
+  if (other.unsent.size() >= kMostUnsent) {  // the other process does not read; treat it as disconnected
     other.broken = true;
     other.channel->Notify();
     return;
--- a/src/handover/handover.h
+++ b/src/handover/handover.h
@@ -1,5 +1,5 @@
-// The hand-over between two processes of one balancer: the one that serves, and the one that takes its place.
-// Each may be both in turn, the heir of one and the predecessor of the next.
+// Hand-over between two processes of one balancer: the serving process and its successor. A process may be
+// both in turn: the successor of one process and later the predecessor of another.
 #ifndef BURLFALL_HANDOVER_HANDOVER_H_
 #define BURLFALL_HANDOVER_HANDOVER_H_
 
@@ -16,20 +16,22 @@
 
 namespace burlfall {
 
-// What the process does about it. Never called from inside a call to the hand-over.
+// Callbacks to the process. Never called from inside a call to Handover.
 class Heritage {
  public:
-  // To the one before. Nothing where it is past that: `why` says so.
-  virtual std::optional<Estate> GiveUpDoor(std::string& why) = 0;  // accepts nothing from here on
-  virtual void KeepDoor() = 0;                                     // the other one did not come to serve
-  virtual void HandOn() = 0;     // the other one serves: what is quiet goes over, then this one ends
-  virtual void HeirTold() = 0;   // what it holds: see HeirHoldsAll()
-  virtual void TakeBack() = 0;   // it broke off after that, with no word of an orderly end
-  virtual void LastOwner() = 0;  // it has ended in order: nothing can go over any more
-  // To the heir.
+  // Callbacks to the predecessor.
+  // Stops accepting connections and returns the state; nullopt with the reason in `why` if this process
+  // can't hand over any more.
+  virtual std::optional<Estate> GiveUpDoor(std::string& why) = 0;
+  virtual void KeepDoor() = 0;   // the successor did not start to serve: accept again
+  virtual void HandOn() = 0;     // the successor serves: pass idle links over, then exit
+  virtual void HeirTold() = 0;   // the successor has reported what it received; see HeirHoldsAll()
+  virtual void TakeBack() = 0;   // the successor disconnected after that without an orderly exit
+  virtual void LastOwner() = 0;  // the successor exited in order: nothing can be passed any more
+  // Callbacks to the successor.
   virtual void TakeLink(std::unique_ptr<Stream> stream, PassedLink link) = 0;
   virtual void OtherUses(const Use& use) = 0;
-  // To both: what operators told the other.
+  // Callbacks to both: operator calls that the other process received.
   virtual void OtherTookOut(const NodeCall& call) = 0;
   virtual void OtherPutBack(const NodeCall& call) = 0;
   virtual void OtherDrains(bool drains) = 0;
@@ -40,44 +42,44 @@
 
 class Handover {
  public:
-  // `path` is where the processes meet. `log` and `heritage` must outlive it.
+  // `path`: the socket at which the processes connect. `log` and `heritage` must outlive this object.
   Handover(Machine& machine, std::string path, std::string name, Heritage& heritage, Log& log);
   ~Handover();
 
-  // Asks whoever serves. Nothing where there is nobody, or nobody who answers in time or can be understood:
-  // this process then begins by itself.
+  // Claims the state of the serving process. Returns nullopt if there is none, or if it refuses, times out
+  // or sends an invalid answer; this process then starts without a predecessor's state.
   Task<std::optional<Estate>> Claim();
-  // The door is open: tells the one before, and awaits the next.
+  // The listener of this process is open: notifies the predecessor and waits for a successor.
   void Serve();
-  // To the heir; kLater: try again, kBroken: there is none.
+  // Passes a link to the successor. kLater: try again; kBroken: there is no successor.
   Io Pass(Stream& stream, const PassedLink& link);
-  // Whether the heir has said that it holds all links that were passed on; asks it where it has not been
-  // asked. One of an earlier version, which can't say so, is taken at its word that it serves.
+  // Whether the successor has confirmed that it received all passed links; sends the question if it has not
+  // been asked. A successor of an earlier version, which cannot confirm, is trusted once it serves.
   bool HeirHoldsAll();
-  // Links that went over to an heir that broke off, and that it had not said to hold. Nobody has them.
+  // Links passed to a successor that disconnected without confirming them. No process serves them.
   uint64_t links_lost() const { return links_lost_; }
   void TellUse(const Use& use);
-  // To whoever is there.
+  // Sent to the predecessor and the successor, whichever exist.
   void TellOut(const NodeCall& call);
   void TellBack(const NodeCall& call);
   void TellDrain(bool drains);
-  void End();  // in order
+  void End();  // announces an orderly exit
   bool has_heir() const { return heir_ && heir_->serves; }
 
  private:
-  // The other process of one hand-over.
+  // The other process of a hand-over.
   struct Other {
     explicit Other(std::unique_ptr<Channel> way) : channel(std::move(way)) {}
     std::unique_ptr<Channel> channel;
     std::deque<std::string> unsent;
     bool broken = false;
-    bool ended = false;   // has said that it ends
-    bool serves = false;  // of an heir: it has the door
+    bool ended = false;   // announced its orderly exit
+    bool serves = false;  // successor only: its listener is open
     bool claimed = false;
-    bool answers_held = false;  // of an heir: it can say what it holds
-    bool asked_held = false;    // since the last link
-    uint64_t links = 0;         // that went over
-    uint64_t held = 0;          // of those, by the heir's word
+    bool answers_held = false;  // successor only: it can confirm received links
+    bool asked_held = false;    // asked to confirm since the last link
+    uint64_t links = 0;         // links passed
+    uint64_t held = 0;          // links that the successor confirmed
     Task<> task;                // last: what it uses must outlive it
   };
 
--- a/src/membership/discovery.cpp
+++ b/src/membership/discovery.cpp
@@ -12,15 +12,15 @@
 namespace {
 
 constexpr Micros kConnectPatience = 1500 * kMs;
-constexpr Micros kLeastPause = 150 * kMs;  // a watch goes on if the next call comes within 200 ms
+constexpr Micros kLeastPause = 150 * kMs;  // a watch continues if the next call comes within 200 ms
 constexpr Micros kStoodInLine = 500 * kMs;
-// Lists may come indented, and name thousands of nodes; what is larger is no list.
+// Lists may be indented and name thousands of nodes. A larger answer is rejected.
 constexpr size_t kLargestList = 2 << 20;
-constexpr Micros kPacedLate = 1500 * kMs;     // after the wait of a paced watch
+constexpr Micros kPacedLate = 1500 * kMs;     // after the wait that a paced watch requested
 constexpr double kLongestRetryAfter = 86400;  // s
 
-// Seconds, whole or decimal; 0: none that can be read. A date says nothing that our clock could be trusted
-// with.
+// Seconds, integer or decimal; 0 if the header is missing or unreadable. Dates are ignored, because the
+// local clock may not match the service's.
 Micros RetryAfter(const HttpMessage& answer) {
   const std::string* text = answer.Find(platform::kRetryAfter);
   if (text == nullptr) return 0;
@@ -42,7 +42,8 @@
       clock_({!config.settings.must_subscribe, config.settings.must_ask_within, config.settings.drain_grace}),
       asked_(scheduler_) {}
 
-// Where lists are pushed nobody asks to follow, and what the service has counts from the first moment on.
+// With pushed lists nobody calls Follow(), and whatever the service has counts as delivered from the first
+// moment.
 void Discovery::Start(std::optional<uint64_t> has) {
   started_ = true;
   has_ = has;
@@ -57,10 +58,11 @@
   asked_.Notify();
 }
 
-// Ends the call at hand, which may wait for long yet. Guards the drain rule: word of a drain comes from the
-// new place alone, and the module believes that it is told of all, so it would not ask. All balancers may be
-// told of the new place in one moment, so where calls are paced this one goes in its turn there. Before the
-// start there is nobody yet who could take a list: that goes to where the configuration says by then.
+// Abandons the current call, which may still wait for long, and calls the new address. Guards the drain
+// rule: a drain is announced by the new service only, and the module, which assumes that it receives all
+// changes, would not ask. All balancers may get the new address at the same moment, so a paced call waits
+// for its turn. Before Start() nothing is to be done: the first call uses the address that the configuration
+// names then.
 void Discovery::Again() {
   if (!started_) return;
   watch_ = Task<>();
@@ -68,27 +70,27 @@
   following_ = true;
   clock_.Anew(scheduler_.Now());
   if (pace_ != nullptr) pace_->BeginAnew(scheduler_.Now(), machine_.Draw());
-  Start({});  // another service may count its versions otherwise
+  Start({});  // another service may number its versions differently
 }
 
-// Who has no list to send by can break no rule.
+// Whether the rule on asking applies: a balancer without a list cannot break it.
 bool Discovery::Bound() const { return pace_ == nullptr || pace_->phase() != start::StartPhase::kWithout; }
 
-// Where calls are paced: after one that failed no later than the clock says.
+// Earliest time of the next paced call; after a failed call no later than the list clock says.
 Micros Discovery::TurnAt() const {
   return Bound() ? std::min(pace_->next_at(), clock_.ask_at()) : pace_->next_at();
 }
 
-// Until somebody asks, or the clock does; and where calls are paced, until there is a turn.
+// Waits until Follow() is called or the list clock is due and, with pacing, until the pacer allows a call.
 Task<> Discovery::AwaitTurn() {
   while (!following_ && scheduler_.Now() < clock_.ask_at()) co_await asked_.Wait(clock_.ask_at());
   following_ = true;
   while (pace_ != nullptr && scheduler_.Now() < TurnAt()) co_await asked_.Wait(TurnAt());
 }
 
-// A watch begins with the version that the group has: the service then tells what has changed since, and has
-// one call in its line where the whole list first and a watch after it are two. What is told between these
-// two would count as told, with no call open that could take it.
+// A watch starts from the version that the group has. The service then reports the changes since that
+// version, and one call waits in its queue instead of two (full list, then watch). Between such two calls no
+// call would be open to receive a change, but the change would count as delivered.
 Task<> Discovery::Watch() {
   bool opens = true;
   while (true) {
@@ -108,8 +110,9 @@
     if (!answer.list) {
       opens = true;
       link_.reset();
-      following_ = false;  // before anyone hears of it, who may ask again at once
-      // What broke off, or says what is no list, may be a service that was begun anew: its whole list then.
+      following_ = false;  // set before the callback, which may call Follow() again at once
+      // After a broken connection or an invalid answer the service may have restarted, so its full list is
+      // fetched.
       if (pace_ != nullptr || answer.how == ListCallEnd::kDown) has_.reset();
       Settle(answer, called_at, false);
       told_(nullptr, answer.why);
@@ -119,19 +122,19 @@
     const bool news = !watch || *has_ != list.version;
     opens = !watch;
     Settle(answer, called_at, news);
-    // A service that counts from further back has lost its way: its changes are no changes of what is known.
+    // A lower version means that the service lost its state: its changes do not apply to the known list.
     const bool backwards = watch && !list.full && list.version < *has_;
     has_ = list.version;
     if (backwards) has_.reset();
     if (!backwards) told_(&list, answer.why);
-    // Guards discovery, which is shared and slow, against a watch that is answered at once with no news, or
-    // each time with what is older than its whole list.
+    // Limits the load on discovery, which is shared and slow, when watches are answered at once without
+    // changes, or always with changes older than its full list.
     const Micros pause_ends = called_at + kLeastPause;
     while ((!news || backwards) && scheduler_.Now() < pause_ends) co_await asked_.Wait(pause_ends);
   }
 }
 
-// What keeps time hears of each call's end before anybody else.
+// Reports the end of a call to the clock and the pacer, before any callback.
 void Discovery::Settle(const Answer& answer, Micros called_at, bool news) {
   const Micros now = scheduler_.Now();
   clock_.Ended(now, answer.how, answer.retry_after, machine_.Draw());
@@ -139,13 +142,13 @@
   start::CallEnd how = start::CallEnd::kDown;
   if (answer.list) how = news ? start::CallEnd::kNews : start::CallEnd::kNothing;
   if (answer.how == ListCallEnd::kSilent) how = start::CallEnd::kNoAnswer;
-  // A refusal after a while in line is for the line, and not for what is broken.
+  // A call that was rejected after waiting in the queue indicates overload, not a broken service.
   if (answer.how == ListCallEnd::kBusy && (answer.waited || answer.retry_after > 0))
     how = start::CallEnd::kBusy;
   pace_->Ended(now, how, now - called_at, answer.retry_after, machine_.Draw());
 }
 
-// One call.
+// Performs one call.
 Task<Discovery::Answer> Discovery::Ask(std::string path, Micros patience) {
   const Micros called_at = scheduler_.Now(), until = called_at + patience;
   Answer answer;
@@ -155,8 +158,8 @@
     NoConnection ours;
     link_ = network_.Connect(config_.discovery, ours);
     if (!link_) co_return answer;
-    // Guards the drain rule where this process stood still: queries that came meanwhile wait in the same line
-    // as the word that was told before them.
+    // Guards the drain rule after this process was suspended: queries that arrived meanwhile are in the same
+    // event queue as an earlier announcement of a drain, which must be processed first.
     link_->GoFirst();
     const Micros up_by = std::min(until, scheduler_.Now() + kConnectPatience);
     bool connected = co_await Connected(*link_, up_by);
@@ -200,7 +203,7 @@
   try {
     answer.list = ParseHostList(message.body, config_.settings);
     answer.how = ListCallEnd::kHeard;
-  } catch (const BadConfig& e) {  // an answer that can't be read is a call that failed
+  } catch (const BadConfig& e) {  // an unreadable answer counts as a failed call
     answer.why = e.what();
   }
   co_return answer;
--- a/src/membership/discovery.h
+++ b/src/membership/discovery.h
@@ -1,5 +1,5 @@
-// The platform's discovery as a source: a watch on what changes, from the version that the group has, or from
-// the whole list where it has none.
+// The platform's discovery service as a source of lists. Watches for changes since the version that the host
+// group has, or fetches the full list if it has none.
 #ifndef BURLFALL_MEMBERSHIP_DISCOVERY_H_
 #define BURLFALL_MEMBERSHIP_DISCOVERY_H_
 
@@ -18,8 +18,7 @@
 
 class Discovery final : public Source {
  public:
-  // `pace` says when calls may go out, where there is one, and outlives this; nullptr: whenever they are
-  // asked for.
+  // `pace` limits when calls are sent and must outlive this object; nullptr: calls are sent on demand.
   Discovery(Machine& machine, const Config& config, Counters& counters, Told told,
             start::Asking* pace = nullptr);
   void Start(std::optional<uint64_t> has) override;
@@ -27,13 +26,13 @@
   void Again() override;
 
  private:
-  // What became of one call.
+  // Result of one call.
   struct Answer {
-    std::optional<HostList> list = {};  // nothing where it failed, in whatever way
-    std::string why = {};               // then: in plain words
+    std::optional<HostList> list = {};  // nullopt if the call failed in any way
+    std::string why = {};               // the reason of a failure, for the log
     ListCallEnd how = ListCallEnd::kDown;
-    Micros retry_after = 0;  // that the service asked for; 0: nothing
-    bool waited = false;     // in line, as far as the time that it took tells
+    Micros retry_after = 0;  // requested by the service; 0: none
+    bool waited = false;     // the call was queued at the service, judging by its duration
   };
   Task<> Watch();
   bool Bound() const;
@@ -52,7 +51,7 @@
   ListClock clock_;
   std::unique_ptr<Stream> link_;
   Event asked_;
-  std::optional<uint64_t> has_;  // the version of the list that changes go on from; nothing: none
+  std::optional<uint64_t> has_;  // version on which further changes are based; nullopt: none
   bool started_ = false;
   bool following_ = false;
   Task<> watch_;  // last: what it uses must outlive it
--- a/src/membership/host_group.cpp
+++ b/src/membership/host_group.cpp
@@ -12,7 +12,7 @@
 using meadowslip::BackendState;
 using meadowslip::ListKind;
 
-// The same at every balancer and after every restart.
+// FNV-1a: the same at every balancer and after every restart.
 uint32_t Hash(const std::string& name) {
   uint32_t hash = 2166136261;
   for (char c : name) hash = (hash ^ static_cast<unsigned char>(c)) * 16777619;
@@ -58,21 +58,22 @@
   told.kind = list.full ? ListKind::kFull : ListKind::kChanges;
   if (list.full && settings_.gone_binds) {
     for (auto& [id, host] : hosts_) {
-      host->listed = BackendState::kGone;  // unless it is named below
+      host->listed = BackendState::kGone;  // unless the list names it, see below
       if (host->gone_at == kNever) host->gone_at = now;
       Settle(*host);
     }
   }
   for (HostEntry e : list.hosts) {
     Host& host = Named(e.name);
-    // Nothing has started later than now. Guards a node against being cold for as long as the clocks differ.
+    // A start time in the future is replaced by now. Otherwise a node would count as cold for as long as the
+    // clocks differ.
     const Micros listed_start = e.entry.started_at;
     if (listed_start > now)
       e.entry.started_at = listed_start == host.started_at ? host.entry.started_at : now;
     if (e.address.length > 0 && (host.address.text != e.address.text || host.started_at != listed_start)) {
       host.address = e.address;
       host.started_at = listed_start;
-      ++host.era;  // links to its earlier life are of no use
+      ++host.era;  // links to the process before its restart are useless
     }
     if (e.entry.state != BackendState::kGone) host.entry = e.entry;
     if (e.entry.state != BackendState::kGone || settings_.gone_binds) host.listed = e.entry.state;
@@ -109,14 +110,14 @@
   }
 }
 
-// The one place that weighs the operator's word against the list's.
+// Combines the operator's calls with the listed state. No other function does so.
 void HostGroup::Settle(Host& host) const {
   const bool not_ours = host.out || Told(host).started_at > cold_since_;
   host.state = not_ours && host.listed == BackendState::kReady ? BackendState::kDraining : host.listed;
 }
 
-// Started anew while it was out, at the latest when it was put back. Guards the rule on cold servers where
-// the list has not told of that start.
+// A host that was out of service is assumed to have restarted by the time it was put back. Guards the rule
+// on cold servers when the list does not report that start.
 BackendEntry HostGroup::Told(const Host& host) {
   BackendEntry entry = host.entry;
   entry.state = host.state;
@@ -144,7 +145,7 @@
   if (host == nullptr) return false;
   if (!std::exchange(host->out, false)) return true;
   host->back_at = now;
-  ++host->era;  // links to its earlier life are of no use
+  ++host->era;  // links to the process before its restart are useless
   Settle(*host);
   Count(*host);
   return true;
@@ -235,7 +236,7 @@
 
 BackendList HostGroup::AsItStands() const {
   BackendList told;
-  told.kind = ListKind::kCached;  // the module must not take it for word from discovery
+  told.kind = ListKind::kCached;  // so that the module does not treat it as an answer from discovery
   for (const auto& [id, host] : hosts_) {
     if (host->listed != BackendState::kGone) told.entries.push_back(Told(*host));
   }
--- a/src/membership/host_group.h
+++ b/src/membership/host_group.h
@@ -1,4 +1,4 @@
-// The host group: the servers as the list last told of them.
+// The host group: the servers as listed last, combined with the operators' calls.
 #ifndef BURLFALL_MEMBERSHIP_HOST_GROUP_H_
 #define BURLFALL_MEMBERSHIP_HOST_GROUP_H_
 
@@ -23,21 +23,22 @@
   meadowslip::BackendId id = 0;
   std::string name;
   Address address;
-  // What holds: as the list has it, unless an operator has taken it out.
+  // Effective state: as listed, unless an operator has taken the host out of service.
   meadowslip::BackendState state = meadowslip::BackendState::kGone;
   meadowslip::BackendState listed = meadowslip::BackendState::kGone;
-  meadowslip::BackendEntry entry = {};  // as the list last told of it
-  bool out = false;                     // an operator has taken it out
+  meadowslip::BackendEntry entry = {};  // as listed last
+  bool out = false;                     // an operator has taken it out of service
   Micros out_at = 0;
-  Micros back_at = 0;  // when an operator last put it back: it may have been started anew until then
+  Micros back_at = 0;  // when an operator last put it back; it may have restarted until then
   Micros gone_at = kNever;
-  Micros started_at = 0;  // by the list; `entry` has it no later than it was heard
-  uint64_t era = 0;       // counts its restarts and changes of address
-  meadowslip::BackendState state_counted = meadowslip::BackendState::kGone;  // in the changes
+  Micros started_at = 0;  // as listed; in `entry` it is never later than the time the list arrived
+  uint64_t era = 0;       // incremented by each restart and change of address
+  // included in HostGroup::changes()
+  meadowslip::BackendState state_counted = meadowslip::BackendState::kGone;
   uint64_t era_counted = 0;
 };
 
-// A host as one process tells the next of it. What it was called by, the names tell.
+// A host as it is handed over to the next process.
 struct HostRecord {
   meadowslip::BackendId id = 0;
   std::string name;
@@ -55,12 +56,12 @@
   }
 };
 
-// How many hosts changed, each counted by what it is now.
+// Number of changed hosts, each counted by its new state.
 struct HostChanges {
-  size_t added = 0;  // ready, and were not
+  size_t added = 0;  // became ready
   size_t removed = 0;
-  size_t draining = 0;   // began to
-  size_t restarted = 0;  // ready as before, but started anew or moved
+  size_t draining = 0;   // started to drain
+  size_t restarted = 0;  // still ready, but restarted or moved to another address
 
   bool any() const { return added + removed + draining + restarted > 0; }
 };
@@ -72,35 +73,37 @@
 
   explicit HostGroup(const meadowslip::Settings& settings) : settings_(settings) {}
 
-  // Takes the list in at this time, and returns it as the module is to hear it: after this, so that both see
-  // the same states.
+  // Applies a list received at `now`, and returns it in the form for the module. Call this before passing
+  // the result on, so that the group and the module see the same states.
   meadowslip::BackendList Take(const HostList& list, Micros now = kNever);
-  // What an operator says goes before the list, until he puts the host back: it is draining meanwhile, and
-  // keeps the list's word for later. False where no list ever named it. Both may be said again.
+  // Takes a host out of service. The operator's call overrides the list until the host is put back: the host
+  // drains meanwhile, and its listed state is remembered. Returns false if no list ever named it.
+  // Idempotent, as is PutBack().
   bool TakeOut(std::string_view name, Micros now);
-  // It is then as the list has it, and cold: it was most likely started anew, whatever the list knows of
-  // that.
+  // Puts a host back into its listed state. It counts as cold, because it was most likely restarted,
+  // whatever the list says.
   bool PutBack(std::string_view name, Micros now);
-  // For those that were out before this start; the list may name them later.
+  // Takes a host out of service that was out before this start and may not be listed yet.
   void TakeOutUnseen(const std::string& name, Micros since);
   bool Names(std::string_view name) const { return by_name_.contains(std::string(name)); }
   bool IsOut(std::string_view name) const;
-  std::vector<OutHost> Out() const;  // by name
-  // All that is known of all hosts, for the process that takes over; and that, taken over, instead of a list:
-  // false where it can't be, and nothing has changed. To be called before all else.
+  std::vector<OutHost> Out() const;  // sorted by name
+  // Records() returns all state of all hosts, for a successor process. TakeOver() restores it in place of a
+  // list, before any other call; returns false, with nothing changed, if a record is invalid.
   std::vector<HostRecord> Records() const;
   bool TakeOver(const std::vector<HostRecord>& records, uint64_t version);
-  // Those that are cold now, or start from here on, are another process's to send to, as long as there are
-  // others: to this one they are draining.
+  // Leaves hosts that are cold now, or start later, to another process: they are draining for this one, as
+  // long as there are other ready hosts.
   void LeaveCold(bool leave, Micros now);
-  // The group as it stands, for the module; no list says it.
+  // Current state of the group in the form for the module, marked as not coming from discovery.
   meadowslip::BackendList AsItStands() const;
-  // Once a host has been gone for an hour it is known as long as no more than kMostKnown are: beyond that
-  // those that went first are forgotten. One that is out is not. What outlasts that holds the host itself.
+  // Returns a known host or nullptr. Hosts that have been gone for kKnownFor may be forgotten once more than
+  // kMostKnown are known, the longest gone first; hosts out of service are kept. Hold() returns shared
+  // ownership to callers that need a host for longer.
   const Host* Find(meadowslip::BackendId id) const { return Hold(id).get(); }
   std::shared_ptr<const Host> Hold(meadowslip::BackendId id) const;
-  size_t Ready() const;                                    // how many are
-  const HostChanges& changes() const { return changes_; }  // since they were forgotten
+  size_t Ready() const;                                    // number of ready hosts
+  const HostChanges& changes() const { return changes_; }  // since the last ForgetChanges()
   void ForgetChanges() { changes_ = HostChanges(); }
 
   uint64_t version() const override { return version_; }
@@ -119,7 +122,7 @@
   std::unordered_map<meadowslip::BackendId, std::shared_ptr<Host>> hosts_;
   std::unordered_map<std::string, Host*> by_name_;
   uint64_t version_ = 0;
-  Micros cold_since_ = kNever;  // hosts that were started after it are another process's
+  Micros cold_since_ = kNever;  // hosts started later belong to another process
   HostChanges changes_;
 };
 
--- a/src/membership/list_clock.cpp
+++ b/src/membership/list_clock.cpp
@@ -7,26 +7,30 @@
 namespace burlfall {
 namespace {
 
-// A third of the time until what a silent watch missed counts: a second third finds it out, and the last is
-// for standing in line anew. Calls that go on with a watch cost the service no place in its line.
+// A third of the time until a change missed by a silent watch counts as delivered. The second third detects
+// the silence, and the last third is for waiting in the service's queue again. Watch calls that continue a
+// watch do not wait in that queue.
 constexpr Micros kWatchWait = ListClock::kSilenceCounts / 3;
 constexpr Micros kLeastWait = kSecond;
-constexpr Micros kLate = kSecond;  // an answer may come so long after its wait
-// For a place in line, after so many silences in a row: where the line alone takes so much, a call that is
-// given up goes to its end again and again. The second leaves time for a third before what it missed counts.
+constexpr Micros kLate = kSecond;  // an answer may arrive this long after the requested wait
+// Timeouts for waiting in the service's queue, by the number of consecutive calls without an answer. If the
+// queue alone takes longer, a call that is abandoned goes to its end again and again. The second timeout
+// leaves time for a third call before a missed change counts.
 constexpr Micros kInLine[] = {2500 * kMs, 3500 * kMs, 5500 * kMs};
-// Between two calls that failed, where something is missed: drawn around it, half as much again with each.
+// Pause between failed calls while a change may have been missed: randomized around this mean, which grows
+// by half with each failure.
 constexpr Micros kLeastPause = 300 * kMs, kMostPause = kSecond;
-// After a silence, which was a pause itself.
+// Maximum pause after a call without an answer, whose timeout was a pause itself.
 constexpr Micros kSilencePause = 300 * kMs;
-// Where nothing was missed yet: drawn around it. What the service has the moment after counts 6 s later: so a
-// call may be turned away after 2 s in line, and one more has time to stand in it.
+// Mean pause while nothing was missed, randomized. What the service has a moment later counts as delivered
+// 6 s after that, so a call may be rejected after 2 s in the queue and another still has time to wait there.
 constexpr Micros kUsualPause = 1200 * kMs;
-// A Retry-After is heeded up to here there, and in parts of the time within which the service wants to be
-// asked, with a part drawn on top. Guards the service against all those that it turned away in one moment.
+// While nothing was missed, a Retry-After is obeyed up to this limit, and up to a part of Rules.MustAskIn,
+// plus a random part. The random part spreads the calls of all balancers that the service rejected at the
+// same moment.
 constexpr Micros kMostHeeded = kSecond, kHeededSpread = 800 * kMs;
 constexpr int kPartsOfAsking = 3;
-// Where lists are pushed, in parts of the grace that is left once a drain counts.
+// With pushed lists: pause as a part of Rules.DrainGrace, the time left once a drain counts as delivered.
 constexpr int kPartsOfGrace = 4;
 constexpr Micros kPushedPause = 200 * kMs;
 
@@ -62,12 +66,12 @@
   return Around(std::min(pause, kMostPause), draw);
 }
 
-// Whatever is allowed after a call that failed, a change counts 6 s after the service had it and could be
-// reached: so it is asked again in time for that, also where the settings give longer.
+// A change counts as delivered 6 s after the service had it and was reachable, so the next call is early
+// enough for that even if the settings allow more time.
 Micros ListClock::PauseAfter(ListCallEnd how, Micros retry_after, double draw) const {
   const Micros pause = Pause(draw);
   if (how == ListCallEnd::kSilent) return failed_ == 1 ? 0 : std::min(pause, Part(kSilencePause, draw));
-  // What is missed already, or counts at once, leaves no time for a Retry-After.
+  // If a change may be missed already, or counts at once, there is no time to obey a Retry-After.
   if (retry_after == 0 || rules_.pushed || counts_at_ != kNever) return pause;
   const Micros heeded = std::min({retry_after, rules_.must_ask_within / kPartsOfAsking, kMostHeeded});
   return std::max(pause, heeded + Part(kHeededSpread, draw));
@@ -88,7 +92,7 @@
   ++failed_;
   if (how == ListCallEnd::kSilent) {
     ++silent_;
-    // Silence may have begun as soon as the call was out.
+    // The silence may have begun as soon as the call was sent.
     const Micros counts =
         std::max(called_at_ + kSilenceCounts, watch_ ? called_at_ + wait() + kWaitCounts : 0);
     counts_at_ = std::min(counts_at_, counts);
--- a/src/membership/list_clock.h
+++ b/src/membership/list_clock.h
@@ -1,9 +1,9 @@
-// When the list service has to be asked again, whoever else asks: what was missed on a call that fell silent
-// counts as told some seconds later, whether it arrived or not, and so does what the service has after a call
-// that failed; where lists are pushed all that it has counts at once. It decides, and does nothing: time and
-// what came of each call go in, with numbers drawn evenly from [0, 1); the time of the next call comes out.
-// Sources: the platform's protocol page, "Figures" and "Discovery", and its standing test.
-// docs/design/list_clock.md weighs the ways.
+// Decides when the list service must be called again, even if nobody requests it. What a silent call missed
+// counts as delivered some seconds later, whether it arrived or not. The same holds for what the service has
+// after a failed call; with pushed lists, everything the service has counts at once. Performs no I/O: the
+// caller passes in the time, the outcome of each call and random numbers drawn uniformly from [0, 1), and
+// reads back the time of the next call. Sources: the platform's protocol page, "Figures" and "Discovery",
+// and its standing test. docs/design/list_clock.md compares the alternatives.
 #ifndef BURLFALL_MEMBERSHIP_LIST_CLOCK_H_
 #define BURLFALL_MEMBERSHIP_LIST_CLOCK_H_
 
@@ -12,45 +12,47 @@
 namespace burlfall {
 
 struct ListRules {
-  bool pushed = false;  // no need to ask: what the service has counts as told (the settings' MembershipMode)
+  // lists are pushed: whatever the service has counts as delivered (the settings' MembershipMode)
+  bool pushed = false;
   Micros must_ask_within = 10 * kSecond;  // the settings' Rules.MustAskIn
   Micros drain_grace = 750 * kMs;         // the settings' Rules.DrainGrace
 };
 
-// How a call for the list ended.
+// Outcome of a call to the list service.
 enum class ListCallEnd {
-  kHeard,   // a list, or that there is nothing new
-  kBusy,    // the service turned it away
-  kSilent,  // no answer in time: a watch that fell silent is broken, and gives no sign
-  kDown,    // refused, reset, or an answer that is none
+  kHeard,   // a list, or an answer without changes
+  kBusy,    // the service rejected the call as overloaded
+  kSilent,  // timeout: a broken watch may give no other sign
+  kDown,    // refused, reset, or an invalid answer
 };
 
 class ListClock {
  public:
-  // What a silent call has missed counts as told so long after the silence began, or after the end of the
-  // wait that the call asked for, whichever is later (protocol page).
+  // What a silent call missed counts as delivered this long after the silence began, or after the end of the
+  // wait that the call requested, whichever is later (protocol page).
   static constexpr Micros kSilenceCounts = 6 * kSecond;
   static constexpr Micros kWaitCounts = 2 * kSecond;
-  // What another service has counts so long after the word to ask it (standing test).
+  // What a new service has counts as delivered this long after the balancer was told its address (standing
+  // test).
   static constexpr Micros kNewPlaceCounts = 4 * kSecond;
 
   explicit ListClock(const ListRules& rules) : rules_(rules) {}
 
-  // What a watch asks the service to wait at the longest.
+  // The longest wait that a watch requests from the service.
   Micros wait() const;
-  // How long the answer is waited for in all. `opens`: it stands in line at the service; a watch that goes on
-  // does not.
+  // Timeout of a call. `opens`: the call waits in the service's queue; a call that continues a watch does
+  // not.
   Micros patience(bool watch, bool opens) const;
 
-  // Another service is asked from now on: how the one before behaved says nothing of it.
+  // Another service is called from now on; the behaviour of the previous one no longer counts.
   void Anew(Micros now);
   void Called(Micros now, bool watch);
-  // `retry_after`: what the service asked for; 0: nothing.
+  // `retry_after`: requested by the service; 0: none. `draw`: random number from [0, 1).
   void Ended(Micros now, ListCallEnd how, Micros retry_after, double draw);
 
-  // The next call goes out then at the latest, asked for or not; kNever: only when it is asked for.
+  // Latest time of the next call, whether requested or not; kNever: only on request.
   Micros ask_at() const { return ask_at_; }
-  // What a silent call may have missed counts as told from here on; kNever: nothing was missed.
+  // Time from which a possibly missed change counts as delivered; kNever: nothing was missed.
   Micros counts_at() const { return counts_at_; }
 
  private:
@@ -59,9 +61,9 @@
 
   const ListRules rules_;
   Micros called_at_ = 0;
-  bool watch_ = false;  // the call at hand is one
-  int silent_ = 0;      // calls in a row that were
-  int failed_ = 0;      // calls in a row
+  bool watch_ = false;  // the current call is a watch
+  int silent_ = 0;      // consecutive calls without an answer
+  int failed_ = 0;      // consecutive failed calls
   Micros ask_at_ = kNever;
   Micros counts_at_ = kNever;
 };
--- a/src/membership/list_log.h
+++ b/src/membership/list_log.h
@@ -1,5 +1,4 @@
-// What the log hears of the host group: servers that changed, and a source that fails. Many changes, or many
-// failures, make few lines.
+// Logs changes of the host group and failures of its source, with a limited rate of lines.
 #ifndef BURLFALL_MEMBERSHIP_LIST_LOG_H_
 #define BURLFALL_MEMBERSHIP_LIST_LOG_H_
 
@@ -14,11 +13,11 @@
 
 class ListLog {
  public:
-  // What the group knows by now is not news.
+  // Changes before the construction are not logged.
   ListLog(const Scheduler& clock, HostGroup& hosts, Log& log);
-  void Heard();  // the group has taken in a list
+  void Heard();  // the group has applied a list
   void Failed(const std::string& why);
-  void Tell();  // what was kept back and may be told by now; to be called now and then
+  void Tell();  // logs changes that the rate limit held back; call it periodically
 
  private:
   const Scheduler& clock_;
@@ -26,7 +25,7 @@
   Log& log_;
   Micros tell_changes_at_ = 0;
   Micros tell_failed_at_ = 0;
-  uint64_t failed_ = 0;  // calls in a row
+  uint64_t failed_ = 0;  // consecutive failed calls
   Micros failing_since_ = 0;
   bool failing_told_ = false;
 };
--- a/src/membership/out_file.h
+++ b/src/membership/out_file.h
@@ -1,11 +1,11 @@
-// The file that remembers which hosts operators have taken out, from one process to the next.
+// The file that records which hosts operators have taken out of service, across restarts.
 //
 //   burlfall-out 1
 //   1717000000123456 s-5be2a07c
 //   end 1
 //
-// A line a host: since when, in microseconds of Unix time, and its name, with %XX for blanks and control
-// bytes.
+// One line per host: since when (Unix time in microseconds) and its name, with blanks and control bytes as
+// %XX.
 #ifndef BURLFALL_MEMBERSHIP_OUT_FILE_H_
 #define BURLFALL_MEMBERSHIP_OUT_FILE_H_
 
@@ -25,7 +25,7 @@
 };
 
 std::string WriteOutFile(const std::vector<OutHost>& hosts);
-// Nothing where any of it can't be what was written: such a file is refused whole.
+// Returns nullopt if any part is malformed: such a file is rejected as a whole.
 std::optional<std::vector<OutHost>> ReadOutFile(std::string_view text);
 
 }  // namespace burlfall
--- a/src/membership/source.h
+++ b/src/membership/source.h
@@ -1,4 +1,4 @@
-// Where a host group's list comes from.
+// Interface to the source of a host group's list.
 #ifndef BURLFALL_MEMBERSHIP_SOURCE_H_
 #define BURLFALL_MEMBERSHIP_SOURCE_H_
 
@@ -13,16 +13,16 @@
 
 class Source {
  public:
-  // Hears of each list, and with nullptr of each call that failed, and why: it must then be asked to follow
-  // again.
+  // Called with each list, and with nullptr and the reason after each failed call. After a failure Follow()
+  // must be called again.
   using Told = std::function<void(const HostList*, const std::string& why)>;
 
   virtual ~Source() = default;
-  // Ready to follow. `has`: the version of the list that the group has, whose changes are enough; nothing:
-  // the whole list is needed.
+  // Starts the source. `has`: version of the list that the group has, so that changes since then suffice;
+  // nullopt: the full list is needed.
   virtual void Start(std::optional<uint64_t> has) = 0;
-  virtual void Follow() = 0;  // from now on, until a call fails
-  virtual void Again() = 0;   // anew and at once, where the configuration now says that the source is
+  virtual void Follow() = 0;  // follows the list from now on, until a call fails
+  virtual void Again() = 0;   // reconnects at once to the address in the current configuration
 };
 
 }  // namespace burlfall
--- a/src/start/asking.cpp
+++ b/src/start/asking.cpp
@@ -6,36 +6,40 @@
 namespace burlfall::start {
 namespace {
 
-// Of what the service can do, what first calls may take, and steady watches: the rest is for chance, and for
-// what changes among the nodes.
+// Part of the service's capacity that first calls, and watches in steady state, may use. The rest is reserve
+// for random variation and for changes among the nodes.
 constexpr double kFirstPart = 0.72;
 constexpr double kWatchPart = 0.3;
-// Where so many ask that watches must begin before the last has its list, both share the service.
+// Part used when there are so many balancers that the first watches begin before the last balancer has its
+// list, so that lists and watches share the service.
 constexpr double kBothPart = 0.72;
-// Of the time within which the service must be asked again: the first call of a watch may wait in line yet.
+// Part of Rules.MustAskIn after which a watch begins: its first call may still have to wait in the service's
+// queue.
 constexpr double kGiveWay = 0.9;
-// Of four times that, after a call that failed.
+// Part of four times Rules.MustAskIn, which is the limit after a failed call.
 constexpr double kFailedPart = 0.8;
-// Between two calls that failed, in rounds: on the whole 1.2, so that all together ask for five sixths of
-// what the service can do the moment it is back, and nobody waits much longer than it needs for all.
+// Delay between two failed calls, in rounds. The mean is 1.2, so that all balancers together use five sixths
+// of the service's capacity when it recovers, and none waits much longer than the service needs for all.
 constexpr double kLeastGap = 0.7, kMostGap = 1.7;
-// Who can serve from an older list goes later, in windows.
+// Balancers that can serve from an older list call later; in windows.
 constexpr double kUsableFrom = 0.25, kUsableTo = 1.08;
-// Around its place, of the window: guards against balancers that were given one number.
+// Random shift around the assigned place, as a part of the window: guards against balancers that were given
+// the same number.
 constexpr double kMoved = 0.04;
-constexpr double kNewsRounds = 1.2;  // after news, which all hear at once
+constexpr double kNewsRounds = 1.2;  // delay after a change, which all balancers receive at once
 constexpr double kMostStretch = 16;
 constexpr double kMostBudget = 3;  // calls
-// Of the time of the rule on asking: a balancer without a list can break no rule, and is of no use either.
+// Maximum window, in multiples of Rules.MustAskIn: a balancer without a list cannot break that rule, but
+// cannot serve either.
 constexpr int kMostWindow = 6;
-// What is left of the stretch after a list that came soon, and after a watch that ended well.
+// Factor on the stretch after a list that arrived quickly, and after a watch that succeeded.
 constexpr double kEased = 0.6, kEasedByWatch = 0.85;
-constexpr Micros kLeastLoop = 60 * kSecond;  // starts that are further apart are no loop
+constexpr Micros kLeastLoop = 60 * kSecond;  // starts further apart than this are no crash loop
 constexpr int kMostDoublings = 10;
 constexpr Micros kLeastRound = 20 * kMs;
-// Fewer that ask together do not disturb each other: nothing is put off for their sake.
+// With a shorter round the balancers do not disturb each other, and no call is delayed.
 constexpr Micros kAlone = 250 * kMs;
-// What the service has to tell counts as told 6 s after a call: until then an answer is worth waiting for.
+// The service's changes count as delivered 6 s after a call; until then it is worth waiting for the answer.
 constexpr Micros kPatience = 5500 * kMs;
 constexpr Micros kLeastWatch = kSecond, kLongestWatch = 60 * kSecond, kUsualWatch = 20 * kSecond;
 
@@ -68,7 +72,7 @@
   return Rounded(4 * kFailedPart * static_cast<double>(rules_.must_ask_within));
 }
 
-// Lists alone where they are through before the first watch is due, lists and watches else.
+// Fits the lists alone if all are delivered before the first watch is due, otherwise lists and watches.
 Micros Asking::window() const {
   const Micros alone = Part(1 / kFirstPart);
   const auto due = Rounded(kGiveWay * static_cast<double>(rules_.must_ask_within));
@@ -87,14 +91,15 @@
   refilled_at_ = now;
   next_at_ = now;
   if (before > 0) {
-    // Twice as long with each round: one that ends before its turn has come costs nothing.
+    // The delay doubles with each restart. A process that crashes before its first call costs the service
+    // nothing.
     const auto first = static_cast<double>(std::max(kAlone, round_ / 4));
     const double wait = first * std::pow(2, std::min(before, kMostDoublings) - 1) * (0.75 + 0.5 * draw);
     next_at_ = now + std::min(Rounded(wait), Longest());
   }
   const Micros after_loop = next_at_;
   if (round_ < kAlone) return;
-  // The same for everyone but for the name: equal seeds, clocks and images are not the same place.
+  // Adds the name's hash, so that balancers with equal seeds, clocks and images get different places.
   const double chance = Fraction(static_cast<double>(who_ >> 11) * 0x1p-53 + draw);
   double place = chance;
   if (rules_.number >= 0 && rules_.number < rules_.balancers) {
@@ -111,7 +116,7 @@
 void Asking::BeginAnew(Micros now, double draw) {
   Refill(now);
   const double kept = budget_;
-  // Until now it was told of all that there was to tell, where its watch was out.
+  // While a watch was in progress, the balancer received all changes up to now.
   const Micros told_at = out_ && watching_ ? now : told_at_;
   const bool bound = told_at > 0 && !failed_;
   Begin(now, phase_ != StartPhase::kWithout, draw);
@@ -122,7 +127,7 @@
   if (budget_ < 1) next_at_ = std::max(next_at_, now + Missing());
 }
 
-// Until there is a call in the budget.
+// Time until the budget allows a call.
 Micros Asking::Missing() const {
   const auto missing = (1 - budget_) * static_cast<double>(std::max(round_, kAlone));
   return std::min(Rounded(missing), Longest());
@@ -166,7 +171,7 @@
     next_at_ = now;
     if (round_ < kAlone) return;
     if (!watching_) {
-      // The first call of the watch, behind the lists of all the others.
+      // Places the first call of the watch behind the list calls of all other balancers.
       const Micros wide = window();
       const auto moved = Rounded(kMoved * static_cast<double>(wide) * draw);
       next_at_ = now + std::max<Micros>(0, std::min(due, wide + wide / 10) - moved);
@@ -186,13 +191,13 @@
 
 std::optional<Micros> Asking::Refuses(Micros now, Micros patience, double draw) const {
   if (phase_ != StartPhase::kWithout) return std::nullopt;
-  const Micros wait = next_at_ - now;  // a call that is out may be answered at any time
+  const Micros wait = next_at_ - now;  // a call in progress may be answered at any time
   if (wait <= patience / 2) return std::nullopt;
   return wait + Rounded(static_cast<double>(std::max(kAlone, window() / 10)) * draw);
 }
 
-// So long that the watches of all together take a part of the service only, and no longer than the service
-// and the rule on what counts as told allow.
+// Long enough that the watches of all balancers use only a part of the service's capacity, but no longer
+// than the service allows and than changes may take to count as delivered.
 Micros Asking::watch_wait() const {
   const Micros usual = std::min(kUsualWatch, std::max(kLeastWatch, rules_.must_ask_within / 2));
   return std::clamp(Part(1 / kWatchPart), usual, kLongestWatch);
--- a/src/start/asking.h
+++ b/src/start/asking.h
@@ -1,22 +1,21 @@
-// When a balancer asks the list service, of which hundreds of others ask too. It decides, and does nothing:
-// time and what came of each call go in, with numbers drawn evenly from [0, 1) by whoever holds it; the time
-// of the next call comes out. docs/design/start.md weighs the ways, docs/start.md tells operators what they
-// see.
+// Decides when a balancer calls the list service, which hundreds of other balancers share. Performs no I/O:
+// the caller passes in the time, the outcome of each call and random numbers drawn uniformly from [0, 1),
+// and reads back the time of the next call. docs/design/start.md compares the alternatives; docs/start.md
+// describes what operators see.
 //
-// A balancer costs the service two turns: the call for the list, and the first call of the watch, which it
-// may put off for as long as the rule on asking allows. So
-// - first calls stand side by side over a *window*, a little longer than the service needs for all of them:
-// each
-//   at the place that its number among the balancers gives it, moved by name and chance; a balancer that has
-//   no list goes before one that can serve from an older one;
-// - whoever has its list gives way, and begins its watch once the others have theirs;
-// - a watch waits long enough that all of them together take a part of the service only, and goes on after
-//   news, which all hear at once, at a time of its own;
-// - a call that failed is followed by another after a time drawn anew each time, so that those who ask a
-//   service that is down make no wall when it is back; where the service shows that it has too many callers,
-//   all of these grow, and shrink again with its answers. Who has a list to send by asks no later than the
-//   list's clock says (membership/list_clock.h);
-// - calls are paid from a budget that time refills, and a list, but no failure.
+// A starting balancer costs the service two places in its queue: the call for the list and the first call of
+// the watch, which may be delayed for as long as Rules.MustAskIn allows. Therefore:
+// - First calls are spread over a *window*, slightly longer than the service needs to answer all of them.
+//   Each balancer's place follows from its number among the balancers, shifted by its name and a random
+//   amount. A balancer without a list goes before one that can serve from an older list.
+// - A balancer that has its list delays its watch until the others have their lists.
+// - A watch waits long enough that the watches of all balancers use only a part of the service's capacity.
+//   After a change, which all balancers receive at once, the next watch call is delayed by a random time.
+// - A failed call is retried after a random delay, so that balancers do not all call at once when the
+//   service recovers. When the service shows that it is overloaded, all delays grow; successful answers
+//   shrink them again. A balancer that has a list to serve from calls no later than ListClock says
+//   (membership/list_clock.h).
+// - Calls are paid from a budget, which refills with time and when a list arrives, but not on a failure.
 #ifndef BURLFALL_START_ASKING_H_
 #define BURLFALL_START_ASKING_H_
 
@@ -28,75 +27,77 @@
 namespace burlfall::start {
 
 struct AskRules {
-  // A balancer that has not asked for so long counts as told what was listed that long ago; four times as
-  // long after a call that failed (the settings' Rules.MustAskIn).
+  // A balancer that has not called for this long is treated as if it had received what was listed that long
+  // ago; after a failed call the limit is four times as long (the settings' Rules.MustAskIn).
   Micros must_ask_within = 10 * kSecond;
-  double balancers = 1;     // that ask the same service
-  double calls_per_s = 50;  // that it can handle
-  // Where this one stands among them, from 0; below 0: it has no number.
+  double balancers = 1;     // number of balancers that call the same service
+  double calls_per_s = 50;  // capacity of the service
+  // Index of this balancer among them, from 0; negative: it has no index.
   int number = -1;
 };
 
-// How a call ended.
+// Outcome of a call.
 enum class CallEnd {
-  kNews,      // a list, whole or changes, that was not known
-  kNothing,   // what was known is still so
-  kBusy,      // the service says that it has too many callers, or let this one wait in line for too long
-  kNoAnswer,  // none in time: who is cut off from it gets no sign
-  kDown,      // refused, reset, or an answer that is none
+  kNews,      // a full list or changes that were not known yet
+  kNothing,   // an answer without changes
+  kBusy,      // the service rejected the call as overloaded, or let it wait in its queue for too long
+  kNoAnswer,  // timeout; a network partition gives no other sign
+  kDown,      // refused, reset, or an invalid answer
 };
 
-// Where a start stands, as events and counters name it.
+// Phase of a balancer's start. NameOf() gives the names that events and counters use.
 enum class StartPhase {
-  kWithout,    // no list: nothing can be sent anywhere
-  kOlder,      // serves from a list of before its start
-  kListed,     // has its list, and gives way to those that have none
-  kFollowing,  // watches for news
+  kWithout,    // no list: no request can be forwarded
+  kOlder,      // serves from a list received before its start
+  kListed,     // has its list, and delays its watch in favour of balancers without one
+  kFollowing,  // watches for changes
 };
 const char* NameOf(StartPhase phase);
 
 class Asking {
  public:
-  // `who`: a hash of the balancer's name, which no other has.
+  // `who`: a hash of the balancer's name, unique among the balancers.
   Asking(const AskRules& rules, uint64_t who);
 
-  // The process has begun. `usable`: it has a list to serve from.
-  // `before`: how often its process had begun within loop_span(), without an orderly end.
+  // The process has started. `usable`: it has a list to serve from. `before`: how often this balancer was
+  // started within loop_span() without an orderly exit.
   void Begin(Micros now, bool usable, double draw, int before = 0);
   Micros loop_span() const;
-  // There is another service to ask from now on; whatever was out has been given up. All balancers may be
-  // told of it in one moment, so it is asked in turn, but no later than the rule on asking allows since the
-  // last answer. The budget goes on.
+  // The balancer was pointed at another list service, and the call in progress was abandoned. All balancers
+  // may be told at the same moment, so the first call waits for this balancer's turn, but no longer than
+  // Rules.MustAskIn allows since the last answer. The budget carries over.
   void BeginAnew(Micros now, double draw);
-  // So many balancers ask the service, as is known by now; calls from then on keep to it.
+  // Sets the number of balancers that call the service, as known by now. Applies to later calls.
   void SharedBy(double balancers);
-  Micros next_at() const { return next_at_; }  // no call goes out before
-  // A call goes out; `watch`: one that waits for news.
+  Micros next_at() const { return next_at_; }  // earliest time of the next call
+  // A call was sent. `watch`: it waits for changes.
   void Called(Micros now, bool watch);
-  // It ended. `in_line`: how long the answer of a call that does not wait took. `retry_after`: what the
-  // service asked for, 0: nothing.
+  // The call ended. `in_line`: how long the answer took, for a call that does not wait for changes.
+  // `retry_after`: what the service asked for; 0: nothing.
   void Ended(Micros now, CallEnd how, Micros in_line, Micros retry_after, double draw);
 
-  // For a query with so much time, while there is no list: when its client should come back, where the list
-  // can't be there in half of that time. Drawn, so that the refused don't come back as one.
+  // For a query that arrives while there is no list and may wait `patience`. Returns after what time its
+  // client should retry, if the list cannot be there within half of that time; nullopt if the query may
+  // wait. The time is randomized so that refused clients do not return at the same moment.
   std::optional<Micros> Refuses(Micros now, Micros patience, double draw) const;
 
-  // What a watch asks the service to wait at the longest.
+  // The longest wait that a watch requests from the service.
   Micros watch_wait() const;
-  // How long the answer to a call that does not wait is waited for: one that stands in line is not given up
-  // for a new one at its end.
+  // Timeout of a call that does not wait for changes. It is long, so that a call in the service's queue is
+  // not abandoned and replaced by one at the end of the queue.
   Micros patience() const;
 
   StartPhase phase() const { return phase_; }
-  // The least time in which the service can hand a list to every balancer, and the window of this start.
+  // Round: the minimum time in which the service can give a list to every balancer. Window: the time over
+  // which first calls are spread.
   Micros round() const { return round_; }
   Micros window() const;
-  double stretch() const { return stretch_; }  // 1: the service shows no strain
-  double budget(Micros now) const;             // calls
+  double stretch() const { return stretch_; }  // factor on all delays; 1: the service is not overloaded
+  double budget(Micros now) const;             // remaining budget, in calls
 
  private:
-  Micros Part(double rounds) const;  // of the round, stretched
-  Micros Longest() const;            // between two calls, after a failure
+  Micros Part(double rounds) const;  // a number of rounds, multiplied by the stretch
+  Micros Longest() const;            // maximum time between two calls after a failure
   void Refill(Micros now);
   Micros Missing() const;
 
@@ -105,10 +106,10 @@
   Micros round_;
   Micros next_at_ = 0;
   Micros began_at_ = 0;
-  Micros told_at_ = 0;  // when it last heard a list; 0: not since it began
+  Micros told_at_ = 0;  // when the last list arrived; 0: none since the start
   bool watching_ = false;
-  bool out_ = false;     // a call is
-  bool failed_ = false;  // the last one
+  bool out_ = false;     // a call is in progress
+  bool failed_ = false;  // the last call failed
   StartPhase phase_ = StartPhase::kWithout;
   double stretch_ = 1;
   double budget_ = 0;
--- a/src/start/saved_list.cpp
+++ b/src/start/saved_list.cpp
@@ -18,7 +18,8 @@
 
 constexpr std::string_view kFirstLine = "burlfall-list 1";
 constexpr std::string_view kStates[] = {"ready", "draining"};
-// By which a clock may be ahead of the one that wrote: two machines' clocks, or one that was set.
+// Accepted clock difference between the writer and the reader, for two machines or a clock that was
+// adjusted.
 constexpr Micros kClocksApart = 60 * kSecond;
 constexpr size_t kSiteDigits = 16;
 
@@ -40,7 +41,7 @@
   return error == std::errc() && end == word.data() + word.size() && std::isfinite(value) && value >= 0;
 }
 
-// One line off the front, without its end; false where there is no whole one.
+// Removes one line from the front of `text`, without its line end; false if there is no complete line.
 bool NextLine(std::string_view& text, std::string_view& line) {
   const size_t eol = text.find('\n');
   if (eol == std::string_view::npos) return false;
@@ -59,7 +60,7 @@
          Real(NextWord(line), node.size) && line.empty();
 }
 
-// "heard 171..." to its value.
+// Reads a line such as "heard 171..." and parses its value.
 template <typename Value>
 bool ReadField(std::string_view& text, std::string_view name, Value& value) {
   std::string_view line;
--- a/src/start/saved_list.h
+++ b/src/start/saved_list.h
@@ -1,5 +1,5 @@
-// The last list of nodes that a balancer had, kept from one start to the next: what stands in the file, which
-// of several files a start uses, and when one is written. No I/O, no clock.
+// The last node list of a balancer, saved from one start to the next: the file format, which of several
+// files a start uses, and when a file is written. Performs no I/O and reads no clock.
 //
 //   burlfall-list 1
 //   site 3c1f0a9be277d1e4
@@ -9,12 +9,12 @@
 //   node s-5be2a07c 10.1.0.18:9000 ready 0 3 1 0 1
 //   end 1 9f86d081884c7d65...
 //
-// A line a node: its name, with %XX for blanks and control bytes, its address, its state, its zone, cell and
-// kind by their places in the settings, when it was started and its size. The last line has how many there
-// are, and the SHA-256 of all before it.
+// One line per node: its name (blanks and control bytes as %XX), address, state, the indices of its zone,
+// cell and kind in the settings, its start time and its size. The last line holds the number of nodes and
+// the SHA-256 of everything before it.
 //
-// Two files are written in turn. Guards a loss of power, after which the newer may be torn: no write waits
-// for the disk, and the older one has long been on it.
+// Two files are written alternately. After a power failure the newer one may be truncated, because no write
+// waits for the disk; the older one has reached the disk long before.
 #ifndef BURLFALL_START_SAVED_LIST_H_
 #define BURLFALL_START_SAVED_LIST_H_
 
@@ -36,7 +36,7 @@
   std::string address;
   meadowslip::BackendState state = meadowslip::BackendState::kReady;
   int zone = 0, cell = 0, kind = 0;
-  Micros started_at = 0;  // Unix time; 0: long ago
+  Micros started_at = 0;  // Unix time in microseconds; 0: long ago
   double size = 1;
   bool operator==(const SavedNode&) const = default;
 };
@@ -44,8 +44,8 @@
 struct SavedList {
   std::string site;
   uint64_t version = 0;
-  Micros heard_at = 0;  // by the clock on the wall: the list service last said that it is so
-  uint64_t number = 0;  // grows with each write of one balancer
+  Micros heard_at = 0;  // Unix time at which the list service last confirmed the list
+  uint64_t number = 0;  // sequence number of the balancer's writes
   std::vector<SavedNode> nodes;
   bool operator==(const SavedList&) const = default;
 };
@@ -53,11 +53,11 @@
 constexpr size_t kMostSavedNodes = 100000;
 
 std::string WriteSavedList(const SavedList& list);
-// Nothing where any of it can't be what was written; `why` then says so in plain words.
+// Returns nullopt if any part of the text is malformed, and the reason in `why`.
 std::optional<SavedList> ReadSavedList(std::string_view text, std::string& why);
 
-// A site as its lists name it: what the operators call it, and the zones and kinds by whose places lists are
-// read.
+// Returns the site identifier in saved lists: a digest of the site's name and of the zones and kinds whose
+// indices the lists use.
 std::string SiteOf(std::string_view name, const meadowslip::Settings& settings);
 
 struct SavedFile {
@@ -67,19 +67,20 @@
 struct SavedChoice {
   std::optional<SavedList> list;
   Micros age = 0;
-  uint64_t last_number = 0;                                  // of all that could be read, used or not
+  uint64_t last_number = 0;  // highest number of all readable files, used or not
   std::vector<std::pair<std::string, std::string>> refused;  // path and reason
 };
-// The newest that may be used. `wall`: Unix time by the clock on the wall.
+// Chooses the newest usable list. `wall`: current Unix time; `oldest`: maximum age.
 SavedChoice ChooseSavedList(const std::vector<SavedFile>& files, std::string_view site, Micros wall,
                             Micros oldest);
 
-// When the list is to be written, and into which of the two files.
+// Decides when the list is written, and to which of the two files.
 class ListKeeper {
  public:
   ListKeeper(Micros write_every, Micros oldest) : write_every_(write_every), refresh_every_(oldest / 20) {}
 
-  void Found(uint64_t number) { number_ = number; }  // by the start: further writes count on from it
+  // the number that the start found; later writes continue from it
+  void Found(uint64_t number) { number_ = number; }
   void Heard(bool changed) {
     heard_ = true;
     changed_ = changed_ || changed;
@@ -92,7 +93,7 @@
 
  private:
   Micros write_every_;
-  Micros refresh_every_;  // where nothing has changed, so that its age stays true
+  Micros refresh_every_;  // interval of writes without a change, which keep the saved time recent
   uint64_t number_ = 0;
   std::optional<Micros> wrote_at_;
   bool heard_ = false;
--- a/src/start/start_book.h
+++ b/src/start/start_book.h
@@ -1,5 +1,6 @@
-// When a balancer was started of late, as a file keeps it: a process that crashes and is started again, in a
-// loop, costs the list service less with each round. An orderly end closes the book. No I/O, no clock.
+// History of a balancer's recent starts, as stored in a file. A process in a crash loop uses it to delay its
+// calls to the list service further with each restart. An orderly exit clears the history. Performs no I/O
+// and reads no clock.
 #ifndef BURLFALL_START_START_BOOK_H_
 #define BURLFALL_START_START_BOOK_H_
 
@@ -13,17 +14,16 @@
 
 class StartBook {
  public:
-  // What can't be read says nothing: the loop then begins anew.
+  // Malformed text gives an empty history.
   explicit StartBook(std::string_view text = "");
-  // How many starts there were in this span up to now, by the clock on the wall; those that it says are yet
-  // to come are none.
+  // Number of starts in the `span` before `wall` (Unix time). Starts after `wall` are not counted.
   int Within(Micros span, Micros wall) const;
   void Add(Micros wall);
   std::string Text() const;
 
  private:
   static constexpr size_t kMost = 16;
-  std::vector<Micros> starts_;  // the latest last
+  std::vector<Micros> starts_;  // Unix times, in the order of the starts
 };
 
 }  // namespace burlfall::start
