--- a/fuzz/saved_list_fuzz.cpp
+++ b/fuzz/saved_list_fuzz.cpp
@@ -12,7 +12,7 @@
 #include <string_view>
 
 #include "start/saved_list.h"
-#include "start/start_book.h"
+#include "start/start_history.h"
 
 namespace {
 
--- a/src/control/control_front.cpp
+++ b/src/control/control_server.cpp
@@ -1,4 +1,4 @@
-#include "control/control_front.h"
+#include "control/control_server.h"
 
 #include <algorithm>
 #include <optional>
--- a/src/control/control_front.h
+++ b/src/control/control_server.h
@@ -1,6 +1,6 @@
 // The control address, at which operators send commands to this process. One HTTP/1.1 call per connection.
-#ifndef BURLFALL_CONTROL_CONTROL_FRONT_H_
-#define BURLFALL_CONTROL_CONTROL_FRONT_H_
+#ifndef BURLFALL_CONTROL_CONTROL_SERVER_H_
+#define BURLFALL_CONTROL_CONTROL_SERVER_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -58,4 +58,4 @@
 
 }  // namespace burlfall
 
-#endif  // BURLFALL_CONTROL_CONTROL_FRONT_H_
+#endif  // BURLFALL_CONTROL_CONTROL_SERVER_H_
--- a/src/handover/handover.h
+++ b/src/handover/handover.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <string_view>
 
-#include "handover/estate.h"
+#include "handover/handover_state.h"
 #include "io/machine.h"
 #include "observe/log.h"
 
--- a/src/handover/estate.cpp
+++ b/src/handover/handover_state.cpp
@@ -1,4 +1,4 @@
-#include "handover/estate.h"
+#include "handover/handover_state.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/handover/estate.h
+++ b/src/handover/handover_state.h
@@ -16,8 +16,8 @@
 //                I  an operator put the node back
 //                A  drain manually;  W  resume
 //                Q  this process exits in order
-#ifndef BURLFALL_HANDOVER_ESTATE_H_
-#define BURLFALL_HANDOVER_ESTATE_H_
+#ifndef BURLFALL_HANDOVER_HANDOVER_STATE_H_
+#define BURLFALL_HANDOVER_HANDOVER_STATE_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -112,4 +112,4 @@
 
 }  // namespace burlfall
 
-#endif  // BURLFALL_HANDOVER_ESTATE_H_
+#endif  // BURLFALL_HANDOVER_HANDOVER_STATE_H_
--- a/src/membership/discovery.h
+++ b/src/membership/discovery.h
@@ -12,7 +12,7 @@
 #include "membership/list_clock.h"
 #include "membership/source.h"
 #include "observe/counters.h"
-#include "start/asking.h"
+#include "start/call_pacer.h"
 
 namespace burlfall {
 
--- a/src/serve/program.h
+++ b/src/serve/program.h
@@ -15,7 +15,7 @@
 #include "config/platform_config.h"
 #include "config/properties.h"
 #include "config/start_settings.h"
-#include "control/control_front.h"
+#include "control/control_server.h"
 #include "control/operations.h"
 #include "council/council.h"
 #include "dispatch/dispatcher.h"
@@ -33,9 +33,9 @@
 #include "observe/counters.h"
 #include "observe/figures.h"
 #include "observe/log.h"
-#include "start/asking.h"
+#include "start/call_pacer.h"
 #include "start/saved_list.h"
-#include "start/start_book.h"
+#include "start/start_history.h"
 #include "upstream/http_upstream.h"
 
 namespace burlfall {
--- a/src/start/asking.cpp
+++ b/src/start/call_pacer.cpp
@@ -1,4 +1,4 @@
-#include "start/asking.h"
+#include "start/call_pacer.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/start/asking.h
+++ b/src/start/call_pacer.h
@@ -16,8 +16,8 @@
 //   shrink them again. A balancer that has a list to serve from calls no later than ListClock says
 //   (membership/list_clock.h).
 // - Calls are paid from a budget, which refills with time and when a list arrives, but not on a failure.
-#ifndef BURLFALL_START_ASKING_H_
-#define BURLFALL_START_ASKING_H_
+#ifndef BURLFALL_START_CALL_PACER_H_
+#define BURLFALL_START_CALL_PACER_H_
 
 #include <cstdint>
 #include <optional>
@@ -118,4 +118,4 @@
 
 }  // namespace burlfall::start
 
-#endif  // BURLFALL_START_ASKING_H_
+#endif  // BURLFALL_START_CALL_PACER_H_
--- a/src/start/start_book.cpp
+++ b/src/start/start_history.cpp
@@ -1,4 +1,4 @@
-#include "start/start_book.h"
+#include "start/start_history.h"
 
 #include <algorithm>
 
--- a/src/start/start_book.h
+++ b/src/start/start_history.h
@@ -1,8 +1,8 @@
 // History of a balancer's recent starts, as stored in a file. A process in a crash loop uses it to delay its
 // calls to the list service further with each restart. An orderly exit clears the history. Performs no I/O
 // and reads no clock.
-#ifndef BURLFALL_START_START_BOOK_H_
-#define BURLFALL_START_START_BOOK_H_
+#ifndef BURLFALL_START_START_HISTORY_H_
+#define BURLFALL_START_START_HISTORY_H_
 
 #include <string>
 #include <string_view>
@@ -28,4 +28,4 @@
 
 }  // namespace burlfall::start
 
-#endif  // BURLFALL_START_START_BOOK_H_
+#endif  // BURLFALL_START_START_HISTORY_H_
--- a/tests/drills/drills_test.cpp
+++ b/tests/drills/drills_test.cpp
@@ -8,7 +8,7 @@
 #include <cstring>
 #include <thread>
 
-#include "handover/estate.h"
+#include "handover/handover_state.h"
 #include "service/operators.h"
 
 namespace burlfall {
--- a/tests/service/upgrade_test.cpp
+++ b/tests/service/upgrade_test.cpp
@@ -10,7 +10,7 @@
 #include <set>
 #include <thread>
 
-#include "handover/estate.h"
+#include "handover/handover_state.h"
 #include "service/under_load.h"
 
 namespace burlfall {
--- a/tests/start/asking_test.cpp
+++ b/tests/start/call_pacer_test.cpp
@@ -1,13 +1,13 @@
 // When balancers ask the list service: each by itself, and hundreds together against the lab's model of the
 // service.
-#include "start/asking.h"
+#include "start/call_pacer.h"
 
 #include <gtest/gtest.h>
 
 #include <cstdlib>
 
 #include "callers.h"
-#include "start/start_book.h"
+#include "start/start_history.h"
 
 namespace burlfall::start {
 namespace {
--- a/tests/start/callers.h
+++ b/tests/start/callers.h
@@ -15,7 +15,7 @@
 
 #include "lab/script/script.h"
 #include "lab/site/discovery.h"
-#include "start/asking.h"
+#include "start/call_pacer.h"
 
 namespace burlfall::start {
 
