--- a/fuzz/saved_list_fuzz.cpp
+++ b/fuzz/saved_list_fuzz.cpp
@@ -1,6 +1,6 @@
-// Any bytes as a saved list or a book of starts: reading never crashes, and what is taken reads back as the
-// same. The checksum keeps the fuzzer out of the lines, so each input is tried a second time with a right
-// end.
+// Fuzzes reading of a saved list and of a start history: reading never crashes, and accepted input reads
+// back unchanged. The checksum would reject most inputs before their lines are parsed, so each input is
+// tried a second time with a valid last line.
 #include <openssl/evp.h>
 
 #include <array>
@@ -50,8 +50,8 @@
   for (size_t at = 0; (at = lines.find("\nnode ", at)) != std::string::npos; ++at) ++nodes;
   if (!lines.ends_with('\n')) lines += '\n';
   Try(lines + "end " + std::to_string(nodes) + " " + Hex(lines) + "\n");
-  const burlfall::start::StartBook book(text);
-  if (burlfall::start::StartBook(book.Text()).Text() != book.Text()) std::abort();
-  book.Within(burlfall::kSecond, 0);
+  const burlfall::start::StartHistory history(text);
+  if (burlfall::start::StartHistory(history.Text()).Text() != history.Text()) std::abort();
+  history.Within(burlfall::kSecond, 0);
   return 0;
 }
--- a/src/membership/discovery.cpp
+++ b/src/membership/discovery.cpp
@@ -31,7 +31,7 @@
 }  // namespace
 
 Discovery::Discovery(Machine& machine, const Config& config, Counters& counters, Told told,
-                     start::Asking* pace)
+                     start::CallPacer* pace)
     : scheduler_(machine.scheduler()),
       network_(machine.network()),
       machine_(machine),
@@ -69,12 +69,12 @@
   link_.reset();
   following_ = true;
   clock_.Anew(scheduler_.Now());
-  if (pace_ != nullptr) pace_->BeginAnew(scheduler_.Now(), machine_.Draw());
+  if (pace_ != nullptr) pace_->Restart(scheduler_.Now(), machine_.Draw());
   Start({});  // another service may number its versions differently
 }
 
 // Whether the rule on asking applies: a balancer without a list cannot break it.
-bool Discovery::Bound() const { return pace_ == nullptr || pace_->phase() != start::StartPhase::kWithout; }
+bool Discovery::Bound() const { return pace_ == nullptr || pace_->phase() != start::StartPhase::kNoList; }
 
 // Earliest time of the next paced call; after a failed call no later than the list clock says.
 Micros Discovery::TurnAt() const {
@@ -105,7 +105,7 @@
     ++counters_.list_calls;
     const Micros patience = pace_ != nullptr && watch ? wait + kPacedLate
                             : Bound()                 ? clock_.patience(watch, opens)
-                                                      : pace_->patience();
+                                                      : pace_->call_timeout();
     Answer answer = co_await Ask(std::move(path), patience);
     if (!answer.list) {
       opens = true;
@@ -139,12 +139,12 @@
   const Micros now = scheduler_.Now();
   clock_.Ended(now, answer.how, answer.retry_after, machine_.Draw());
   if (pace_ == nullptr) return;
-  start::CallEnd how = start::CallEnd::kDown;
-  if (answer.list) how = news ? start::CallEnd::kNews : start::CallEnd::kNothing;
-  if (answer.how == ListCallEnd::kSilent) how = start::CallEnd::kNoAnswer;
+  start::CallOutcome how = start::CallOutcome::kDown;
+  if (answer.list) how = news ? start::CallOutcome::kChanged : start::CallOutcome::kUnchanged;
+  if (answer.how == ListCallEnd::kSilent) how = start::CallOutcome::kNoAnswer;
   // A call that was rejected after waiting in the queue indicates overload, not a broken service.
   if (answer.how == ListCallEnd::kBusy && (answer.waited || answer.retry_after > 0))
-    how = start::CallEnd::kBusy;
+    how = start::CallOutcome::kBusy;
   pace_->Ended(now, how, now - called_at, answer.retry_after, machine_.Draw());
 }
 
--- a/src/membership/discovery.h
+++ b/src/membership/discovery.h
@@ -20,7 +20,7 @@
  public:
   // `pace` limits when calls are sent and must outlive this object; nullptr: calls are sent on demand.
   Discovery(Machine& machine, const Config& config, Counters& counters, Told told,
-            start::Asking* pace = nullptr);
+            start::CallPacer* pace = nullptr);
   void Start(std::optional<uint64_t> has) override;
   void Follow() override;
   void Again() override;
@@ -47,7 +47,7 @@
   const Config& config_;
   Counters& counters_;
   Told told_;
-  start::Asking* const pace_;
+  start::CallPacer* const pace_;
   ListClock clock_;
   std::unique_ptr<Stream> link_;
   Event asked_;
--- a/src/serve/program.cpp
+++ b/src/serve/program.cpp
@@ -51,9 +51,9 @@
   return std::min(LongestDeadline(settings), kMostWaitedFor) + kKilledAfter - kBeforeKill;
 }
 
-start::AskRules AskRulesFor(const StartSettings& start, const Config& config) {
+start::PacerRules AskRulesFor(const StartSettings& start, const Config& config) {
   const meadowslip::Settings& settings = config.settings;
-  start::AskRules rules;
+  start::PacerRules rules;
   rules.must_ask_within = settings.must_ask_within;
   rules.balancers = start.balancers > 0 ? start.balancers : settings.nodes;
   rules.calls_per_s = start.list_service.calls_per_s;
@@ -187,7 +187,7 @@
   return facts;
 }
 
-start::Asking* Program::PaceFor(const std::optional<StartSettings>& start) {
+start::CallPacer* Program::PaceFor(const std::optional<StartSettings>& start) {
   if (!start) return nullptr;
   if (!start_.saved_list.folder.empty()) {
     keeper_.emplace(static_cast<Micros>(start_.saved_list.write_every_s * static_cast<double>(kSecond)),
@@ -203,7 +203,7 @@
   if (!asking_) return {};
   return [this](Micros patience) -> std::optional<Micros> {
     if (hosts_.Ready() > 0) return std::nullopt;
-    return asking_->Refuses(machine_.Now(), patience, machine_.Draw());
+    return asking_->RetryDelay(machine_.Now(), patience, machine_.Draw());
   };
 }
 
@@ -287,7 +287,7 @@
   if (list != nullptr) {
     const bool changed = list->version != hosts_.version() || (list->full && heard_at_ == 0);
     heard_at_ = machine_.WallClock();
-    if (keeper_) keeper_->Heard(changed);
+    if (keeper_) keeper_->OnConfirmed(changed);
     told = hosts_.Take(*list, machine_.Now());
     upstream_.CloseStaleIdle();
     list_log_->Heard();
@@ -425,7 +425,7 @@
 void Program::ShareByMembers() {
   if (!asking_ || !member_ || start_.balancers > 0) return;
   const size_t known = member_->detector().MaxAliveWithin(machine_.Now(), kCountsFor);
-  asking_->SharedBy(std::max<double>(config_.settings.nodes, static_cast<double>(known)));
+  asking_->SetBalancers(std::max<double>(config_.settings.nodes, static_cast<double>(known)));
 }
 
 // At the edges alone, and far apart, so that a budget that is nearly used up makes few lines.
--- a/src/serve/program.h
+++ b/src/serve/program.h
@@ -104,7 +104,7 @@
   Task<> Begin();
   void BeginAlone();
   std::function<std::optional<Micros>(Micros)> NotReady();
-  start::Asking* PaceFor(const std::optional<StartSettings>& start);
+  start::CallPacer* PaceFor(const std::optional<StartSettings>& start);
   std::string KeptPath(const char* what) const;  // in the folder of the saved list
   std::string ListPath(int file) const;
   start::SavedChoice FindSavedList();
@@ -141,8 +141,8 @@
   RateLimiter door_;
   LinkBudget budget_;
   const StartSettings start_;
-  std::optional<start::Asking> asking_;
-  std::optional<start::ListKeeper> keeper_;
+  std::optional<start::CallPacer> asking_;
+  std::optional<start::SavedListSchedule> keeper_;
   Micros heard_at_ = 0;  // by the clock on the wall: the list service last answered
   HostGroup hosts_;
   std::optional<ListLog> list_log_;  // once the list of the start is taken in
@@ -168,7 +168,7 @@
   Use other_;  // of a hand-over
   bool descriptors_tight_ = false;
   Micros began_at_ = 0;
-  start::StartPhase told_phase_ = start::StartPhase::kWithout;
+  start::StartPhase told_phase_ = start::StartPhase::kNoList;
   bool list_file_bad_ = false;  // and that was told
   bool out_kept_ = true;        // the file says who is out
   Event moved_;
--- a/src/serve/program_saved_list.cpp
+++ b/src/serve/program_saved_list.cpp
@@ -25,7 +25,7 @@
   start::SavedChoice choice = start::ChooseSavedList(
       files, start::SiteOf(start_.saved_list.site, config_.settings), machine_.WallClock(),
       static_cast<Micros>(start_.saved_list.oldest_s * static_cast<double>(kSecond)));
-  keeper_->Found(choice.last_number);
+  keeper_->SetNumber(choice.last_number);
   return choice;
 }
 
@@ -70,7 +70,7 @@
   const std::string path = ListPath(keeper_->NextFile());
   std::string why;
   const bool done = list.nodes.empty() || machine_.files().Replace(path, start::WriteSavedList(list), why);
-  keeper_->Wrote(machine_.Now(), done);
+  keeper_->OnWritten(machine_.Now(), done);
   if (!done && !std::exchange(list_file_bad_, true)) log_.Tell<"saved_list_error">(path, why);
   if (done) list_file_bad_ = false;
 }
@@ -78,7 +78,7 @@
 int Program::BeganBefore() {
   if (start_.saved_list.folder.empty()) return 0;
   const std::string path = KeptPath(".starts");
-  start::StartBook book(machine_.files().Read(path).value_or(""));
+  start::StartHistory book(machine_.files().Read(path).value_or(""));
   const Micros wall = machine_.WallClock();
   const int before = book.Within(asking_->loop_span(), wall);
   book.Add(wall);
--- a/src/start/call_pacer.h
+++ b/src/start/call_pacer.h
@@ -26,7 +26,7 @@
 
 namespace burlfall::start {
 
-struct AskRules {
+struct PacerRules {
   // A balancer that has not called for this long is treated as if it had received what was listed that long
   // ago; after a failed call the limit is four times as long (the settings' Rules.MustAskIn).
   Micros must_ask_within = 10 * kSecond;
@@ -37,55 +37,55 @@
 };
 
 // Outcome of a call.
-enum class CallEnd {
-  kNews,      // a full list or changes that were not known yet
-  kNothing,   // an answer without changes
-  kBusy,      // the service rejected the call as overloaded, or let it wait in its queue for too long
-  kNoAnswer,  // timeout; a network partition gives no other sign
-  kDown,      // refused, reset, or an invalid answer
+enum class CallOutcome {
+  kChanged,    // a full list or changes that were not known yet
+  kUnchanged,  // an answer without changes
+  kBusy,       // the service rejected the call as overloaded, or let it wait in its queue for too long
+  kNoAnswer,   // timeout; a network partition gives no other sign
+  kDown,       // refused, reset, or an invalid answer
 };
 
 // Phase of a balancer's start. NameOf() gives the names that events and counters use.
 enum class StartPhase {
-  kWithout,    // no list: no request can be forwarded
-  kOlder,      // serves from a list received before its start
+  kNoList,     // no list: no request can be forwarded
+  kOldList,    // serves from a list received before its start
   kListed,     // has its list, and delays its watch in favour of balancers without one
   kFollowing,  // watches for changes
 };
 const char* NameOf(StartPhase phase);
 
-class Asking {
+class CallPacer {
  public:
-  // `who`: a hash of the balancer's name, unique among the balancers.
-  Asking(const AskRules& rules, uint64_t who);
+  // `name_hash`: a hash of the balancer's name, unique among the balancers.
+  CallPacer(const PacerRules& rules, uint64_t name_hash);
 
-  // The process has started. `usable`: it has a list to serve from. `before`: how often this balancer was
-  // started within loop_span() without an orderly exit.
-  void Begin(Micros now, bool usable, double draw, int before = 0);
+  // The process has started. `has_list`: it has a list to serve from. `recent_starts`: how often this
+  // balancer was started within loop_span() without an orderly exit.
+  void Begin(Micros now, bool has_list, double draw, int recent_starts = 0);
   Micros loop_span() const;
   // The balancer was pointed at another list service, and the call in progress was abandoned. All balancers
   // may be told at the same moment, so the first call waits for this balancer's turn, but no longer than
   // Rules.MustAskIn allows since the last answer. The budget carries over.
-  void BeginAnew(Micros now, double draw);
+  void Restart(Micros now, double draw);
   // Sets the number of balancers that call the service, as known by now. Applies to later calls.
-  void SharedBy(double balancers);
+  void SetBalancers(double balancers);
   Micros next_at() const { return next_at_; }  // earliest time of the next call
   // A call was sent. `watch`: it waits for changes.
   void Called(Micros now, bool watch);
-  // The call ended. `in_line`: how long the answer took, for a call that does not wait for changes.
+  // The call ended. `queue_time`: how long the answer took, for a call that does not wait for changes.
   // `retry_after`: what the service asked for; 0: nothing.
-  void Ended(Micros now, CallEnd how, Micros in_line, Micros retry_after, double draw);
+  void Ended(Micros now, CallOutcome how, Micros queue_time, Micros retry_after, double draw);
 
-  // For a query that arrives while there is no list and may wait `patience`. Returns after what time its
+  // For a query that arrives while there is no list and may wait `max_wait`. Returns after what time its
   // client should retry, if the list cannot be there within half of that time; nullopt if the query may
   // wait. The time is randomized so that refused clients do not return at the same moment.
-  std::optional<Micros> Refuses(Micros now, Micros patience, double draw) const;
+  std::optional<Micros> RetryDelay(Micros now, Micros max_wait, double draw) const;
 
   // The longest wait that a watch requests from the service.
   Micros watch_wait() const;
   // Timeout of a call that does not wait for changes. It is long, so that a call in the service's queue is
   // not abandoned and replaced by one at the end of the queue.
-  Micros patience() const;
+  Micros call_timeout() const;
 
   StartPhase phase() const { return phase_; }
   // Round: the minimum time in which the service can give a list to every balancer. Window: the time over
@@ -96,21 +96,21 @@
   double budget(Micros now) const;             // remaining budget, in calls
 
  private:
-  Micros Part(double rounds) const;  // a number of rounds, multiplied by the stretch
-  Micros Longest() const;            // maximum time between two calls after a failure
+  Micros Stretched(double rounds) const;  // a number of rounds, multiplied by the stretch
+  Micros MaxRetryDelay() const;           // maximum time between two calls after a failure
   void Refill(Micros now);
-  Micros Missing() const;
+  Micros BudgetDelay() const;
 
-  AskRules rules_;
-  const uint64_t who_;
+  PacerRules rules_;
+  const uint64_t name_hash_;
   Micros round_;
   Micros next_at_ = 0;
   Micros began_at_ = 0;
-  Micros told_at_ = 0;  // when the last list arrived; 0: none since the start
-  bool watching_ = false;
-  bool out_ = false;     // a call is in progress
-  bool failed_ = false;  // the last call failed
-  StartPhase phase_ = StartPhase::kWithout;
+  Micros last_list_at_ = 0;  // when the last list arrived; 0: none since the start
+  bool in_watch_ = false;
+  bool in_call_ = false;  // a call is in progress
+  bool failed_ = false;   // the last call failed
+  StartPhase phase_ = StartPhase::kNoList;
   double stretch_ = 1;
   double budget_ = 0;
   Micros refilled_at_ = 0;
--- a/src/start/saved_list.cpp
+++ b/src/start/saved_list.cpp
@@ -20,7 +20,7 @@
 constexpr std::string_view kStates[] = {"ready", "draining"};
 // Accepted clock difference between the writer and the reader, for two machines or a clock that was
 // adjusted.
-constexpr Micros kClocksApart = 60 * kSecond;
+constexpr Micros kMaxClockDifference = 60 * kSecond;
 constexpr size_t kSiteDigits = 16;
 
 std::string Digest(std::string_view text) {
@@ -36,7 +36,7 @@
   return hex;
 }
 
-bool Real(std::string_view word, double& value) {
+bool ParseNonNegative(std::string_view word, double& value) {
   const auto [end, error] = std::from_chars(word.data(), word.data() + word.size(), value);
   return error == std::errc() && end == word.data() + word.size() && std::isfinite(value) && value >= 0;
 }
@@ -57,7 +57,7 @@
   node.state = state == kStates ? BackendState::kReady : BackendState::kDraining;
   return WholeNumber(NextWord(line), node.zone) && WholeNumber(NextWord(line), node.cell) &&
          WholeNumber(NextWord(line), node.kind) && WholeNumber(NextWord(line), node.started_at) &&
-         Real(NextWord(line), node.size) && line.empty();
+         ParseNonNegative(NextWord(line), node.size) && line.empty();
 }
 
 // Reads a line such as "heard 171..." and parses its value.
@@ -76,7 +76,7 @@
 
 std::string WriteSavedList(const SavedList& list) {
   std::string out(kFirstLine);
-  const auto put = [&out](std::string_view word) { out.append(" ").append(word); };
+  const auto append_word = [&out](std::string_view word) { out.append(" ").append(word); };
   out.append("\nsite ").append(Escaped(list.site));
   out.append("\nversion ").append(std::to_string(list.version));
   out.append("\nheard ").append(std::to_string(list.heard_at));
@@ -86,15 +86,15 @@
     if (node.state == BackendState::kGone || node.name.empty()) continue;
     ++nodes;
     out.append("node");
-    put(Escaped(node.name));
-    put(Escaped(node.address));
-    put(kStates[node.state == BackendState::kReady ? 0 : 1]);
-    put(std::to_string(node.zone));
-    put(std::to_string(node.cell));
-    put(std::to_string(node.kind));
-    put(std::to_string(node.started_at));
+    append_word(Escaped(node.name));
+    append_word(Escaped(node.address));
+    append_word(kStates[node.state == BackendState::kReady ? 0 : 1]);
+    append_word(std::to_string(node.zone));
+    append_word(std::to_string(node.cell));
+    append_word(std::to_string(node.kind));
+    append_word(std::to_string(node.started_at));
     char size[32];
-    put({size, static_cast<size_t>(std::to_chars(size, size + sizeof size, node.size).ptr - size)});
+    append_word({size, static_cast<size_t>(std::to_chars(size, size + sizeof size, node.size).ptr - size)});
     out.append("\n");
   }
   const std::string digest = Digest(out);
@@ -114,20 +114,20 @@
   }
   std::set<std::string> names;
   while (true) {
-    const size_t read = whole.size() - text.size();
+    const size_t body_size = whole.size() - text.size();
     if (!NextLine(text, line)) return {};
     const std::string_view what = NextWord(line);
     if (what == "node") {
       SavedNode node;
-      if (list.nodes.size() >= kMostSavedNodes || !ReadNode(line, node)) return {};
+      if (list.nodes.size() >= kMaxSavedNodes || !ReadNode(line, node)) return {};
       if (!names.insert(node.name).second) return {};
       list.nodes.push_back(std::move(node));
       continue;
     }
     size_t count = 0;
-    const bool right = what == "end" && WholeNumber(NextWord(line), count) && count == list.nodes.size();
-    const std::string digest = Digest(whole.substr(0, read));
-    if (!right || digest.empty() || line != digest || !text.empty()) return {};
+    const bool is_end = what == "end" && WholeNumber(NextWord(line), count) && count == list.nodes.size();
+    const std::string digest = Digest(whole.substr(0, body_size));
+    if (!is_end || digest.empty() || line != digest || !text.empty()) return {};
     why.clear();
     return list;
   }
@@ -159,7 +159,7 @@
         why = "it is of another site";
       } else if (age > oldest) {
         why.append(std::to_string(age / kSecond)).append(" s old by the clock, which is too old");
-      } else if (age < -kClocksApart) {
+      } else if (age < -kMaxClockDifference) {
         why.append(std::to_string(-age / kSecond)).append(" s from the future by the clock");
       } else if (list->nodes.empty()) {
         why = "it has no nodes";
@@ -175,18 +175,18 @@
   return choice;
 }
 
-bool ListKeeper::Due(Micros now) const {
-  if (!heard_) return false;
-  if (!wrote_at_) return true;
-  const Micros since = now - *wrote_at_;
+bool SavedListSchedule::Due(Micros now) const {
+  if (!confirmed_) return false;
+  if (!written_at_) return true;
+  const Micros since = now - *written_at_;
   return since >= (changed_ ? write_every_ : std::max(write_every_, refresh_every_));
 }
 
-void ListKeeper::Wrote(Micros now, bool done) {
-  wrote_at_ = now;
+void SavedListSchedule::OnWritten(Micros now, bool done) {
+  written_at_ = now;
   if (!done) return;
   ++number_;
-  heard_ = changed_ = false;
+  confirmed_ = changed_ = false;
 }
 
 }  // namespace burlfall::start
--- a/src/start/saved_list.h
+++ b/src/start/saved_list.h
@@ -50,7 +50,7 @@
   bool operator==(const SavedList&) const = default;
 };
 
-constexpr size_t kMostSavedNodes = 100000;
+constexpr size_t kMaxSavedNodes = 100000;
 
 std::string WriteSavedList(const SavedList& list);
 // Returns nullopt if any part of the text is malformed, and the reason in `why`.
@@ -75,28 +75,29 @@
                             Micros oldest);
 
 // Decides when the list is written, and to which of the two files.
-class ListKeeper {
+class SavedListSchedule {
  public:
-  ListKeeper(Micros write_every, Micros oldest) : write_every_(write_every), refresh_every_(oldest / 20) {}
+  SavedListSchedule(Micros write_every, Micros oldest)
+      : write_every_(write_every), refresh_every_(oldest / 20) {}
 
   // the number that the start found; later writes continue from it
-  void Found(uint64_t number) { number_ = number; }
-  void Heard(bool changed) {
-    heard_ = true;
+  void SetNumber(uint64_t number) { number_ = number; }
+  void OnConfirmed(bool changed) {
+    confirmed_ = true;
     changed_ = changed_ || changed;
   }
   bool changed() const { return changed_; }
   bool Due(Micros now) const;
   uint64_t NextNumber() const { return number_ + 1; }
   int NextFile() const { return static_cast<int>(NextNumber() % 2); }
-  void Wrote(Micros now, bool done);
+  void OnWritten(Micros now, bool done);
 
  private:
   Micros write_every_;
   Micros refresh_every_;  // interval of writes without a change, which keep the saved time recent
   uint64_t number_ = 0;
-  std::optional<Micros> wrote_at_;
-  bool heard_ = false;
+  std::optional<Micros> written_at_;
+  bool confirmed_ = false;
   bool changed_ = false;
 };
 
--- a/src/start/start_history.h
+++ b/src/start/start_history.h
@@ -12,17 +12,17 @@
 
 namespace burlfall::start {
 
-class StartBook {
+class StartHistory {
  public:
   // Malformed text gives an empty history.
-  explicit StartBook(std::string_view text = "");
+  explicit StartHistory(std::string_view text = "");
   // Number of starts in the `span` before `wall` (Unix time). Starts after `wall` are not counted.
   int Within(Micros span, Micros wall) const;
   void Add(Micros wall);
   std::string Text() const;
 
  private:
-  static constexpr size_t kMost = 16;
+  static constexpr size_t kMaxStarts = 16;
   std::vector<Micros> starts_;  // Unix times, in the order of the starts
 };
 
--- a/tests/membership/list_clock_test.cpp
+++ b/tests/membership/list_clock_test.cpp
@@ -15,7 +15,7 @@
 
 // For any settings: a silent watch is found out and its successor has stood in line before what was missed
 // counts.
-TEST(ListClock, ASilentWatchIsFoundOutWithTimeLeftToStandInLine) {
+TEST(ListClock, ASilentWatchIsDetectedWithTimeLeftToQueue) {
   for (Micros must_ask : {200 * kMs, kSecond, 2 * kSecond, 10 * kSecond, 60 * kSecond, 3600 * kSecond}) {
     ListClock clock({.must_ask_within = must_ask});
     clock.Called(0, true);
@@ -28,7 +28,7 @@
   }
 }
 
-TEST(ListClock, WhatAWatchMissedCountsSixSecondsAfterItWasCalledAtTheEarliest) {
+TEST(ListClock, AMissedChangeCountsNoEarlierThanSixSecondsAfterTheCall) {
   ListClock clock(kAsked);
   clock.Called(100 * kSecond, true);
   clock.Ended(103 * kSecond, kSilent, 0, 0);
@@ -42,7 +42,7 @@
   EXPECT_EQ(clock.ask_at(), kNever);
 }
 
-TEST(ListClock, ACallThatIsTurnedAwayAfterASilenceIsFollowedByOthersInTime) {
+TEST(ListClock, ACallRejectedAfterASilenceIsRetriedInTime) {
   for (double draw : {0.0, 0.5, 0.999}) {
     ListClock clock(kAsked);
     clock.Called(0, true);
@@ -62,7 +62,7 @@
 
 // Whatever the settings give for asking: a change counts 6 s after the service had it and could be reached.
 // The call after a failure may be turned away once more after 2 s in line, and one more stands in it.
-TEST(ListClock, AfterAnyFailureTheServiceIsAskedInTimeForAChangeOfTheNextMoment) {
+TEST(ListClock, AfterAnyFailureTheNextCallIsInTimeForAChangeRightAfterIt) {
   for (Micros must_ask : {kSecond, 10 * kSecond, 60 * kSecond, 3600 * kSecond}) {
     for (ListCallEnd how : {kBusy, kDown}) {
       for (double draw : {0.0, 0.5, 0.999}) {
@@ -81,7 +81,7 @@
 
 // As far as may be, with the same room. What it says to all that it turned away in one moment, each follows
 // at a time of its own.
-TEST(ListClock, ARetryAfterIsHeededAsFarAsMayBe) {
+TEST(ListClock, ARetryAfterIsObeyedWithinLimits) {
   for (Micros must_ask : {kSecond, 10 * kSecond, 60 * kSecond, 3600 * kSecond}) {
     for (Micros asked_for : {100 * kMs, kSecond, 3 * kSecond, 86400 * kSecond}) {
       Micros least = kNever, most = 0;
@@ -100,7 +100,7 @@
 }
 
 // What the service has counts at once: each pause is a part of the grace.
-TEST(ListClock, WherePushedItIsAskedAgainWithinAPartOfTheGraceAfterAnyEnd) {
+TEST(ListClock, WithPushedListsTheNextCallIsWithinAPartOfTheGrace) {
   for (Micros grace : {20 * kMs, 100 * kMs, 750 * kMs, 10 * kSecond}) {
     for (ListCallEnd how : {kBusy, kDown, kSilent}) {
       ListClock clock({.pushed = true, .drain_grace = grace});
@@ -118,7 +118,7 @@
 }
 
 // What the service before did buys the new one no patience: it is found silent, and asked again, in time.
-TEST(ListClock, AnotherServiceIsAskedAsIfNothingHadFailedYetAndCountsFourSecondsLater) {
+TEST(ListClock, ANewServiceStartsWithoutFailuresAndCountsAfterFourSeconds) {
   ListClock clock(kAsked);
   const Micros patience = clock.patience(false, true);
   Micros now = 0;
@@ -136,7 +136,7 @@
   EXPECT_LE(clock.counts_at(), now + 4 * kSecond);  // a silence puts nothing off
 }
 
-TEST(ListClock, ALineThatIsLongerThanThePatienceIsWaitedForTheSecondTime) {
+TEST(ListClock, AQueueLongerThanTheTimeoutIsWaitedForTheSecondTime) {
   ListClock clock(kAsked);
   const Micros first = clock.patience(false, true);
   clock.Called(0, false);
--- a/tests/membership/list_forms_test.cpp
+++ b/tests/membership/list_forms_test.cpp
@@ -49,7 +49,7 @@
 
 // Also where it still answers, and also as the answer to a watch: the upstream sees it gone at once, and the
 // module hears a whole list.
-TEST_F(ListForms, WhatAWholeListDoesNotNameIsGone) {
+TEST_F(ListForms, HostsMissingFromAFullListAreGone) {
   hosts.Take(List(1, true, {{"a"}, {"b"}, {"c", kDraining}}), now);
   for (uint64_t version : {2, 2, 1}) {  // newer, the same once more, and one from before
     const BackendList told = hosts.Take(List(version, true, {{"a"}}), now);
@@ -66,7 +66,7 @@
 }
 
 // Where the settings say that gone alone does not bind, a listed drain ends sends, and nothing else.
-TEST_F(ListForms, WhereGoneDoesNotBindWhoIsNotNamedStaysAsItWas) {
+TEST_F(ListForms, WithoutBindingRemovalMissingHostsKeepTheirState) {
   settings.gone_binds = false;
   hosts.Take(List(1, true, {{"a"}, {"b", kDraining}}), now);
   hosts.Take(List(2, true, {}), now);
@@ -74,7 +74,7 @@
   EXPECT_EQ(Called("b")->state, kDraining);
 }
 
-TEST_F(ListForms, ChangesOfNothingChangeNothing) {
+TEST_F(ListForms, AnEmptyChangeListChangesNothing) {
   hosts.Take(List(1, true, {{"a"}, {"b", kDraining}}), now);
   const BackendList told = hosts.Take(List(2, false, {}), now);
   EXPECT_EQ(told.kind, ListKind::kChanges);
@@ -84,7 +84,7 @@
   EXPECT_EQ(hosts.version(), 2u);
 }
 
-TEST_F(ListForms, WhoIsUnknownAndGoneIsNobody) {
+TEST_F(ListForms, AHostFirstListedAsGoneIsNotReadyAndKeepsItsId) {
   hosts.Take(List(1, true, {{"a"}}), now);
   const BackendList told = hosts.Take(List(2, false, {{"x", kGone}}), now);
   ASSERT_EQ(told.entries.size(), 1u);
@@ -97,7 +97,7 @@
 }
 
 // The last word of one list holds, whatever it said before in the same one.
-TEST_F(ListForms, OneThatIsNamedTwiceIsAsItWasNamedLast) {
+TEST_F(ListForms, TheLastEntryOfAHostNamedTwiceApplies) {
   hosts.Take(List(1, true, {{"a"}, {"a", kDraining}}), now);
   EXPECT_EQ(Called("a")->state, kDraining);
   hosts.Take(List(2, false, {{"a", kReady}, {"a", kGone}}), now);
@@ -105,7 +105,7 @@
 }
 
 // Links to its earlier life are of no use, and a new start is told as one.
-TEST_F(ListForms, OneThatComesBackElsewhereOrNewerIsAnotherLife) {
+TEST_F(ListForms, ANewAddressOrStartTimeIsANewGeneration) {
   hosts.Take(List(1, true, {{"a"}}), now);
   const uint64_t first = Called("a")->era;
   hosts.Take(List(2, false, {{"a", kGone}}), now);
--- a/tests/membership/watch_test.cpp
+++ b/tests/membership/watch_test.cpp
@@ -112,7 +112,7 @@
 // The module's part: it asks once, at the start, and never again.
 Played Play(const Service::Script& script, Micros length, bool pushed = false,
             std::optional<uint64_t> has = 1, Micros must_ask = 10 * kSecond, uint64_t seed = 7,
-            start::Asking* pace = nullptr) {
+            start::CallPacer* pace = nullptr) {
   world::World world(kBegin, seed);
   world::VirtualMachine machine(world);
   Config config;
@@ -145,7 +145,7 @@
 
 Micros WaitIn(const std::string& path) { return std::stoll(path.substr(path.find("wait=") + 5)) * kMs; }
 
-TEST(Watch, WhoHasAListBeginsWithItsVersionAndTakesOnePlaceInTheLine) {
+TEST(Watch, AWatchWithAListStartsFromItsVersionWithOneQueuedCall) {
   const Played played = Play(
       [](size_t, const std::string& path, Micros) {
         return Service::Say{Ok(kNothing), WaitIn(path)};
@@ -158,7 +158,7 @@
   }
 }
 
-TEST(Watch, WhoHasNoneAsksForTheWholeListFirst) {
+TEST(Watch, WithoutAListTheFullListIsFetchedFirst) {
   const Played played = Play([](size_t call, const std::string&,
                                 Micros) { return call == 0 ? Service::Say{Ok(kWhole)} : Service::Say{}; },
                              kSecond, false, {});
@@ -170,7 +170,7 @@
 // Silent from any call of the watch on, with the service's line before the answer that comes: heard before
 // what was missed counts, whatever time the settings give for asking, and though the module does not ask
 // again.
-TEST(Watch, AfterASilenceTheListIsHeardBeforeWhatWasMissedCounts) {
+TEST(Watch, AfterASilenceTheListArrivesBeforeMissedChangesCount) {
   for (Micros must_ask : {kSecond, 10 * kSecond, 120 * kSecond}) {
     for (size_t silent : {0u, 1u, 3u}) {
       size_t tried = 0;
@@ -196,7 +196,7 @@
 }
 
 // A poll as well: the whole list, asked for once, and not a word.
-TEST(Watch, APollThatFallsSilentIsAskedAnewInTime) {
+TEST(Watch, ASilentPollIsRetriedInTime) {
   const Played played = Play([](size_t call, const std::string&,
                                 Micros) { return call == 0 ? Service::Say{} : Service::Say{Ok(kWhole)}; },
                              6 * kSecond, false, {});
@@ -205,7 +205,7 @@
 }
 
 // What the service has counts from the first moment, through any end of a call: nobody has to ask for it.
-TEST(Watch, WhereListsArePushedItIsFollowedFromTheFirstMomentAndThroughEveryEnd) {
+TEST(Watch, PushedListsAreFollowedFromTheStartAndAfterEveryFailure) {
   const Played played = Play(
       [](size_t call, const std::string& path, Micros) {
         if (call % 4 == 1) return Service::Say{.reset = true};
@@ -246,7 +246,7 @@
 
 // A change counts as told 6 s after the service had it and could be reached, whatever the settings give for
 // asking, whatever the service says of coming back, and though the module does not ask again.
-TEST(Watch, AfterAnOutageTheListIsHeardSixSecondsAfterTheServiceCouldBeReached) {
+TEST(Watch, AfterAnOutageTheListArrivesWithinSixSeconds) {
   const Service::Say aways[] = {{std::string(kBusy)},
                                 {std::string(kBusyForAnHour)},
                                 {std::string(kBusyForAnHour), 2 * kSecond},  // stood in line first
@@ -272,12 +272,12 @@
 
 // Paced starts as well, once there is a list to send by: their turns may be a minute apart where hundreds
 // share a service, and grow with its refusals.
-TEST(Watch, WhereStartsArePacedTheSameHoldsOnceThereIsAList) {
+TEST(Watch, PacedCallsMeetTheSameLimitOnceThereIsAList) {
   for (const std::string_view away : {kBusy, kBusyForAnHour}) {
     for (uint64_t seed = 1; seed <= 12; ++seed) {
       const Micros back = 4 * kSecond + static_cast<Micros>(seed) * 700 * kMs;
-      start::Asking pace({.must_ask_within = 60 * kSecond, .balancers = 300, .calls_per_s = 50, .number = 30},
-                         seed);
+      start::CallPacer pace(
+          {.must_ask_within = 60 * kSecond, .balancers = 300, .calls_per_s = 50, .number = 30}, seed);
       pace.Begin(kBegin, true, 0);
       const Played played = Play(
           [&](size_t, const std::string& path, Micros at) {
@@ -295,8 +295,9 @@
 }
 
 // And a call that falls silent is found out in time, where there is a list to send by.
-TEST(Watch, WhereStartsArePacedASilentCallIsFollowedInTimeOnceThereIsAList) {
-  start::Asking pace({.must_ask_within = 60 * kSecond, .balancers = 300, .calls_per_s = 50, .number = 30}, 1);
+TEST(Watch, PacedSilentCallsAreRetriedInTimeOnceThereIsAList) {
+  start::CallPacer pace({.must_ask_within = 60 * kSecond, .balancers = 300, .calls_per_s = 50, .number = 30},
+                        1);
   pace.Begin(kBegin, true, 0);
   const Played played = Play(
       [&](size_t call, const std::string& path, Micros) {
@@ -310,8 +311,9 @@
 }
 
 // Without a list nothing can be sent, and no rule broken: there the pace alone holds.
-TEST(Watch, WhereStartsArePacedWhoHasNoListKeepsToItsTurns) {
-  start::Asking pace({.must_ask_within = 10 * kSecond, .balancers = 300, .calls_per_s = 5, .number = 0}, 1);
+TEST(Watch, PacedCallsWithoutAListWaitForTheirTurns) {
+  start::CallPacer pace({.must_ask_within = 10 * kSecond, .balancers = 300, .calls_per_s = 5, .number = 0},
+                        1);
   pace.Begin(kBegin, false, 0);
   const Played played =
       Play([](size_t, const std::string&, Micros) { return Service::Say{std::string(kBusy)}; }, 60 * kSecond,
@@ -320,7 +322,7 @@
 }
 
 // All were turned away in one moment, with one word for all: they don't come back as one.
-TEST(Watch, WhoWasToldToComeBackLaterComesBackAtATimeOfItsOwn) {
+TEST(Watch, RetriesAfterARetryAfterAreSpreadOut) {
   std::vector<Micros> again;
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     const Played played =
@@ -336,7 +338,7 @@
 }
 
 // What the agent has counts at once: no word of later puts the call off.
-TEST(Watch, WherePushedARetryAfterIsNotHeeded) {
+TEST(Watch, WithPushedListsRetryAfterIsIgnored) {
   const Played played = Play(
       [](size_t call, const std::string& path, Micros) {
         if (call < 3) return Service::Say{std::string(kBusyForAnHour)};
@@ -348,7 +350,7 @@
 }
 
 // Thousands of nodes, indented.
-TEST(Watch, AListOfAMegabyteIsHeard) {
+TEST(Watch, AListOfAMegabyteIsAccepted) {
   const Played played = Play(
       [](size_t, const std::string&, Micros) {
         return Service::Say{
@@ -358,7 +360,7 @@
   EXPECT_FALSE(played.heard.empty());
 }
 
-TEST(Watch, AServiceThatCountsFromFurtherBackIsAskedForItsWholeList) {
+TEST(Watch, AServiceWithLowerVersionsIsAskedForItsFullList) {
   const Played played = Play(
       [](size_t call, const std::string&, Micros) {
         if (call == 0) return Service::Say{Ok(R"({"version":3,"full":false,"servers":[]})")};
@@ -437,7 +439,7 @@
 }
 
 // Whatever the old place did before, and whatever time the settings give for asking.
-TEST(Reload, TheNewPlacesListIsHeardWithinFourSecondsThoughItIsSilentAtFirst) {
+TEST(Reload, TheNewServicesListArrivesWithinFourSecondsThoughItIsSilentAtFirst) {
   for (Micros must_ask : {kSecond, 10 * kSecond, 60 * kSecond}) {
     for (Micros at : {kSecond, 4 * kSecond, 30 * kSecond}) {
       const Reloaded played = PlayReloads(
@@ -454,7 +456,7 @@
   }
 }
 
-TEST(Reload, TheNewPlacesListIsHeardWithinFourSecondsThoughItRefusesAtFirst) {
+TEST(Reload, TheNewServicesListArrivesWithinFourSecondsThoughItRefusesAtFirst) {
   for (bool pushed : {false, true}) {
     for (Micros must_ask : {kSecond, 10 * kSecond, 60 * kSecond}) {
       for (const char* how : {"reset", "503", "hour", "500"}) {
@@ -475,7 +477,7 @@
   }
 }
 
-TEST(Reload, ToTheSamePlaceAsksForItsWholeListAtOnce) {
+TEST(Reload, ToTheSameAddressFetchesTheFullListAtOnce) {
   const Reloaded played =
       PlayReloads([](size_t, const std::string& path, Micros now) { return NewPlace(path, now); }, Silent(),
                   {{700 * kMs, false}}, 2 * kSecond);
@@ -488,7 +490,7 @@
 }
 
 // The first word's call is given up wherever it stands: the last word holds.
-TEST(Reload, OfTwoInARowTheLastHolds) {
+TEST(Reload, TheLastOfTwoReloadsApplies) {
   for (Micros between : {Micros{0}, Micros{1}, Micros{2}, Micros{3}, Micros{5}, 20 * kMs, 400 * kMs}) {
     for (bool back : {false, true}) {
       const Reloaded played = PlayReloads(
@@ -508,7 +510,7 @@
 }
 
 // The old place's answer and the word of the new place within a few turns of each other, in every order.
-TEST(Reload, AnAnswerInTheSameTurnIsHeardOrGivenUpAndTheNewPlaceIsAskedForItsWholeList) {
+TEST(Reload, AnAnswerInTheSameTurnIsUsedOrDroppedAndTheNewServicesFullListIsFetched) {
   size_t both = 0, one = 0;
   for (Micros shift = -12; shift <= 12; ++shift) {
     const Reloaded played = PlayReloads(
@@ -528,7 +530,7 @@
 }
 
 // Before the source is started somebody else may yet hand over the list: whoever starts it says what it has.
-TEST(Reload, BeforeTheStartNothingIsAskedYet) {
+TEST(Reload, BeforeTheStartNoCallIsMade) {
   world::World world(kBegin, 7);
   world::VirtualMachine machine(world);
   Config config;
@@ -559,7 +561,7 @@
 // ---- Forms of an answer ----------------------------------------------------------------------------------
 
 // In order, with an answer and without one, instead of telling: there may be news.
-TEST(Watch, OneThatEndsInsteadOfTellingIsFollowedByAnotherInTime) {
+TEST(Watch, AWatchThatEndsWithoutNewsIsRetriedInTime) {
   for (bool answers : {false, true}) {
     for (uint64_t seed = 1; seed <= 8; ++seed) {
       const Played played = Play(
@@ -583,7 +585,7 @@
 }
 
 // As long as a list is coming it is no silence, but one that never comes whole is: bytes buy no time.
-TEST(Watch, BytesThatTrickleBuyNoTime) {
+TEST(Watch, TricklingBytesDoNotExtendTheTimeout) {
   const Played played = Play(
       [](size_t call, const std::string& path, Micros) {
         if (call == 0) return Service::Say{.what = Ok(std::string(4096, ' ')), .each = 50 * kMs};
@@ -597,7 +599,7 @@
 }
 
 // Indented, one byte at a time; and the whole list as the answer to a watch.
-TEST(Watch, AnIndentedListThatComesByteByByteIsHeard) {
+TEST(Watch, AnIndentedListThatArrivesByteByByteIsAccepted) {
   const std::string list = "{\n  \"version\": 9,\r\n\t\"full\": true,\n  \"servers\": [\n  ]\n}\n";
   const Played played = Play(
       [&](size_t call, const std::string& path, Micros) {
@@ -612,7 +614,7 @@
 }
 
 // Two silences in a row, the second of a call that stands in line: each is found out with time left.
-TEST(Watch, ASecondSilenceInARowIsFoundOutInTimeAsWell) {
+TEST(Watch, ASecondConsecutiveSilenceIsDetectedInTime) {
   for (uint64_t seed = 1; seed <= 12; ++seed) {
     Micros second = 0;
     const Played played = Play(
@@ -628,7 +630,7 @@
 }
 
 // A line that takes longer than a call is waited for at first: once in a row it is waited out.
-TEST(Watch, ALineOfFiveSecondsIsHeardInTheEnd) {
+TEST(Watch, AQueueOfFiveSecondsIsWaitedForEventually) {
   const Played played = Play(
       [](size_t call, const std::string& path, Micros) {
         return Service::Say{Ok(path.find("wait=") == std::string::npos ? kWhole : kNothing),
@@ -639,7 +641,7 @@
 }
 
 // What can't be read is no word of later, and what can is bounded, whatever it says.
-TEST(Watch, NoRetryAfterPutsTheNextCallOffForLong) {
+TEST(Watch, NoRetryAfterDelaysTheNextCallForLong) {
   for (const char* value : {"", "-1", "nan", "inf", "1e999", "99999999999999999999999", "0", "1e-9",
                             "0x7fffffff", "Wed, 21 Oct 2026 07:28:00 GMT", "5;5", "1 1"}) {
     const Played played = Play(
@@ -656,7 +658,7 @@
 }
 
 // It is no list, and not asked for in a loop; nor does it stand in the way of the next one.
-TEST(Watch, AListOfHostileSizeIsACallThatFailed) {
+TEST(Watch, AnOversizedListIsAFailedCall) {
   const Played played = Play(
       [](size_t call, const std::string&, Micros) {
         if (call > 1) return Service::Say{Ok(kWhole)};
@@ -671,7 +673,7 @@
 }
 
 // Two answers to one call, at once or one by one: the second is nobody's.
-TEST(Watch, ASecondAnswerIsNotTakenForThatOfTheNextCall) {
+TEST(Watch, ASecondAnswerIsNotUsedForTheNextCall) {
   for (size_t cut : {size_t{0}, size_t{1}, size_t{40}}) {
     const std::string second = Ok(R"({"version":5,"full":false,"servers":[]})");
     const Played played = Play(
@@ -691,7 +693,7 @@
 }
 
 // A service whose changes are always older than what it has just listed is not asked without a pause.
-TEST(Watch, AServiceThatCountsFromFurtherBackEachTimeIsNotAskedInALoop) {
+TEST(Watch, AServiceWithEverLowerVersionsIsNotCalledInALoop) {
   const Played played = Play(
       [](size_t, const std::string& path, Micros) {
         const bool watch = path.find("wait=") != std::string::npos;
@@ -704,7 +706,7 @@
 
 // An answer that was written while the process stood still, past the end of its patience, is heard: it counts
 // as told.
-TEST(Watch, AnAnswerThatCameWhileTheProcessStoodStillIsHeardThoughItsTimeIsOver) {
+TEST(Watch, AnAnswerThatArrivedDuringASuspensionIsUsedAfterItsTimeout) {
   const Played played = Play(
       [](size_t call, const std::string&, Micros) {
         if (call > 0) return Service::Say{};
--- a/tests/service/control_call_test.cpp
+++ b/tests/service/control_call_test.cpp
@@ -33,7 +33,7 @@
   return answer.substr(9, 3);
 }
 
-TEST(ControlCall, EachCallIsToldAndAnswered) {
+TEST(ControlCall, EachCallIsExecutedAndAnswered) {
   Told told;
   EXPECT_EQ(Ask(told, "POST", "/nodes/s-5be2a07c/maint"), "200");
   EXPECT_EQ(told.last, "out s-5be2a07c");
@@ -48,7 +48,7 @@
   EXPECT_EQ(Ask(told, "GET", "/healthcheck"), "503");
 }
 
-TEST(ControlCall, ANoSaysWhichNo) {
+TEST(ControlCall, EachRefusalHasItsStatus) {
   Told told;
   told.verdict = Verdict::kUnknown;
   EXPECT_EQ(Ask(told, "POST", "/nodes/s-1/maint"), "404");
@@ -58,7 +58,7 @@
   EXPECT_EQ(Ask(told, "POST", "/nodes/s-1/maint"), "500");
 }
 
-TEST(ControlCall, WhatIsNoCallChangesNothing) {
+TEST(ControlCall, InvalidCallsChangeNothing) {
   Told told;
   for (const char* target : {"/", "/up", "/nodes/", "/nodes/s-1", "/nodes/s-1/", "/nodes/s-1/maint/",
                              "/nodes", "/healthcheck/", "/nodes/a/b/maint"}) {
@@ -76,7 +76,7 @@
   EXPECT_EQ(told.last, "");
 }
 
-TEST(ControlCall, WhatACallWouldChangeIsReadBeforeItIsCarriedOut) {
+TEST(ControlCall, AChangeIsParsedBeforeItIsExecuted) {
   HttpMessage call;
   call.method = "POST";
   call.target = "/nodes/a%2Fb/maint?by=staff&reason=it%20burns";
--- a/tests/service/host_group_test.cpp
+++ b/tests/service/host_group_test.cpp
@@ -46,13 +46,13 @@
   HostGroup hosts{settings};
 };
 
-TEST_F(Group, OneThatWasNeverListedCantBeTakenOut) {
+TEST_F(Group, AHostThatWasNeverListedCantBeTakenOut) {
   EXPECT_FALSE(hosts.TakeOut("c", 1));
   EXPECT_FALSE(hosts.PutBack("c", 1));
   EXPECT_FALSE(hosts.Names("c"));
 }
 
-TEST_F(Group, TakenOutIsDrainingWhateverTheListSays) {
+TEST_F(Group, AHostTakenOutDrainsWhateverTheListSays) {
   ASSERT_TRUE(hosts.TakeOut("a", 1));
   EXPECT_EQ(Here("a"), BackendState::kDraining);
   EXPECT_EQ(StateOf(hosts, hosts.AsItStands(), "a"), BackendState::kDraining);
@@ -71,7 +71,7 @@
   EXPECT_EQ(hosts.Out(), (std::vector<OutHost>{{"a", 1}}));
 }
 
-TEST_F(Group, CallsOutAreOneBanAndOneCallBackEndsIt) {
+TEST_F(Group, RepeatedCallsOutAreEndedByOneCallBack) {
   hosts.TakeOut("a", 1);
   hosts.TakeOut("a", 7);
   EXPECT_EQ(hosts.Out(), (std::vector<OutHost>{{"a", 1}}));
@@ -80,7 +80,7 @@
   EXPECT_TRUE(hosts.Out().empty());
 }
 
-TEST_F(Group, BackIsAsTheListHasItNow) {
+TEST_F(Group, AHostPutBackHasItsListedState) {
   hosts.TakeOut("a", 1);
   hosts.Take(List(false, {{"a", BackendState::kDraining}}));
   hosts.PutBack("a", 10);
@@ -98,7 +98,7 @@
   return -1;
 }
 
-TEST_F(Group, BackIsColdAlsoWhereTheListKnowsOfNoRestart) {
+TEST_F(Group, AHostPutBackIsColdEvenIfTheListReportsNoRestart) {
   hosts.TakeOut("a", 100);
   hosts.PutBack("a", 200);
   EXPECT_EQ(StartOf(hosts, "a"), 200);
@@ -109,7 +109,7 @@
   EXPECT_EQ(StartOf(hosts, "a"), 150);
 }
 
-TEST_F(Group, LinksToTheLifeBeforeAreOfNoUse) {
+TEST_F(Group, PuttingAHostBackStartsANewGeneration) {
   const auto id = hosts.AsItStands().entries.front().id;
   const uint64_t era = hosts.Find(id)->era;
   hosts.TakeOut(hosts.NameOf(id), 1);
@@ -117,14 +117,14 @@
   EXPECT_NE(hosts.Find(id)->era, era);
 }
 
-TEST_F(Group, OneThatWasOutBeforeTheStartIsOutOnceListed) {
+TEST_F(Group, AHostOutBeforeTheStartIsOutOnceListed) {
   hosts.TakeOutUnseen("late", 1);
   EXPECT_EQ(StateOf(hosts, hosts.Take(List(false, {{"late", BackendState::kReady}})), "late"),
             BackendState::kDraining);
 }
 
 // Of another clock than this machine's: a start is never later than when it was heard, and stands still then.
-TEST_F(Group, AStartInTheFutureIsOneThatWasHeardNow) {
+TEST_F(Group, AStartTimeInTheFutureIsReplacedByNow) {
   const auto start = [&](Micros listed, Micros now, bool full = true) {
     const BackendList told = hosts.Take(List(full, {{"a", BackendState::kReady}}, listed), now);
     return told.entries.at(0).started_at;
@@ -138,7 +138,7 @@
   EXPECT_EQ(start(3800, 4000), 3800);
 }
 
-TEST(HostGroupMemory, IsBoundedAndKeepsThoseThatAreOutAndThoseThatAreThere) {
+TEST(HostGroupMemory, IsBoundedAndKeepsHostsThatAreOutOrListed) {
   meadowslip::Settings settings;
   HostGroup group(settings);
   group.Take(List(false, {{"there", BackendState::kReady}, {"out", BackendState::kReady}}), 1);
--- a/tests/service/out_file_test.cpp
+++ b/tests/service/out_file_test.cpp
@@ -14,12 +14,12 @@
 
 const std::vector<OutHost> kHosts = {{"s-1", 1717000000123456}, {"odd name\n%\x7f\xc3\xa9", 0}};
 
-TEST(OutFile, SaysAgainWhatWasWritten) {
+TEST(OutFile, RoundTrips) {
   EXPECT_EQ(ReadOutFile(WriteOutFile(kHosts)), kHosts);
   EXPECT_EQ(ReadOutFile(WriteOutFile({})), std::vector<OutHost>());
 }
 
-TEST(OutFile, TornAnywhereIsRefusedWhole) {
+TEST(OutFile, IsRejectedWhenTruncatedAnywhere) {
   const std::string text = WriteOutFile(kHosts);
   for (size_t n = 0; n < text.size(); ++n) EXPECT_FALSE(ReadOutFile(text.substr(0, n))) << n;
   EXPECT_FALSE(ReadOutFile(text + "x"));
@@ -37,7 +37,7 @@
 
 // The two processes of an upgrade, told in the same moment (F19): whoever reads sees the one or the other,
 // whole.
-TEST(Replace, TwoProcessesThatWriteOneFileNeverTearIt) {
+TEST(Replace, TwoProcessesThatWriteOneFileNeverCorruptIt) {
   std::string folder = (std::filesystem::temp_directory_path() / "burlfall-XXXXXX").string();
   ASSERT_NE(mkdtemp(folder.data()), nullptr);
   const std::string path = folder + "/file";
--- a/tests/start/callers.h
+++ b/tests/start/callers.h
@@ -1,6 +1,6 @@
-// Many balancers that ask one list service, without sockets: each has its own Asking, or another way of
-// asking, and the service is the lab's model of it. One clock, moved from event to event; the same seed is
-// the same course.
+// Runs many balancers that call one list service, without sockets: each uses its own CallPacer or another
+// strategy, and the service is the lab's discovery model. All share one clock, which advances from event to
+// event; the same seed gives the same run.
 #ifndef BURLFALL_TESTS_START_CALLERS_H_
 #define BURLFALL_TESTS_START_CALLERS_H_
 
@@ -19,48 +19,49 @@
 
 namespace burlfall::start {
 
-// A way of asking: what Asking does, or something simpler to hold it against.
-struct Way {
-  virtual ~Way() = default;
+// When a balancer calls the service: CallPacer, or a simpler strategy to compare it with.
+struct Strategy {
+  virtual ~Strategy() = default;
   virtual void Begin(Micros now, double draw) = 0;
   virtual Micros NextAt() const = 0;
   virtual void Called(Micros now, bool watch) = 0;
-  virtual void Ended(Micros now, CallEnd how, Micros in_line, Micros retry_after, double draw) = 0;
+  virtual void Ended(Micros now, CallOutcome how, Micros queue_time, Micros retry_after, double draw) = 0;
   virtual Micros WatchWait() const = 0;
-  virtual Micros Patience() const = 0;
+  virtual Micros CallTimeout() const = 0;
 };
 
-struct Paced final : Way {
-  Paced(const AskRules& rules, uint64_t who, bool usable_list = false)
-      : asking(rules, who), usable(usable_list) {}
-  void Begin(Micros now, double draw) override { asking.Begin(now, usable, draw); }
-  Micros NextAt() const override { return asking.next_at(); }
-  void Called(Micros now, bool watch) override { asking.Called(now, watch); }
-  void Ended(Micros now, CallEnd how, Micros in_line, Micros retry_after, double draw) override {
-    asking.Ended(now, how, in_line, retry_after, draw);
+struct PacedStrategy final : Strategy {
+  PacedStrategy(const PacerRules& rules, uint64_t who, bool usable_list = false)
+      : pacer(rules, who), has_list(usable_list) {}
+  void Begin(Micros now, double draw) override { pacer.Begin(now, has_list, draw); }
+  Micros NextAt() const override { return pacer.next_at(); }
+  void Called(Micros now, bool watch) override { pacer.Called(now, watch); }
+  void Ended(Micros now, CallOutcome how, Micros queue_time, Micros retry_after, double draw) override {
+    pacer.Ended(now, how, queue_time, retry_after, draw);
   }
-  Micros WatchWait() const override { return asking.watch_wait(); }
-  Micros Patience() const override { return asking.patience(); }
-  Asking asking;
-  bool usable;
+  Micros WatchWait() const override { return pacer.watch_wait(); }
+  Micros CallTimeout() const override { return pacer.call_timeout(); }
+  CallPacer pacer;
+  bool has_list;
 };
 
-// What a first version would do: at once, and after a failure so much later; `doubles`: each time twice as
-// much, up to a third of the time within which the service must be asked, which is what the module alone asks
+// Baseline: calls at once, and after a failure with a delay. `doubles`: the delay doubles with each failure,
+// up to a third of the time within which the service must be called, which is what the module alone asks
 // for.
-struct Plain final : Way {
-  Plain(Micros first, bool doubling, Micros longest) : wait(first), doubles(doubling), most(longest) {}
+struct BackoffStrategy final : Strategy {
+  BackoffStrategy(Micros first, bool doubling, Micros longest)
+      : wait(first), doubles(doubling), most(longest) {}
   void Begin(Micros now, double) override { next = now; }
   Micros NextAt() const override { return next; }
   void Called(Micros, bool) override {}
-  void Ended(Micros now, CallEnd how, Micros, Micros, double draw) override {
-    const bool heard = how == CallEnd::kNews || how == CallEnd::kNothing;
+  void Ended(Micros now, CallOutcome how, Micros, Micros, double draw) override {
+    const bool heard = how == CallOutcome::kChanged || how == CallOutcome::kUnchanged;
     next = heard ? now
                  : now + static_cast<Micros>(static_cast<double>(wait) * (doubles ? 0.75 + 0.5 * draw : 1));
     if (!heard && doubles) wait = std::min(most, wait * 2);
   }
   Micros WatchWait() const override { return 5 * kSecond; }
-  Micros Patience() const override { return 2500 * kMs; }
+  Micros CallTimeout() const override { return 2500 * kMs; }
   Micros wait;
   bool doubles;
   Micros most;
@@ -70,38 +71,38 @@
 struct Service {
   double calls_per_s = 50;
   Micros patience = 2 * kSecond;
-  Micros down_until = 0;                   // from the begin on
-  std::optional<Micros> retry_after = {};  // while it is down it says 503 with this
-  std::vector<Micros> changes = {};        // of the list, from the begin
+  Micros down_until = 0;                   // since the start of the run
+  std::optional<Micros> retry_after = {};  // Retry-After of its 503 answers while it is down
+  std::vector<Micros> changes = {};        // times of changes of the list, since the start of the run
 };
 
-struct Course {
-  std::vector<int> calls;  // in each second
-  std::vector<int> of;     // each caller's, until it had its list
+struct RunResult {
+  std::vector<int> calls;            // number of calls in each second
+  std::vector<int> calls_of_caller;  // number of calls of each caller until it had its list
   Micros last_listed = 0;
-  int without = 0;             // at the end
-  Micros longest_unasked = 0;  // from the end of a call that was answered to the next one
-  int Most(size_t from) const {
+  int callers_without_list = 0;  // at the end of the run
+  Micros longest_silence = 0;    // from the end of an answered call to the next call
+  int MaxCallsPerSecond(size_t from) const {
     int most = 0;
     for (size_t i = from; i < calls.size(); ++i) most = std::max(most, calls[i]);
     return most;
   }
-  double Mean() const {
+  double MeanCalls() const {
     double all = 0;
-    for (const int one : of) all += one;
-    return of.empty() ? 0 : all / static_cast<double>(of.size());
+    for (const int one : calls_of_caller) all += one;
+    return calls_of_caller.empty() ? 0 : all / static_cast<double>(calls_of_caller.size());
   }
 };
 
-inline Course PlayCallers(std::vector<std::unique_ptr<Way>>& ways, const Service& service, Micros length,
-                          uint64_t seed, Micros began_within = 100 * kMs) {
+inline RunResult RunCallers(std::vector<std::unique_ptr<Strategy>>& strategies, const Service& service,
+                            Micros length, uint64_t seed, Micros began_within = 100 * kMs) {
   using lab::DiscoveryModel;
   const Micros t0 = 1'700'000'000 * kSecond;
   lab::DiscoverySpec spec;
   spec.calls_per_s = service.calls_per_s;
   spec.patience_ms = static_cast<double>(service.patience) / kMs;
   spec.late_ms = {0, 0};
-  DiscoveryModel model(spec, static_cast<int>(ways.size()), {{.node = 0}}, seed);
+  DiscoveryModel model(spec, static_cast<int>(strategies.size()), {{.node = 0}}, seed);
   lab::Stream64 draws(seed, "callers");
   std::vector<DiscoveryModel::Effect> effects;
   struct Caller {
@@ -113,10 +114,10 @@
     bool listed = false;
     uint64_t version = 0;
   };
-  std::vector<Caller> callers(ways.size());
+  std::vector<Caller> callers(strategies.size());
   std::map<uint64_t, size_t> by_call;
-  Course course;
-  course.of.resize(ways.size());
+  RunResult course;
+  course.calls_of_caller.resize(strategies.size());
   course.calls.resize(static_cast<size_t>(length / kSecond));
   for (Caller& one : callers)
     one.begins = t0 + static_cast<Micros>(draws.Uniform() * static_cast<double>(began_within));
@@ -124,21 +125,21 @@
   bool down = service.down_until > 0;
   size_t changed = 0;
   effects.clear();
-  const auto end = [&](size_t i, Micros now, CallEnd how, Micros retry_after) {
+  const auto end = [&](size_t i, Micros now, CallOutcome how, Micros retry_after) {
     Caller& one = callers[i];
-    const Micros in_line = now - one.called_at;
+    const Micros queue_time = now - one.called_at;
     by_call.erase(one.call);
     one.call = 0;
-    if (how == CallEnd::kNews || how == CallEnd::kNothing) {
+    if (how == CallOutcome::kChanged || how == CallOutcome::kUnchanged) {
       one.told_at = now;
       if (!one.listed) course.last_listed = std::max(course.last_listed, now - t0);
       one.listed = true;
       one.watch = true;
     } else {
       one.watch = false;
-      one.told_at = 0;  // four times as long, from here
+      one.told_at = 0;  // after a failure the limit is four times as long, counted from here
     }
-    ways[i]->Ended(now, how, in_line, retry_after, draws.Uniform());
+    strategies[i]->Ended(now, how, queue_time, retry_after, draws.Uniform());
   };
   const auto apply = [&](Micros now) {
     std::vector<DiscoveryModel::Effect> all;
@@ -151,9 +152,9 @@
       if (effect.did == DiscoveryModel::Did::kAnswered) {
         const bool news = !one.watch || effect.version != one.version;
         one.version = effect.version;
-        end(i, now, news ? CallEnd::kNews : CallEnd::kNothing, 0);
+        end(i, now, news ? CallOutcome::kChanged : CallOutcome::kUnchanged, 0);
       } else {
-        end(i, now, !down && now - one.called_at >= 500 * kMs ? CallEnd::kBusy : CallEnd::kDown, 0);
+        end(i, now, !down && now - one.called_at >= 500 * kMs ? CallOutcome::kBusy : CallOutcome::kDown, 0);
       }
     }
   };
@@ -164,7 +165,7 @@
       if (!one.begun) {
         next = std::min(next, one.begins);
       } else {
-        next = std::min(next, one.call != 0 ? one.until : ways[i]->NextAt());
+        next = std::min(next, one.call != 0 ? one.until : strategies[i]->NextAt());
       }
     }
     if (down) next = std::min(next, t0 + service.down_until);
@@ -186,47 +187,50 @@
       Caller& one = callers[i];
       if (!one.begun && now >= one.begins) {
         one.begun = true;
-        ways[i]->Begin(now, draws.Uniform());
+        strategies[i]->Begin(now, draws.Uniform());
       }
       if (!one.begun) continue;
       if (one.call != 0) {
         if (now < one.until) continue;
         model.Left(now, one.call, effects);
-        end(i, now, CallEnd::kNoAnswer, 0);
-      } else if (now >= ways[i]->NextAt()) {
+        end(i, now, CallOutcome::kNoAnswer, 0);
+      } else if (now >= strategies[i]->NextAt()) {
         ++course.calls[static_cast<size_t>((now - t0) / kSecond)];
-        if (!one.listed) ++course.of[i];
-        if (one.told_at > 0) course.longest_unasked = std::max(course.longest_unasked, now - one.told_at);
-        ways[i]->Called(now, one.watch);
+        if (!one.listed) ++course.calls_of_caller[i];
+        if (one.told_at > 0) course.longest_silence = std::max(course.longest_silence, now - one.told_at);
+        strategies[i]->Called(now, one.watch);
         one.called_at = now;
-        one.until = now + (one.watch ? ways[i]->WatchWait() + 1500 * kMs : ways[i]->Patience());
+        one.until =
+            now + (one.watch ? strategies[i]->WatchWait() + 1500 * kMs : strategies[i]->CallTimeout());
         if (down && service.retry_after) {
           one.call = UINT64_MAX;
-          end(i, now, *service.retry_after > 0 ? CallEnd::kBusy : CallEnd::kDown, *service.retry_after);
+          end(i, now, *service.retry_after > 0 ? CallOutcome::kBusy : CallOutcome::kDown,
+              *service.retry_after);
           continue;
         }
         one.call = model.Call(now, static_cast<int>(i),
                               one.watch ? std::optional<uint64_t>(one.version) : std::nullopt,
-                              one.watch ? ways[i]->WatchWait() : 0, effects);
+                              one.watch ? strategies[i]->WatchWait() : 0, effects);
         by_call[one.call] = i;
       }
     }
     apply(now);
   }
-  for (const Caller& one : callers) course.without += one.listed ? 0 : 1;
+  for (const Caller& one : callers) course.callers_without_list += one.listed ? 0 : 1;
   return course;
 }
 
-// `number`: of each among them; nullptr: its place.
-inline std::vector<std::unique_ptr<Way>> PacedCallers(size_t count, AskRules rules,
-                                                      const std::function<int(size_t)>& number = nullptr,
-                                                      const std::function<bool(size_t)>& usable = nullptr) {
-  std::vector<std::unique_ptr<Way>> ways;
+// `number`: gives the number of each balancer; nullptr: its index.
+inline std::vector<std::unique_ptr<Strategy>> PacedCallers(
+    size_t count, PacerRules rules, const std::function<int(size_t)>& number = nullptr,
+    const std::function<bool(size_t)>& has_list = nullptr) {
+  std::vector<std::unique_ptr<Strategy>> strategies;
   for (size_t i = 0; i < count; ++i) {
     rules.number = number ? number(i) : static_cast<int>(i);
-    ways.push_back(std::make_unique<Paced>(rules, (i + 1) * 0x9e3779b97f4a7c15, usable && usable(i)));
+    strategies.push_back(
+        std::make_unique<PacedStrategy>(rules, (i + 1) * 0x9e3779b97f4a7c15, has_list && has_list(i)));
   }
-  return ways;
+  return strategies;
 }
 
 }  // namespace burlfall::start
--- a/tests/start/saved_list_test.cpp
+++ b/tests/start/saved_list_test.cpp
@@ -1,4 +1,4 @@
-// The last list as a file: whole or not at all, and never one that must not be used.
+// The saved list: read completely or rejected, and never used when it must not be.
 #include "start/saved_list.h"
 
 #include <gtest/gtest.h>
@@ -25,17 +25,18 @@
   return ChooseSavedList(files, site, wall, kHour);
 }
 
-TEST(SavedList, ComesBackAsItWas) {
+TEST(SavedList, RoundTrips) {
   std::string why;
   const auto read = ReadSavedList(WriteSavedList(Sample()), why);
   ASSERT_TRUE(read) << why;
   EXPECT_EQ(*read, Sample());
   SavedList gone = Sample();
   gone.nodes[0].state = meadowslip::BackendState::kGone;
-  EXPECT_EQ(ReadSavedList(WriteSavedList(gone), why)->nodes.size(), 1u);  // nobody can be sent there
+  // nothing can be sent to a node that is gone
+  EXPECT_EQ(ReadSavedList(WriteSavedList(gone), why)->nodes.size(), 1u);
 }
 
-TEST(SavedList, IsRefusedWhereAnyByteIsAnotherOrMissing) {
+TEST(SavedList, IsRejectedIfAnyByteIsChangedOrMissing) {
   const std::string good = WriteSavedList(Sample());
   std::string why;
   for (size_t i = 0; i < good.size(); ++i) {
@@ -49,7 +50,7 @@
   EXPECT_FALSE(ReadSavedList("", why));
 }
 
-TEST(SavedList, TheNewestThatMayBeUsedIsAndTheOthersAreNamed) {
+TEST(SavedList, TheNewestUsableFileIsChosenAndTheOthersAreReported) {
   const std::string old = WriteSavedList(Sample(6)), fresh = WriteSavedList(Sample(7));
   EXPECT_EQ(Choose({{"0", old}, {"1", fresh}}).list->number, 7u);
   EXPECT_EQ(Choose({{"0", fresh}, {"1", old}}).list->number, 7u);
@@ -61,7 +62,7 @@
   EXPECT_FALSE(Choose({}).list);
 }
 
-TEST(SavedList, OfAnotherSiteTooOldFromTheFutureOrEmptyItIsRefused) {
+TEST(SavedList, IsRejectedIfForeignTooOldFromTheFutureOrEmpty) {
   const std::string good = WriteSavedList(Sample());
   const auto reason = [&](std::string_view site, Micros wall) {
     const SavedChoice choice = Choose({{"f", good}}, site, wall);
@@ -70,17 +71,18 @@
   };
   EXPECT_EQ(reason("south", kWall), "it is of another site");
   EXPECT_NE(reason("north", kWall + 2 * kHour).find("too old"), std::string::npos);
-  // A clock that is years ahead, and one that has stepped back.
+  // A clock that is years ahead, and one that was set back.
   EXPECT_NE(reason("north", kWall + 100000 * kHour).find("too old"), std::string::npos);
   EXPECT_NE(reason("north", kWall - kHour).find("future"), std::string::npos);
-  EXPECT_TRUE(Choose({{"f", good}}, "north", kWall - 30 * kSecond).list);  // two clocks need not be one
+  // small clock differences are accepted
+  EXPECT_TRUE(Choose({{"f", good}}, "north", kWall - 30 * kSecond).list);
   EXPECT_EQ(Choose({{"f", good}}, "north", kWall - 30 * kSecond).age, 0);
   SavedList empty = Sample();
   empty.nodes.clear();
   EXPECT_FALSE(Choose({{"f", WriteSavedList(empty)}}).list);
 }
 
-TEST(SavedList, ASiteIsItsNameAndThePlacesByWhichItsListsAreRead) {
+TEST(SavedList, TheSiteIdCoversItsNameZonesAndKinds) {
   meadowslip::Settings one;
   one.zones = {"a", "b"};
   one.kinds = {"std"};
@@ -92,27 +94,27 @@
   EXPECT_NE(SiteOf("north", one), SiteOf("north", other));
 }
 
-TEST(ListKeeper, WritesSeldomInTurnAndAgainWhereItCouldNot) {
-  ListKeeper keeper(10 * kSecond, kHour);
+TEST(ListKeeper, LimitsWritesAlternatesFilesAndRetriesAfterAFailure) {
+  SavedListSchedule schedule(10 * kSecond, kHour);
   Micros now = kWall;
-  EXPECT_FALSE(keeper.Due(now));
-  keeper.Heard(true);
-  EXPECT_TRUE(keeper.Due(now));
-  keeper.Found(7);
-  EXPECT_EQ(keeper.NextNumber(), 8u);
-  const int first = keeper.NextFile();
-  keeper.Wrote(now, true);
-  EXPECT_NE(keeper.NextFile(), first);
-  keeper.Heard(true);
-  EXPECT_FALSE(keeper.Due(now + 9 * kSecond));
-  EXPECT_TRUE(keeper.Due(now += 10 * kSecond));
-  keeper.Wrote(now, false);
-  EXPECT_FALSE(keeper.Due(now + 9 * kSecond));
-  EXPECT_TRUE(keeper.Due(now += 10 * kSecond));
-  keeper.Wrote(now, true);
-  keeper.Heard(false);  // nothing has changed, but it was said to be so
-  EXPECT_FALSE(keeper.Due(now + 60 * kSecond));
-  EXPECT_TRUE(keeper.Due(now + 180 * kSecond));
+  EXPECT_FALSE(schedule.Due(now));
+  schedule.OnConfirmed(true);
+  EXPECT_TRUE(schedule.Due(now));
+  schedule.SetNumber(7);
+  EXPECT_EQ(schedule.NextNumber(), 8u);
+  const int first = schedule.NextFile();
+  schedule.OnWritten(now, true);
+  EXPECT_NE(schedule.NextFile(), first);
+  schedule.OnConfirmed(true);
+  EXPECT_FALSE(schedule.Due(now + 9 * kSecond));
+  EXPECT_TRUE(schedule.Due(now += 10 * kSecond));
+  schedule.OnWritten(now, false);
+  EXPECT_FALSE(schedule.Due(now + 9 * kSecond));
+  EXPECT_TRUE(schedule.Due(now += 10 * kSecond));
+  schedule.OnWritten(now, true);
+  schedule.OnConfirmed(false);  // confirmed without a change
+  EXPECT_FALSE(schedule.Due(now + 60 * kSecond));
+  EXPECT_TRUE(schedule.Due(now + 180 * kSecond));
 }
 
 }  // namespace
--- a/tests/start/start_settings_test.cpp
+++ b/tests/start/start_settings_test.cpp
@@ -30,7 +30,7 @@
   EXPECT_EQ(WriteStart(*loaded.value), WriteStart(one));
 }
 
-TEST(StartSettings, ASlipIsToldByFileLineAndKey) {
+TEST(StartSettings, AnErrorIsReportedWithFileLineAndKey) {
   struct Case {
     const char* text;
     const char* error;
--- a/tests/start/start_test.cpp
+++ b/tests/start/start_test.cpp
@@ -1,4 +1,4 @@
-// Stories of starts, with the real process: the list from start to start, and what operators are told.
+// Starts of the real process: how the saved list carries over, and what operators see.
 #define CATCH_CONFIG_MAIN
 #include "service/operators.h"
 #include "start/saved_list.h"
@@ -6,7 +6,7 @@
 namespace burlfall {
 namespace {
 
-// A folder, and the settings of a start that keep the list there.
+// A folder, and start settings that save the list there.
 struct Kept {
   explicit Kept(const std::string& more = "")
       : settings("[saved_list]\nfolder = \"" + folder.path + "\"\n" + more) {}
@@ -19,7 +19,7 @@
   TextFile settings;
 };
 
-// A process that hears this list, and ends once it has kept it.
+// A process that receives this list and exits once it is saved.
 void Hear(const Kept& kept, const std::string& entries) {
   Peer discovery;
   Program program(ConfigText({.discovery = discovery.port}), kept.words());
@@ -38,33 +38,35 @@
 
 }  // namespace
 
-TEST_CASE("a list that was heard serves the next start while discovery is down, and says how old it is") {
+TEST_CASE("a saved list serves the next start while discovery is down, and its age is logged") {
   Kept kept;
   Peer server;
   Hear(kept, Entry("s-1", server.port));
-  Program program(ConfigText({}), kept.words());  // nobody listens where discovery was
+  Program program(ConfigText({}), kept.words());  // discovery is no longer reachable
   CHECK(program.output.find("starts from a saved list: 1 nodes, version 2, ") != std::string::npos);
-  CHECK(program.output.find("start: older_list") == std::string::npos);  // it is told once it serves
+  CHECK(program.output.find("start: older_list") == std::string::npos);  // logged only once it serves
   Link client = Link::To(program.port);
   CHECK(Served(client, server, "t1").ends_with("fine"));
   CHECK(program.Wait(SIGTERM) == 0);
   CHECK(program.output.find("start: older_list") != std::string::npos);
 }
 
-TEST_CASE("what discovery says now goes before a saved list") {
+TEST_CASE("an answer from discovery replaces a saved list") {
   Kept kept;
   Peer before, now, discovery;
   Hear(kept, Entry("s-1", before.port));
   Program program(ConfigText({.discovery = discovery.port}), kept.words());
   Link watch = discovery.Accept();
   watch.Read();
-  watch.Write(Ok(List(1, true, Entry("s-2", now.port))));  // an older version, of a service that came back
+  // an older version, from a service that was restarted
+  watch.Write(Ok(List(1, true, Entry("s-2", now.port))));
   watch.Read();
   Link client = Link::To(program.port);
   CHECK(Served(client, now, "t1").ends_with("fine"));
 }
 
-TEST_CASE("a saved list that is damaged, foreign, or too old is refused by name, and the start goes on") {
+TEST_CASE(
+    "a saved list that is damaged, foreign or too old is rejected with its path, and the start continues") {
   Kept kept;
   Peer server;
   Hear(kept, Entry("s-1", server.port));
@@ -76,7 +78,7 @@
     CHECK(program.output.find(why) != std::string::npos);
     Link client = Link::To(program.port);
     client.Write(Get("t1"));
-    CHECK(client.Read().starts_with("HTTP/1.1 "));  // answered, though there is nowhere to send it
+    CHECK(client.Read().starts_with("HTTP/1.1 "));  // answered, although no node is known
     CHECK(program.Wait(SIGTERM) == 0);
   };
   refused(good.substr(0, good.size() / 2), "it is damaged");
@@ -93,7 +95,7 @@
   refused(start::WriteSavedList(list), "from the future");
 }
 
-TEST_CASE("of two files the torn one is passed over, and the one before it serves") {
+TEST_CASE("a truncated list file is skipped, and the older file is used") {
   Kept kept("write_every_s = 0.5\n");
   Peer server, discovery;
   {
@@ -118,7 +120,7 @@
   CHECK(program.output.find("starts from a saved list: 1 nodes, version 2, ") != std::string::npos);
 }
 
-TEST_CASE("a folder in which nothing can be written is told of, and service goes on") {
+TEST_CASE("a folder that cannot be written is logged, and service continues") {
   Kept kept;
   std::filesystem::remove_all(kept.folder.path);
   std::ofstream(kept.folder.path) << "no folder";
@@ -128,14 +130,15 @@
   watch.Read();
   watch.Write(Ok(List(2, true, Entry("s-1", server.port))));
   watch.Read();
-  const size_t told = program.output.find("can't be written");  // what the first try met; told once
+  // the error of the first attempt, logged once
+  const size_t told = program.output.find("can't be written");
   REQUIRE(told != std::string::npos);
   CHECK(program.output.rfind(kept.folder.path, told) != std::string::npos);
   Link client = Link::To(program.port);
   CHECK(Served(client, server, "t1").ends_with("fine"));
 }
 
-TEST_CASE("a process that is killed and started again says so, and one that ended in order does not") {
+TEST_CASE("a restart after a kill is logged, and one after an orderly exit is not") {
   Kept kept;
   {
     Program first(ConfigText({}), kept.words());
@@ -151,7 +154,7 @@
   CHECK(third.output.find("was started") == std::string::npos);
 }
 
-TEST_CASE("the heir of an upgrade counts its lists on from those that it finds") {
+TEST_CASE("the successor in an upgrade continues the numbers of the saved lists") {
   Kept kept("write_every_s = 0.5\n");
   Folder shared;
   Peer door, discovery, server;
@@ -178,8 +181,8 @@
   CHECK(std::max(one, two) > before);
 }
 
-TEST_CASE("without a list a query that can't wait for one is refused at once, and told when to come back") {
-  // The first call is hours away, whatever is drawn.
+TEST_CASE("without a list a query that can't wait is refused at once with a Retry-After") {
+  // The first call is hours away, for any random number.
   TextFile settings("balancers = 100000\n[list_service]\ncalls_per_s = 1\n");
   Program program(ConfigText({.deadline = 1000000, .must_ask = 2000000000}),
                   {"serve", "--start", settings.path});
@@ -187,13 +190,13 @@
   client.Write(Get("t1"));
   const std::string answer = client.Read();
   CHECK(answer.starts_with("HTTP/1.1 503"));
-  CHECK(answer.find("Retry-After: 1.5\r\n") != std::string::npos);  // as long as the settings allow
+  CHECK(answer.find("Retry-After: 1.5\r\n") != std::string::npos);  // the maximum that the settings allow
   CHECK(program.Wait(SIGTERM) == 0);
   CHECK(program.output.find("not_ready=1") != std::string::npos);
 }
 
-TEST_CASE("a start among many says where it stands, and calls in its turn") {
-  // A round of three seconds, of which the settings leave little to give way in.
+TEST_CASE("a start among many logs its phase, and calls in its turn") {
+  // A round takes three seconds, and the settings leave little time to delay the watch.
   TextFile settings("balancers = 3\n[list_service]\ncalls_per_s = 1\n");
   Peer discovery, server;
   Program program(ConfigText({.discovery = discovery.port, .must_ask = 1000000}),
@@ -212,7 +215,7 @@
   CHECK(program.output.find("\"list_calls\":2") != std::string::npos);
 }
 
-TEST_CASE("a service that moves while a start waits its turn is asked at its new place") {
+TEST_CASE("a service whose address changes while a start waits its turn is called at the new address") {
   TextFile settings("balancers = 3\n[list_service]\ncalls_per_s = 1\n");
   Peer first, second, server;
   Setup setup = {.discovery = first.port, .must_ask = 1000000};
@@ -229,7 +232,7 @@
   CHECK(program.Wait(SIGTERM) == 0);
 }
 
-TEST_CASE("a wrong file of the start is told by file, line and key, and ends with 2") {
+TEST_CASE("an invalid start file is reported with file, line and key, and the exit code is 2") {
   TextFile wrong("balancers = 3\n[saved_list]\nfoldr = \"x\"\n");
   for (const char* command : {"serve", "check-config"}) {
     Program program(ConfigText({}), {command, "--start", wrong.path});
