--- a/src/handover/handover.cpp
+++ b/src/handover/handover.cpp
@@ -5,57 +5,57 @@
 namespace burlfall {
 namespace {
 
-constexpr Micros kClaimPatience = 1500 * kMs;  // to receive the complete state
-constexpr Micros kLookAgain = 200 * kMs;       // after an accept that failed for lack of descriptors
-constexpr Micros kDoorPatience = 3 * kSecond;  // for a successor to open its listener
-constexpr char kServesAndAnswers[] = "SC";
-constexpr size_t kMostUnsent = kMostEstate / kMostPiece + 1024;
+constexpr Micros kClaimTimeout = 1500 * kMs;    // to receive the complete state
+constexpr Micros kAcceptRetry = 200 * kMs;      // after an accept that failed for lack of descriptors
+constexpr Micros kListenTimeout = 3 * kSecond;  // for a successor to open its listener
+constexpr char kServingMessage[] = "SC";
+constexpr size_t kMaxUnsent = kMaxStateBytes / kMaxPartBytes + 1024;
 
 }  // namespace
 
-Handover::Handover(Machine& machine, std::string path, std::string name, Heritage& heritage, Log& log)
-    : machine_(machine), path_(std::move(path)), name_(std::move(name)), heritage_(heritage), log_(log) {}
+Handover::Handover(Machine& machine, std::string path, std::string name, HandoverHandler& handler, Log& log)
+    : machine_(machine), path_(std::move(path)), name_(std::move(name)), handler_(handler), log_(log) {}
 
 Handover::~Handover() = default;
 
 // ---- Successor -------------------------------------------------------------------------------------------
 
-Task<std::optional<Estate>> Handover::Claim() {
-  std::optional<Estate> none;
+Task<std::optional<HandoverState>> Handover::Claim() {
+  std::optional<HandoverState> none;
   std::unique_ptr<Channel> channel = machine_.network().Meet(path_);
   if (!channel) co_return none;
-  before_ = std::make_unique<Other>(std::move(channel));
-  Send(*before_, Pack('T', burlfall::Claim{kHandoverVersion, name_}));
-  const Micros until = machine_.Now() + kClaimPatience;
-  EstateReader reader;
+  predecessor_ = std::make_unique<Peer>(std::move(channel));
+  Send(*predecessor_, Pack('T', burlfall::Claim{kHandoverVersion, name_}));
+  const Micros until = machine_.Now() + kClaimTimeout;
+  HandoverStateReader reader;
   std::string why;
   while (why.empty()) {
     std::string message;
-    std::unique_ptr<Stream> along;
-    const Io io = before_->channel->Receive(message, along);
+    std::unique_ptr<Stream> passed_stream;
+    const Io io = predecessor_->channel->Receive(message, passed_stream);
     if (io == Io::kLater) {
-      bool notified = co_await before_->channel->Wait(until);
+      bool notified = co_await predecessor_->channel->Wait(until);
       if (!notified) why = "no answer in time";
     } else if (io != Io::kSome) {
-      why = "it broke off";
+      why = "the connection broke";
     } else if (message.front() == 'N') {
       why = message.substr(1);
     } else {
-      const EstateReader::Read read = reader.Take(message);
-      if (read == EstateReader::Read::kWhole) co_return std::move(reader.estate());
-      if (read == EstateReader::Read::kBad) why = "an estate that can't be read";
+      const HandoverStateReader::Read read = reader.Add(message);
+      if (read == HandoverStateReader::Read::kComplete) co_return std::move(reader.result());
+      if (read == HandoverStateReader::Read::kInvalid) why = "a state that can't be read";
     }
   }
-  before_.reset();
+  predecessor_.reset();
   log_.Tell<"handover_refused">(why);
   co_return none;
 }
 
 void Handover::Serve() {
-  if (before_) {
-    Send(*before_, kServesAndAnswers);
-    before_->task = Hear(*before_, false);
-    before_->task.Start();
+  if (predecessor_) {
+    Send(*predecessor_, kServingMessage);
+    predecessor_->task = ReceiveMessages(*predecessor_, false);
+    predecessor_->task.Start();
   }
   Listen();
 }
@@ -67,33 +67,33 @@
     log_.Tell<"handover_unavailable">(path_, why);
     return;
   }
-  await_ = Await();
-  await_.Start();
+  accept_ = AcceptSuccessors();
+  accept_.Start();
 }
 
 // ---- Predecessor -----------------------------------------------------------------------------------------
 
-Task<> Handover::Await() {
+Task<> Handover::AcceptSuccessors() {
   while (true) {
     std::unique_ptr<Channel> channel = listener_->Accept();
     if (!channel) {
-      co_await listener_->Wait(machine_.Now() + kLookAgain);  // free descriptors cause no notification
+      co_await listener_->Wait(machine_.Now() + kAcceptRetry);  // free descriptors cause no notification
       continue;
     }
     // One successor at a time. A successor that serves accepts claims itself, so a later connection to this
     // process is dropped. A successor that does not serve yet is replaced.
-    if (has_heir()) continue;
-    if (heir_) {
-      heir_->task = Task<>();
-      if (heir_->claimed) heritage_.KeepDoor();
+    if (has_successor()) continue;
+    if (successor_) {
+      successor_->task = Task<>();
+      if (successor_->claimed) handler_.KeepListener();
     }
-    heir_ = std::make_unique<Other>(std::move(channel));
-    heir_->task = Hear(*heir_, true);
-    heir_->task.Start();
+    successor_ = std::make_unique<Peer>(std::move(channel));
+    successor_->task = ReceiveMessages(*successor_, true);
+    successor_->task.Start();
   }
 }
 
-void Handover::TakeClaim(Other& heir, std::string_view bytes) {
+void Handover::HandleClaim(Peer& successor, std::string_view bytes) {
   const std::optional<burlfall::Claim> claim = Unpack<burlfall::Claim>(bytes);
   std::string why;
   if (!claim) {
@@ -103,170 +103,171 @@
           std::to_string(kHandoverVersion);
   } else if (claim->name != name_) {
     why = "a claim for another balancer";
-  } else if (std::optional<Estate> estate = heritage_.GiveUpDoor(why)) {
-    heir.claimed = true;
-    for (std::string& piece : Pieces(std::move(*estate))) Send(heir, std::move(piece));
+  } else if (std::optional<HandoverState> state = handler_.ReleaseListener(why)) {
+    successor.claimed = true;
+    for (std::string& part : SplitState(std::move(*state))) Send(successor, std::move(part));
     return;
   }
-  Bad(why);
-  Send(heir, "N" + why);
+  LogRefused(why);
+  Send(successor, "N" + why);
 }
 
 Io Handover::Pass(Stream& stream, const PassedLink& link) {
-  if (!has_heir() || heir_->broken) return Io::kBroken;
-  if (!heir_->unsent.empty()) return Io::kLater;
-  const Io sent = heir_->channel->Send(Pack('L', link), &stream);
-  if (sent == Io::kBroken) heir_->broken = true;
+  if (!has_successor() || successor_->broken) return Io::kBroken;
+  if (!successor_->unsent.empty()) return Io::kLater;
+  const Io sent = successor_->channel->Send(Pack('L', link), &stream);
+  if (sent == Io::kBroken) successor_->broken = true;
   if (sent == Io::kSome) {
-    ++heir_->links;
-    heir_->asked_held = false;
+    ++successor_->links;
+    successor_->confirm_requested = false;
   }
   return sent;
 }
 
 // Keeps this process from exiting while passed links are still unread in the channel: if the successor died
 // then, no process would serve them.
-bool Handover::HeirHoldsAll() {
-  if (!has_heir() || heir_->broken) return false;
-  if (!heir_->answers_held) return true;
-  if (!heir_->asked_held) {
-    heir_->asked_held = true;
-    Send(*heir_, "C");
+bool Handover::SuccessorHasAllLinks() {
+  if (!has_successor() || successor_->broken) return false;
+  if (!successor_->can_confirm) return true;
+  if (!successor_->confirm_requested) {
+    successor_->confirm_requested = true;
+    Send(*successor_, "C");
     return false;
   }
-  return heir_->held == heir_->links;
+  return successor_->confirmed == successor_->links;
 }
 
-void Handover::TellUse(const Use& use) {
-  if (has_heir()) Send(*heir_, Pack('U', use));
+void Handover::SendUse(const ResourceUse& use) {
+  if (has_successor()) Send(*successor_, Pack('U', use));
 }
 
 // ---- Both ------------------------------------------------------------------------------------------------
 
-Task<> Handover::Hear(Other& other, bool heir) {
-  const Micros door_until = machine_.Now() + kDoorPatience;
-  bool door_kept = false;
+Task<> Handover::ReceiveMessages(Peer& peer, bool from_successor) {
+  const Micros listen_by = machine_.Now() + kListenTimeout;
+  bool listener_kept = false;
   // Resumes in a separate scheduler turn: a message that is already there must not end the task that starts
   // this one.
-  co_await other.channel->Wait(machine_.Now());
-  while (!other.broken) {
-    Flush(other);
+  co_await peer.channel->Wait(machine_.Now());
+  while (!peer.broken) {
+    Flush(peer);
     std::string message;
-    std::unique_ptr<Stream> along;
-    const Io io = other.channel->Receive(message, along);
+    std::unique_ptr<Stream> passed_stream;
+    const Io io = peer.channel->Receive(message, passed_stream);
     if (io == Io::kSome) {
-      Take(other, heir, message, std::move(along));
+      HandleMessage(peer, from_successor, message, std::move(passed_stream));
     } else if (io == Io::kLater) {
-      const bool waits = heir && other.claimed && !other.serves && !door_kept;
-      bool notified = co_await other.channel->Wait(waits ? door_until : kNever);
+      const bool awaits_listener = from_successor && peer.claimed && !peer.serves && !listener_kept;
+      bool notified = co_await peer.channel->Wait(awaits_listener ? listen_by : kNever);
       if (!notified) {  // it may still start to serve; until then this process accepts connections
-        door_kept = true;
-        heritage_.KeepDoor();
+        listener_kept = true;
+        handler_.KeepListener();
       }
     } else {
-      other.broken = true;
+      peer.broken = true;
     }
   }
-  if (!heir) {
-    heritage_.OtherUses(Use());
-  } else if (other.serves) {
-    other.serves = false;
-    links_lost_ = other.answers_held ? other.links - other.held : 0;
-    if (!other.ended) Listen();
-    other.ended ? heritage_.LastOwner() : heritage_.TakeBack();
-  } else if (other.claimed && !door_kept) {
-    heritage_.KeepDoor();
+  if (!from_successor) {
+    handler_.OnPeerUse(ResourceUse());
+  } else if (peer.serves) {
+    peer.serves = false;
+    links_lost_ = peer.can_confirm ? peer.links - peer.confirmed : 0;
+    if (!peer.ended) Listen();
+    peer.ended ? handler_.OnSuccessorExited() : handler_.OnSuccessorLost();
+  } else if (peer.claimed && !listener_kept) {
+    handler_.KeepListener();
   }
 }
 
-void Handover::Take(Other& other, bool heir, std::string_view message, std::unique_ptr<Stream> along) {
+void Handover::HandleMessage(Peer& peer, bool from_successor, std::string_view message,
+                             std::unique_ptr<Stream> passed_stream) {
   const char letter = message.front();
   const std::string_view rest = message.substr(1);
-  const auto node = [&]() -> std::optional<NodeCall> { return Unpack<NodeCall>(rest); };
+  const auto node = [&]() -> std::optional<NodeChange> { return Unpack<NodeChange>(rest); };
   switch (letter) {
     case 'T':
-      if (heir && !other.claimed) return TakeClaim(other, rest);
+      if (from_successor && !peer.claimed) return HandleClaim(peer, rest);
       break;
     case 'S':
-      if (!heir || !other.claimed || other.serves) break;
-      other.serves = true;
-      other.answers_held = rest.find('C') != std::string_view::npos;
-      await_ = Task<>();  // destroyed before the listener that it waits on
-      listener_.reset();  // the path belongs to the successor
-      return heritage_.HandOn();
+      if (!from_successor || !peer.claimed || peer.serves) break;
+      peer.serves = true;
+      peer.can_confirm = rest.find('C') != std::string_view::npos;
+      accept_ = Task<>();  // destroyed before the listener that it waits on
+      listener_.reset();   // the path belongs to the successor
+      return handler_.OnSuccessorServing();
     case 'L': {
       std::optional<PassedLink> link = Unpack<PassedLink>(rest);
-      if (heir || !link || !along) break;
-      ++other.links;
-      return heritage_.TakeLink(std::move(along), std::move(*link));
+      if (from_successor || !link || !passed_stream) break;
+      ++peer.links;
+      return handler_.ReceiveLink(std::move(passed_stream), std::move(*link));
     }
     case 'C':
-      if (heir) break;
-      return Send(other, Pack('K', Held{other.links}));
+      if (from_successor) break;
+      return Send(peer, Pack('K', ReceivedLinks{peer.links}));
     case 'K': {
-      const std::optional<Held> held = Unpack<Held>(rest);
-      if (!heir || !held || held->links > other.links) break;
-      other.held = held->links;
-      return heritage_.HeirTold();
+      const std::optional<ReceivedLinks> held = Unpack<ReceivedLinks>(rest);
+      if (!from_successor || !held || held->links > peer.links) break;
+      peer.confirmed = held->links;
+      return handler_.OnLinksConfirmed();
     }
     case 'U': {
-      const std::optional<Use> use = Unpack<Use>(rest);
-      if (heir || !use) break;
-      return heritage_.OtherUses(*use);
+      const std::optional<ResourceUse> use = Unpack<ResourceUse>(rest);
+      if (from_successor || !use) break;
+      return handler_.OnPeerUse(*use);
     }
     case 'O':
-      if (const auto call = node()) return heritage_.OtherTookOut(*call);
+      if (const auto call = node()) return handler_.OnPeerTookOut(*call);
       break;
     case 'I':
-      if (const auto call = node()) return heritage_.OtherPutBack(*call);
+      if (const auto call = node()) return handler_.OnPeerPutBack(*call);
       break;
     case 'A':
-      return heritage_.OtherDrains(true);
+      return handler_.OnPeerDrain(true);
     case 'W':
-      return heritage_.OtherDrains(false);
+      return handler_.OnPeerDrain(false);
     case 'Q':
-      other.ended = true;
+      peer.ended = true;
       return;
     default:
       break;
   }
-  Bad("a message that can't be read");
+  LogRefused("a message that can't be read");
 }
 
-void Handover::Bad(std::string_view what) { log_.Tell<"handover_message_refused">(what); }
+void Handover::LogRefused(std::string_view what) { log_.Tell<"handover_message_refused">(what); }
 
-void Handover::Send(Other& other, std::string message) {
-  if (other.broken) return;
-  if (other.unsent.size() >= kMostUnsent) {  // the other process does not read; treat it as disconnected
-    other.broken = true;
-    other.channel->Notify();
+void Handover::Send(Peer& peer, std::string message) {
+  if (peer.broken) return;
+  if (peer.unsent.size() >= kMaxUnsent) {  // the other process does not read; treat it as disconnected
+    peer.broken = true;
+    peer.channel->Notify();
     return;
   }
-  other.unsent.push_back(std::move(message));
-  Flush(other);
+  peer.unsent.push_back(std::move(message));
+  Flush(peer);
 }
 
-void Handover::Flush(Other& other) {
-  while (!other.unsent.empty() && !other.broken) {
-    const Io sent = other.channel->Send(other.unsent.front());
+void Handover::Flush(Peer& peer) {
+  while (!peer.unsent.empty() && !peer.broken) {
+    const Io sent = peer.channel->Send(peer.unsent.front());
     if (sent == Io::kLater) return;
     if (sent == Io::kBroken) {
-      other.broken = true;
-      other.channel->Notify();
+      peer.broken = true;
+      peer.channel->Notify();
       return;
     }
-    other.unsent.pop_front();
+    peer.unsent.pop_front();
   }
 }
 
 void Handover::SendAll(const std::string& message) {
-  if (before_) Send(*before_, message);
-  if (has_heir()) Send(*heir_, message);
+  if (predecessor_) Send(*predecessor_, message);
+  if (has_successor()) Send(*successor_, message);
 }
 
-void Handover::TellOut(const NodeCall& call) { SendAll(Pack('O', call)); }
-void Handover::TellBack(const NodeCall& call) { SendAll(Pack('I', call)); }
-void Handover::TellDrain(bool drains) { SendAll(drains ? "A" : "W"); }
+void Handover::SendTakenOut(const NodeChange& call) { SendAll(Pack('O', call)); }
+void Handover::SendPutBack(const NodeChange& call) { SendAll(Pack('I', call)); }
+void Handover::SendDrain(bool drains) { SendAll(drains ? "A" : "W"); }
 void Handover::End() { SendAll("Q"); }
 
 }  // namespace burlfall
--- a/src/handover/handover_state.cpp
+++ b/src/handover/handover_state.cpp
@@ -5,26 +5,27 @@
 
 namespace burlfall {
 
-std::vector<std::string> Pieces(Estate estate) {
-  const std::string all = Pack('Z', std::move(estate)).substr(1);
-  std::vector<std::string> pieces;
-  size_t at = 0;
+std::vector<std::string> SplitState(HandoverState handover_state) {
+  const std::string packed = Pack('Z', std::move(handover_state)).substr(1);
+  std::vector<std::string> parts;
+  size_t offset = 0;
   do {
-    const size_t n = std::min(kMostPiece, all.size() - at);
-    pieces.push_back(std::string(1, at + n == all.size() ? 'Z' : 'E').append(all, at, n));
-    at += n;
-  } while (at < all.size());
-  return pieces;
+    const size_t part_size = std::min(kMaxPartBytes, packed.size() - offset);
+    parts.push_back(
+        std::string(1, offset + part_size == packed.size() ? 'Z' : 'E').append(packed, offset, part_size));
+    offset += part_size;
+  } while (offset < packed.size());
+  return parts;
 }
 
-EstateReader::Read EstateReader::Take(std::string_view message) {
-  if (message.empty() || bytes_.size() + message.size() > kMostEstate) return Read::kBad;
+HandoverStateReader::Read HandoverStateReader::Add(std::string_view message) {
+  if (message.empty() || bytes_.size() + message.size() > kMaxStateBytes) return Read::kInvalid;
   bytes_.append(message.substr(1));
   if (message.front() == 'E') return Read::kMore;
-  std::optional<Estate> estate = Unpack<Estate>(bytes_);
-  if (message.front() != 'Z' || !estate) return Read::kBad;
-  estate_ = std::move(*estate);
-  return Read::kWhole;
+  std::optional<HandoverState> state = Unpack<HandoverState>(bytes_);
+  if (message.front() != 'Z' || !state) return Read::kInvalid;
+  state_ = std::move(*state);
+  return Read::kComplete;
 }
 
 }  // namespace burlfall
--- a/src/handover/handover_state.h
+++ b/src/handover/handover_state.h
@@ -34,80 +34,85 @@
 namespace burlfall {
 
 constexpr int kHandoverVersion = 1;
-constexpr size_t kMostPiece = 32 * 1024;
-constexpr size_t kMostEstate = 16 * 1024 * 1024;
+constexpr size_t kMaxPartBytes = 32 * 1024;
+constexpr size_t kMaxStateBytes = 16 * 1024 * 1024;
 
+// Message T: the successor claims the state.
 struct Claim {
   int version = kHandoverVersion;
   std::string name;
   void Fields(auto& a) { a(version, name); }
 };
 
-struct Estate {
+// The state that the successor takes over (messages E and Z).
+struct HandoverState {
   std::string settings;  // as JSON; a module accepts only state written under the same settings
-  bool aside = false;    // drained manually by an operator
-  Micros aside_since = 0;
+  bool drained_manually = false;
+  Micros drained_since = 0;
   uint64_t list = 0;  // version of the list from discovery
   std::vector<HostRecord> hosts;
-  DispatcherState carried;
-  void Fields(auto& a) { a(settings, aside, aside_since, list, hosts, carried); }
+  DispatcherState dispatcher;
+  void Fields(auto& a) { a(settings, drained_manually, drained_since, list, hosts, dispatcher); }
 };
 
+// Message L: a client link that goes to the successor.
 struct PassedLink {
-  bool asked = false;
-  Micros began = 0;  // when the first bytes of the incomplete query arrived; 0: none has begun
-  std::string read;
-  void Fields(auto& a) { a(asked, began, read); }
+  bool has_queried = false;  // has sent a query before
+  Micros query_began = 0;    // when the first bytes of the incomplete query arrived; 0: none has begun
+  std::string read;          // bytes already read of that query
+  void Fields(auto& a) { a(has_queried, query_began, read); }
 };
 
-// Number of links that the new process has received, by its own count.
-struct Held {
+// Message K: number of links that the new process has received, by its own count.
+struct ReceivedLinks {
   uint64_t links = 0;
   void Fields(auto& a) { a(links); }
 };
 
-struct Use {
+// Message U: resources that the predecessor uses.
+struct ResourceUse {
   uint64_t descriptors = 0;
   uint64_t memory_kb = 0;
   void Fields(auto& a) { a(descriptors, memory_kb); }
 };
 
-struct NodeCall {
+// Messages O and I: an operator took a node out of service or put it back.
+struct NodeChange {
   std::string name;
-  Micros since = 0;
+  Micros since = 0;  // time of the call
   void Fields(auto& a) { a(name, since); }
 };
 
 // Pack() appends a checksum over the content. Unpack() returns nullopt if the content is truncated or
 // corrupted.
 template <typename T>
-std::string Pack(char letter, T what) {
+std::string Pack(char letter, T content) {
   meadowslip::state::Writer out;
-  what.Fields(out);
+  content.Fields(out);
   return std::string(1, letter).append(out.Finish());
 }
 template <typename T>
 std::optional<T> Unpack(std::string_view bytes) {
-  T what;
+  T content;
   meadowslip::state::Reader in(bytes);
-  what.Fields(in);
+  content.Fields(in);
   if (!in.Complete()) return {};
-  return what;
+  return content;
 }
 
 // Splits the state into packets, in order.
-std::vector<std::string> Pieces(Estate estate);
+std::vector<std::string> SplitState(HandoverState handover_state);
 
 // Reassembles the packets.
-class EstateReader {
+class HandoverStateReader {
  public:
-  enum class Read { kMore, kWhole, kBad };
-  Read Take(std::string_view message);  // the message with its letter, which is E or Z
-  Estate& estate() { return estate_; }  // valid after kWhole
+  enum class Read { kMore, kComplete, kInvalid };
+  Read Add(std::string_view message);         // the message with its letter, which is E or Z
+  HandoverState& result() { return state_; }  // valid after kComplete
 
  private:
   std::string bytes_;
-  Estate estate_;
+  HandoverState state_;
 };
 
 }  // namespace burlfall
--- a/src/serve/program.cpp
+++ b/src/serve/program.cpp
@@ -98,7 +98,7 @@
     control_.emplace(machine_, config_.admin, Calls(descriptors()), static_cast<Operations&>(*this));
   if (config_.passed >= 0 && !config_.folder.empty()) {
     handover_.emplace(machine_, PathFor(config_, config_.folder, ".sock"), config_.name,
-                      static_cast<Heritage&>(*this), log_);
+                      static_cast<HandoverHandler&>(*this), log_);
   }
   Allow();
   budget_.Add(front_);
@@ -229,7 +229,7 @@
 }
 
 Task<> Program::Begin() {
-  std::optional<Estate> estate;
+  std::optional<HandoverState> estate;
   if (handover_) estate = co_await handover_->Claim();
   if (estate && told_to_end_at_) {
     // Whoever has the door keeps it. Guards against both ending where one was told to.
@@ -257,9 +257,9 @@
   phases_ = Phases();
   phases_.Start();
   front_.Open();
-  if (estate && estate->aside) {
+  if (estate && estate->drained_manually) {
     SetAside(true);
-    aside_since_ = estate->aside_since;
+    aside_since_ = estate->drained_since;
   }
   if (handover_) handover_->Serve();
   Join();
@@ -382,7 +382,7 @@
   while (phase_ == Phase::kHandedOver) {
     const bool waited = told_to_end_at_ && machine_.Now() >= *told_to_end_at_ + DrainFor(config_.settings);
     const bool all_passed = front_.open() == 0;
-    if ((all_passed && handover_->HeirHoldsAll()) || (waited && (all_passed || !heir_takes_))) {
+    if ((all_passed && handover_->SuccessorHasAllLinks()) || (waited && (all_passed || !heir_takes_))) {
       phase_ = Phase::kClosing;
       break;
     }
--- a/src/serve/program.h
+++ b/src/serve/program.h
@@ -50,7 +50,7 @@
   kHandedOver,  // another process has the door: passes its links on, answers what it owes, and ends
 };
 
-class Program final : private Operations, private Heritage {
+class Program final : private Operations, private HandoverHandler {
  public:
   // Binds the addresses; throws std::system_error where that can't be done. `log` and `counters` must outlive
   // it.
@@ -88,17 +88,17 @@
   Task<> Ended(Leave leave) override;
 
   // What the other process of a hand-over tells it.
-  std::optional<Estate> GiveUpDoor(std::string& why) override;
-  void KeepDoor() override;
-  void HandOn() override;
-  void HeirTold() override;
-  void TakeBack() override;
-  void LastOwner() override;
-  void TakeLink(std::unique_ptr<Stream> stream, PassedLink link) override;
-  void OtherUses(const Use& use) override;
-  void OtherTookOut(const NodeCall& call) override;
-  void OtherPutBack(const NodeCall& call) override;
-  void OtherDrains(bool drains) override;
+  std::optional<HandoverState> ReleaseListener(std::string& why) override;
+  void KeepListener() override;
+  void OnSuccessorServing() override;
+  void OnLinksConfirmed() override;
+  void OnSuccessorLost() override;
+  void OnSuccessorExited() override;
+  void ReceiveLink(std::unique_ptr<Stream> stream, PassedLink link) override;
+  void OnPeerUse(const ResourceUse& use) override;
+  void OnPeerTookOut(const NodeChange& call) override;
+  void OnPeerPutBack(const NodeChange& call) override;
+  void OnPeerDrain(bool drains) override;
 
   Task<Leave> Leaving(freeze::ChangeKind kind, freeze::Scope scope, std::string by, std::string reason);
   Task<> Begin();
@@ -116,7 +116,7 @@
   void Join();
   cluster::Facts FactsNow() const;
   std::vector<Council::Setup::Sight> SightsNow() const;
-  bool TakeOver(const Estate& estate);
+  bool TakeOver(const HandoverState& estate);
   void SetAside(bool aside);
   void TellUse();
   Task<> Drained();
@@ -165,7 +165,7 @@
   bool list_moved_ = false;               // before it served: where discovery is was read anew
   Micros nothing_owed_at_ = 0;            // while it closes
   Micros aside_since_ = 0;
-  Use other_;  // of a hand-over
+  ResourceUse other_;  // of a hand-over
   bool descriptors_tight_ = false;
   Micros began_at_ = 0;
   start::StartPhase told_phase_ = start::StartPhase::kNoList;
--- a/src/serve/program_handover.cpp
+++ b/src/serve/program_handover.cpp
@@ -14,20 +14,20 @@
 }  // namespace
 
 // Where another left off. False where nothing of it can be used.
-bool Program::TakeOver(const Estate& estate) {
+bool Program::TakeOver(const HandoverState& estate) {
   if (!hosts_.TakeOver(estate.hosts, estate.list)) {
     log_.Tell<"handover_refused">("nodes that can't be");
     return false;
   }
   if (keeper_) FindSavedList();
   list_log_.emplace(machine_.scheduler(), hosts_, log_);
-  log_.Tell<"taken_over">(estate.hosts.size(), hosts_.Out().size(), estate.carried.queries.size());
+  log_.Tell<"taken_over">(estate.hosts.size(), hosts_.Out().size(), estate.dispatcher.queries.size());
   std::string why;
   if (estate.settings != config_.settings_json) {
     why = "other settings";
-  } else if (std::abs(machine_.Now() - estate.carried.saved_at) > kClocksApart) {
+  } else if (std::abs(machine_.Now() - estate.dispatcher.saved_at) > kClocksApart) {
     why = "a clock that differs";
-  } else if (!dispatcher_.ImportState(estate.carried)) {
+  } else if (!dispatcher_.ImportState(estate.dispatcher)) {
     why = "a state of another format";
   }
   if (!why.empty()) log_.Tell<"state_refused">(why);
@@ -38,8 +38,8 @@
   return true;
 }
 
-std::optional<Estate> Program::GiveUpDoor(std::string& why) {
-  std::optional<Estate> estate;
+std::optional<HandoverState> Program::ReleaseListener(std::string& why) {
+  std::optional<HandoverState> estate;
   if (!Serving() && phase_ != Phase::kDraining) {
     why = "a claim to a process that does not serve";
     return estate;
@@ -47,20 +47,20 @@
   front_.StopAccepting();
   estate.emplace();
   estate->settings = config_.settings_json;
-  estate->aside = phase_ == Phase::kAside;
-  estate->aside_since = aside_since_;
+  estate->drained_manually = phase_ == Phase::kAside;
+  estate->drained_since = aside_since_;
   estate->list = hosts_.version();
   estate->hosts = hosts_.Records();
-  estate->carried = dispatcher_.ExportState();
+  estate->dispatcher = dispatcher_.ExportState();
   return estate;
 }
 
-void Program::KeepDoor() {
+void Program::KeepListener() {
   if (!Serving() && phase_ != Phase::kDraining) return;
   if (front_.StartAccepting()) log_.Tell<"door_kept">();  // an heir that came no further may be told of twice
 }
 
-void Program::HandOn() {
+void Program::OnSuccessorServing() {
   // One that closes goes on closing. Guards against taking back a door that it has not any more.
   if (phase_ != Phase::kClosing) {
     before_hand_on_ = phase_;
@@ -85,9 +85,9 @@
   moved_.Notify();
 }
 
-void Program::HeirTold() { moved_.Notify(); }
+void Program::OnLinksConfirmed() { moved_.Notify(); }
 
-void Program::TakeBack() {
+void Program::OnSuccessorLost() {
   if (phase_ != Phase::kHandedOver) return;
   log_.Tell<"taken_back">(handover_->links_lost());
   phase_ = before_hand_on_;
@@ -100,18 +100,18 @@
   moved_.Notify();
 }
 
-void Program::LastOwner() {
+void Program::OnSuccessorExited() {
   if (phase_ != Phase::kHandedOver) return;
   phase_ = Phase::kClosing;
   front_.HandOverLinks(nullptr);
   moved_.Notify();
 }
 
-void Program::TakeLink(std::unique_ptr<Stream> stream, PassedLink link) {
-  front_.AdoptLink(std::move(stream), {link.asked, link.began, std::move(link.read)});
+void Program::ReceiveLink(std::unique_ptr<Stream> stream, PassedLink link) {
+  front_.AdoptLink(std::move(stream), {link.has_queried, link.query_began, std::move(link.read)});
 }
 
-void Program::OtherUses(const Use& use) {
+void Program::OnPeerUse(const ResourceUse& use) {
   const bool first = other_.descriptors == 0 && use.descriptors > 0;
   other_ = use;
   Allow();
@@ -121,25 +121,25 @@
 }
 
 void Program::TellUse() {
-  handover_->TellUse({budget_.open() + LinkBudget::kSpareDescriptors, machine_.ResidentBytes() / 1024});
+  handover_->SendUse({budget_.open() + LinkBudget::kSpareDescriptors, machine_.ResidentBytes() / 1024});
 }
 
 // Said on: a third process may be about. It ends where it is known.
-void Program::OtherTookOut(const NodeCall& call) {
+void Program::OnPeerTookOut(const NodeChange& call) {
   if (hosts_.IsOut(call.name) || !hosts_.TakeOut(call.name, call.since)) return;
   HostsChanged();
-  handover_->TellOut(call);
+  handover_->SendTakenOut(call);
   log_.Tell<"node_out">(call.name, hosts_.Out().size());
 }
 
-void Program::OtherPutBack(const NodeCall& call) {
+void Program::OnPeerPutBack(const NodeChange& call) {
   if (!hosts_.IsOut(call.name)) return;
   hosts_.PutBack(call.name, call.since);
   HostsChanged();
-  handover_->TellBack(call);
+  handover_->SendPutBack(call);
   log_.Tell<"node_back">(call.name, hosts_.Out().size());
 }
 
-void Program::OtherDrains(bool drains) { SetAside(drains); }
+void Program::OnPeerDrain(bool drains) { SetAside(drains); }
 
 }  // namespace burlfall
--- a/src/serve/program_operations.cpp
+++ b/src/serve/program_operations.cpp
@@ -57,7 +57,7 @@
   if (!KeepOut(out)) return Verdict::kFailed;
   hosts_.TakeOut(server, now);
   HostsChanged();
-  if (handover_) handover_->TellOut({std::string(server), now});
+  if (handover_) handover_->SendTakenOut({std::string(server), now});
   log_.Tell<"node_out">(server, out.size());
   return Verdict::kDone;
 }
@@ -72,7 +72,7 @@
   const Micros now = machine_.Now();
   hosts_.PutBack(server, now);
   HostsChanged();
-  if (handover_) handover_->TellBack({std::string(server), now});
+  if (handover_) handover_->SendPutBack({std::string(server), now});
   log_.Tell<"node_back">(server, out.size());
   return Verdict::kDone;
 }
@@ -80,13 +80,13 @@
 Verdict Program::StandAside() {
   if (phase_ == Phase::kStarting) return Verdict::kNotNow;
   SetAside(true);
-  if (handover_ && (Serving() || phase_ == Phase::kHandedOver)) handover_->TellDrain(true);
+  if (handover_ && (Serving() || phase_ == Phase::kHandedOver)) handover_->SendDrain(true);
   return Verdict::kDone;  // one that ends drains too
 }
 
 Verdict Program::ComeBack() {
   SetAside(false);
-  if (handover_ && (Serving() || phase_ == Phase::kHandedOver)) handover_->TellDrain(false);
+  if (handover_ && (Serving() || phase_ == Phase::kHandedOver)) handover_->SendDrain(false);
   return phase_ == Phase::kServing || phase_ == Phase::kHandedOver ? Verdict::kDone : Verdict::kNotNow;
 }
 
--- a/tests/drills/drills_test.cpp
+++ b/tests/drills/drills_test.cpp
@@ -128,13 +128,13 @@
     heir = Descriptor(accept4(again.get(), nullptr, nullptr, SOCK_CLOEXEC));
     char bytes[65536];
     if (recv(heir.get(), bytes, sizeof bytes, 0) <= 0) return;
-    Estate estate;
+    HandoverState estate;
     HostRecord& host = estate.hosts.emplace_back();
     host.id = 1;
     host.name = "s-1";
     host.address = "127.0.0.1:" + std::to_string(server.port);
     host.listed = meadowslip::BackendState::kReady;
-    for (const std::string& piece : Pieces(std::move(estate))) {
+    for (const std::string& piece : SplitState(std::move(estate))) {
       send(heir.get(), piece.data(), piece.size(), MSG_NOSIGNAL);
     }
     while (recv(heir.get(), bytes, sizeof bytes, 0) > 0 && bytes[0] != 'S') {
--- a/tests/service/upgrade_test.cpp
+++ b/tests/service/upgrade_test.cpp
@@ -217,9 +217,9 @@
   Say(heir, Pack('T', Claim{kHandoverVersion, "n1"}));
   std::string message = Hear(heir);
   CHECK(message.front() == 'Z');
-  EstateReader reader;
-  CHECK(reader.Take(message) == EstateReader::Read::kWhole);
-  CHECK(reader.estate().hosts.size() == 1);
+  HandoverStateReader reader;
+  CHECK(reader.Add(message) == HandoverStateReader::Read::kComplete);
+  CHECK(reader.result().hosts.size() == 1);
   Link client = Link::To(platform.door.port);
   CHECK(Served(client, server, "t1").ends_with("fine"));
 }
@@ -491,7 +491,7 @@
     socklen_t length = sizeof who;
     getsockopt(heir_.get(), SOL_SOCKET, SO_PEERCRED, &who, &length);
     if (between) between(who.pid);
-    for (const std::string& piece : Pieces(std::move(estate_))) {
+    for (const std::string& piece : SplitState(std::move(estate_))) {
       send(heir_.get(), piece.data(), piece.size(), MSG_NOSIGNAL);
     }
     while (!(message = Hear(heir_)).empty() && message.front() != 'S') {
@@ -500,7 +500,7 @@
   }
 
   Descriptor listener_, heir_;
-  Estate estate_;
+  HandoverState estate_;
   bool took_door_ = false;
   std::thread thread_;
 };
@@ -727,14 +727,14 @@
     const std::vector<Link> quiet = QuietLinks(platform, server);
     const Descriptor successor = Serving(platform, old);
     REQUIRE(IsAsked(successor));
-    Say(successor, Pack('K', Held{kQuietLinks - 1}));
+    Say(successor, Pack('K', ReceivedLinks{kQuietLinks - 1}));
     TwoTurns(old);
   }
   REQUIRE(Says(old, "this one serves again, without 1 client links"));
   const std::vector<Link> quiet = QuietLinks(platform, server);
   const Descriptor successor = Serving(platform, old);
   REQUIRE(IsAsked(successor));
-  Say(successor, Pack('K', Held{kQuietLinks}));
+  Say(successor, Pack('K', ReceivedLinks{kQuietLinks}));
   CHECK(old.Wait() == 0);
 }
 
