--- a/src/control/control_call.cpp
+++ b/src/control/control_call.cpp
@@ -9,7 +9,7 @@
 namespace burlfall {
 namespace {
 
-constexpr size_t kLongestName = 256;
+constexpr size_t kMaxNameLength = 256;
 
 std::string Answer(int status, std::string_view text, std::string_view allow = {}) {
   std::string out = "HTTP/1.1 " + std::to_string(status) + " ";
@@ -30,7 +30,7 @@
     case Verdict::kNotNow:
       return Answer(409, "this process ends");
     case Verdict::kFailed:
-      return Answer(500, "it can't be kept for the next start, and is not done");
+      return Answer(500, "not done: it could not be saved for the next start");
   }
   return Answer(500, "");
 }
@@ -53,29 +53,29 @@
     out += static_cast<char>(Hex(part[i + 1]) * 16 + Hex(part[i + 2]));
     i += 2;
   }
-  if (out.empty() || out.size() > kLongestName) return {};
+  if (out.empty() || out.size() > kMaxNameLength) return {};
   return out;
 }
 
 }  // namespace
 
-std::string AnswerRefused(const Leave& leave) {
-  std::string answer = Answer(409, leave.why);
-  if (leave.retry <= 0) return answer;
+std::string RefusalAnswer(const ChangePermission& permission) {
+  std::string answer = Answer(409, permission.why);
+  if (permission.retry <= 0) return answer;
   std::string header;
-  AppendHeader(header, "Retry-After", std::to_string((leave.retry + kSecond - 1) / kSecond));
+  AppendHeader(header, "Retry-After", std::to_string((permission.retry + kSecond - 1) / kSecond));
   return answer.insert(answer.find("\r\n") + 2, header);
 }
 
-std::optional<ChangeCall> ChangeOf(const HttpMessage& call) {
+std::optional<ChangeCall> ParseChange(const HttpMessage& call) {
   if (call.method != "POST") return {};
   const std::string_view target = call.target;
   const std::string_view path = target.substr(0, target.find('?'));
   ChangeCall change;
   if (path == platform::kDrainPath) {
-    change.what = ChangeCall::What::kStandAside;
+    change.what = ChangeCall::What::kStartDrain;
   } else if (path == platform::kResumePath) {
-    change.what = ChangeCall::What::kComeBack;
+    change.what = ChangeCall::What::kStopDrain;
   } else {
     const std::string_view nodes = platform::kNodesPath;
     if (!path.starts_with(nodes)) return {};
@@ -90,27 +90,27 @@
   }
   std::string_view query = target.size() > path.size() ? target.substr(path.size() + 1) : "";
   while (!query.empty()) {
-    const std::string_view one = query.substr(0, query.find('&'));
-    query.remove_prefix(std::min(query.size(), one.size() + 1));
-    if (one.starts_with("by=")) change.by = Decode(one.substr(3)).value_or("");
-    if (one.starts_with("reason=")) change.reason = Decode(one.substr(7)).value_or("");
+    const std::string_view parameter = query.substr(0, query.find('&'));
+    query.remove_prefix(std::min(query.size(), parameter.size() + 1));
+    if (parameter.starts_with("by=")) change.by = Decode(parameter.substr(3)).value_or("");
+    if (parameter.starts_with("reason=")) change.reason = Decode(parameter.substr(7)).value_or("");
   }
   return change;
 }
 
-std::string AnswerBad(int status) { return Answer(status, ReasonPhrase(status)); }
+std::string ErrorAnswer(int status) { return Answer(status, ReasonPhrase(status)); }
 
 std::string AnswerCall(const HttpMessage& call, Operations& operations) {
   const std::string_view path = std::string_view(call.target).substr(0, call.target.find('?'));
-  const bool post = call.method == "POST";
+  const bool is_post = call.method == "POST";
   if (path == platform::kHealthPath) {
-    if (call.method != "GET") return Answer(405, "GET asks", "GET");
+    if (call.method != "GET") return Answer(405, "use GET", "GET");
     return operations.Serving() ? Answer(200, "serving") : Answer(503, "not serving yet, or no more");
   }
   if (path == platform::kDrainPath || path == platform::kResumePath) {
-    if (!post) return Answer(405, "POST tells", "POST");
-    return path == platform::kDrainPath ? AnswerVerdict(operations.StandAside(), "draining")
-                                        : AnswerVerdict(operations.ComeBack(), "back to work");
+    if (!is_post) return Answer(405, "use POST", "POST");
+    return path == platform::kDrainPath ? AnswerVerdict(operations.StartManualDrain(), "draining")
+                                        : AnswerVerdict(operations.StopManualDrain(), "back to work");
   }
   std::string_view rest = path;
   const std::string_view nodes = platform::kNodesPath;
@@ -120,9 +120,9 @@
   const std::string_view what = slash == std::string_view::npos ? "" : rest.substr(slash);
   const bool out = what == platform::kOutPath;
   if (!out && what != platform::kBackPath) return Answer(404, "no such call");
-  if (!post) return Answer(405, "POST tells", "POST");
+  if (!is_post) return Answer(405, "use POST", "POST");
   const std::optional<std::string> name = Decode(rest.substr(0, slash));
-  if (!name) return Answer(400, "no id that can be read");
+  if (!name) return Answer(400, "invalid node id");
   return out ? AnswerVerdict(operations.TakeOut(*name), "out")
              : AnswerVerdict(operations.PutBack(*name), "back");
 }
--- a/src/control/control_call.h
+++ b/src/control/control_call.h
@@ -14,11 +14,11 @@
 std::string AnswerCall(const HttpMessage& call, Operations& operations);
 // Returns the change that a complete call requests; nullopt if it changes nothing or can't be carried out as
 // written.
-std::optional<ChangeCall> ChangeOf(const HttpMessage& call);
+std::optional<ChangeCall> ParseChange(const HttpMessage& call);
 // Response to a refused change: 409, with Retry-After if a time is known.
-std::string AnswerRefused(const Leave& leave);
+std::string RefusalAnswer(const ChangePermission& permission);
 // Response to an incomplete or invalid call: 400, 408, 413 or 431.
-std::string AnswerBad(int status);
+std::string ErrorAnswer(int status);
 
 }  // namespace burlfall
 
--- a/src/control/control_server.h
+++ b/src/control/control_server.h
@@ -14,12 +14,12 @@
 
 namespace burlfall {
 
-class ControlFront {
+class ControlServer {
  public:
-  // Binds the address; throws std::system_error on failure. Holds at most `most` connections, in addition to
-  // the listener.
-  ControlFront(Machine& machine, const Address& at, size_t most, Operations& operations);
-  ~ControlFront();
+  // Binds the address; throws std::system_error on failure. Holds at most `max_connections` connections, in
+  // addition to the listener.
+  ControlServer(Machine& machine, const Address& at, size_t max_connections, Operations& operations);
+  ~ControlServer();
 
   void Open();
   uint16_t port() const { return PortOf(listener_->Local()); }
@@ -33,27 +33,27 @@
     HttpParser parser;
     std::string in;
     bool answered = false;
-    bool over = false;
+    bool finished = false;
     Task<> task;  // last: what it uses must outlive it
   };
   using Calls = std::list<std::unique_ptr<Call>>;  // ordered by age, oldest first
 
   Task<> Accept();
   Task<> Serve(Call& call);
-  Task<std::string> Carry(HttpMessage message);
+  Task<std::string> Execute(HttpMessage message);
   std::string Read(Call& call, Parsed parsed);
-  void MakeRoom();
+  void EvictCalls();
 
   Machine& machine_;
   Operations& operations_;
-  const size_t most_;
+  const size_t max_connections_;
   std::unique_ptr<Listener> listener_;
   Calls calls_;
-  Event bury_;
+  Event reap_;
   Task<> accept_;  // the tasks last: what they use must outlive them
-  Task<> burier_;
+  Task<> reaper_;
 
-  Task<> Bury();
+  Task<> ReapCalls();
 };
 
 }  // namespace burlfall
--- a/src/control/operations.h
+++ b/src/control/operations.h
@@ -21,7 +21,7 @@
 
 // A requested change, before it is carried out.
 struct ChangeCall {
-  enum class What { kTakeOut, kPutBack, kStandAside, kComeBack };
+  enum class What { kTakeOut, kPutBack, kStartDrain, kStopDrain };
   What what = What::kTakeOut;
   std::string server;  // for kTakeOut and kPutBack
   std::string by;      // who requests an emergency override; needs a reason
@@ -29,11 +29,11 @@
 };
 
 // Answer to a request for a change.
-struct Leave {
+struct ChangePermission {
   bool granted = true;
   std::string why;                 // if refused: the error's name, the cause and what to do
   Micros retry = 0;                // time until a retry is useful; 0: unknown
-  uint64_t change = 0, epoch = 0;  // identifies the permission, for Ended()
+  uint64_t change = 0, epoch = 0;  // identifies the permission, for ReleasePermission()
 };
 
 class Operations {
@@ -41,12 +41,12 @@
   virtual bool Serving() const = 0;  // this process can serve; a manual drain does not change that
   virtual Verdict TakeOut(std::string_view server) = 0;
   virtual Verdict PutBack(std::string_view server) = 0;
-  virtual Verdict StandAside() = 0;
-  virtual Verdict ComeBack() = 0;
-  // MayBegin() is called before each of the four changes above that arrives as a call, Ended() once it was
-  // carried out.
-  virtual Task<Leave> MayBegin(ChangeCall call) = 0;
-  virtual Task<> Ended(Leave leave) = 0;
+  virtual Verdict StartManualDrain() = 0;
+  virtual Verdict StopManualDrain() = 0;
+  // RequestPermission() is called before each of the four changes above that arrives as a call,
+  // ReleasePermission() once it was carried out.
+  virtual Task<ChangePermission> RequestPermission(ChangeCall call) = 0;
+  virtual Task<> ReleasePermission(ChangePermission permission) = 0;
 
  protected:
   ~Operations() = default;
--- a/src/serve/program.h
+++ b/src/serve/program.h
@@ -64,9 +64,9 @@
   void Start();
   void Drain();  // ends, in order: the scheduler stops once it has
   // Whether what SIGHUP asks for may be done now; where it may not, that is in the log. To be told by
-  // Ended().
-  Task<Leave> MayReload();
-  Task<> ReloadEnded(Leave leave) { return Ended(std::move(leave)); }
+  // ReleasePermission().
+  Task<ChangePermission> MayReload();
+  Task<> ReloadEnded(ChangePermission leave) { return ReleasePermission(std::move(leave)); }
   // Takes up a configuration read anew: where discovery is, and the descriptors it allows. The rest holds
   // until the next start; false where it differs.
   bool Reload(Config config);
@@ -82,10 +82,10 @@
   bool Serving() const override { return phase_ == Phase::kServing || phase_ == Phase::kAside; }
   Verdict TakeOut(std::string_view server) override;
   Verdict PutBack(std::string_view server) override;
-  Verdict StandAside() override;
-  Verdict ComeBack() override;
-  Task<Leave> MayBegin(ChangeCall call) override;
-  Task<> Ended(Leave leave) override;
+  Verdict StartManualDrain() override;
+  Verdict StopManualDrain() override;
+  Task<ChangePermission> RequestPermission(ChangeCall call) override;
+  Task<> ReleasePermission(ChangePermission leave) override;
 
   // What the other process of a hand-over tells it.
   std::optional<HandoverState> ReleaseListener(std::string& why) override;
@@ -100,7 +100,8 @@
   void OnPeerPutBack(const NodeChange& call) override;
   void OnPeerDrain(bool drains) override;
 
-  Task<Leave> Leaving(freeze::ChangeKind kind, freeze::Scope scope, std::string by, std::string reason);
+  Task<ChangePermission> Leaving(freeze::ChangeKind kind, freeze::Scope scope, std::string by,
+                                 std::string reason);
   Task<> Begin();
   void BeginAlone();
   std::function<std::optional<Micros>(Micros)> NotReady();
@@ -154,7 +155,7 @@
   const std::optional<CouncilSettings> council_settings_;
   std::unique_ptr<Council> council_;
   std::vector<std::unique_ptr<Council>> councils_before_;  // shut: a call may still wait in one
-  std::optional<ControlFront> control_;
+  std::optional<ControlServer> control_;
   std::optional<Handover> handover_;
   const std::optional<ClusterSettings> cluster_;
   std::optional<ClusterMember> member_;
--- a/src/serve/program_operations.cpp
+++ b/src/serve/program_operations.cpp
@@ -77,53 +77,53 @@
   return Verdict::kDone;
 }
 
-Verdict Program::StandAside() {
+Verdict Program::StartManualDrain() {
   if (phase_ == Phase::kStarting) return Verdict::kNotNow;
   SetAside(true);
   if (handover_ && (Serving() || phase_ == Phase::kHandedOver)) handover_->SendDrain(true);
   return Verdict::kDone;  // one that ends drains too
 }
 
-Verdict Program::ComeBack() {
+Verdict Program::StopManualDrain() {
   SetAside(false);
   if (handover_ && (Serving() || phase_ == Phase::kHandedOver)) handover_->SendDrain(false);
   return phase_ == Phase::kServing || phase_ == Phase::kHandedOver ? Verdict::kDone : Verdict::kNotNow;
 }
 
 // Without a council each balancer decides by itself.
-Task<Leave> Program::MayBegin(ChangeCall call) {
+Task<ChangePermission> Program::RequestPermission(ChangeCall call) {
   using What = ChangeCall::What;
-  if (!council_ || phase_ == Phase::kStarting) co_return Leave();
+  if (!council_ || phase_ == Phase::kStarting) co_return ChangePermission();
   freeze::Scope scope = freeze::Scope::Balancer(config_.name, cluster_ ? cluster_->zone : "");
   freeze::ChangeKind kind =
-      call.what == What::kStandAside ? freeze::ChangeKind::kDrain : freeze::ChangeKind::kUndrain;
+      call.what == What::kStartDrain ? freeze::ChangeKind::kDrain : freeze::ChangeKind::kUndrain;
   if (call.what == What::kTakeOut || call.what == What::kPutBack) {
     const bool out = call.what == What::kTakeOut;
     // What is so already, or can't be, changes nothing.
-    if (!hosts_.Names(call.server) || hosts_.IsOut(call.server) == out) co_return Leave();
+    if (!hosts_.Names(call.server) || hosts_.IsOut(call.server) == out) co_return ChangePermission();
     kind = out ? freeze::ChangeKind::kNodeOut : freeze::ChangeKind::kNodeBack;
     scope = freeze::Scope::Node(call.server, "", "");
     for (const HostRecord& host : hosts_.Records()) {
       if (host.name != call.server) continue;
       scope = freeze::Scope::Node(call.server, std::to_string(host.zone), std::to_string(host.kind));
     }
-  } else if ((phase_ == Phase::kAside) == (call.what == What::kStandAside)) {
-    co_return Leave();
+  } else if ((phase_ == Phase::kAside) == (call.what == What::kStartDrain)) {
+    co_return ChangePermission();
   }
   co_return co_await Leaving(kind, scope, std::move(call.by), std::move(call.reason));
 }
 
-Task<Leave> Program::MayReload() {
-  if (!council_) co_return Leave();
+Task<ChangePermission> Program::MayReload() {
+  if (!council_) co_return ChangePermission();
   co_return co_await Leaving(freeze::ChangeKind::kReload,
                              freeze::Scope::Balancer(config_.name, cluster_ ? cluster_->zone : ""), "", "");
 }
 
-Task<Leave> Program::Leaving(freeze::ChangeKind kind, freeze::Scope scope, std::string by,
-                             std::string reason) {
+Task<ChangePermission> Program::Leaving(freeze::ChangeKind kind, freeze::Scope scope, std::string by,
+                                        std::string reason) {
   const Council::Permission permission =
       co_await council_->Ask(kind, std::move(scope), std::move(by), std::move(reason));
-  Leave leave;
+  ChangePermission leave;
   leave.granted = permission.error == owner::Error::kNone;
   leave.change = permission.change;
   leave.epoch = permission.epoch;
@@ -136,7 +136,7 @@
   co_return leave;
 }
 
-Task<> Program::Ended(Leave leave) {
+Task<> Program::ReleasePermission(ChangePermission leave) {
   if (!council_ || leave.change == 0) co_return;
   Council::Permission permission;
   permission.change = leave.change;
--- a/src/serve/serve.cpp
+++ b/src/serve/serve.cpp
@@ -52,7 +52,7 @@
 // Where balancers decide that together, a reload is asked for first; the end of the program waits for
 // nothing.
 Task<> ReloadOnce(Program& program, const std::string& path, Files& files, Log& log) {
-  const Leave leave = co_await program.MayReload();
+  const ChangePermission leave = co_await program.MayReload();
   if (!leave.granted) co_return;
   Reload(program, path, files, log);
   co_await program.ReloadEnded(leave);
--- a/tests/service/control_call_test.cpp
+++ b/tests/service/control_call_test.cpp
@@ -10,10 +10,10 @@
   bool Serving() const override { return serving; }
   Verdict TakeOut(std::string_view server) override { return Say("out " + std::string(server)); }
   Verdict PutBack(std::string_view server) override { return Say("back " + std::string(server)); }
-  Verdict StandAside() override { return Say("aside"); }
-  Verdict ComeBack() override { return Say("come back"); }
-  Task<Leave> MayBegin(ChangeCall) override { co_return Leave(); }
-  Task<> Ended(Leave) override { co_return; }
+  Verdict StartManualDrain() override { return Say("aside"); }
+  Verdict StopManualDrain() override { return Say("come back"); }
+  Task<ChangePermission> RequestPermission(ChangeCall) override { co_return ChangePermission(); }
+  Task<> ReleasePermission(ChangePermission) override { co_return; }
   Verdict Say(const std::string& what) {
     last = what;
     return verdict;
@@ -80,7 +80,7 @@
   HttpMessage call;
   call.method = "POST";
   call.target = "/nodes/a%2Fb/maint?by=staff&reason=it%20burns";
-  const std::optional<ChangeCall> change = ChangeOf(call);
+  const std::optional<ChangeCall> change = ParseChange(call);
   ASSERT_TRUE(change);
   EXPECT_EQ(change->what, ChangeCall::What::kTakeOut);
   EXPECT_EQ(change->server, "a/b");
@@ -88,10 +88,10 @@
   EXPECT_EQ(change->reason, "it burns");
   for (const char* nothing : {"/up", "/nodes/a", "/nodes/a/other"}) {
     call.target = nothing;
-    EXPECT_FALSE(ChangeOf(call)) << nothing;
+    EXPECT_FALSE(ParseChange(call)) << nothing;
   }
   const std::string refused =
-      AnswerRefused({.granted = false, .why = "frozen: incident 7", .retry = 1500 * kMs});
+      RefusalAnswer({.granted = false, .why = "frozen: incident 7", .retry = 1500 * kMs});
   EXPECT_EQ(refused.substr(0, 12), "HTTP/1.1 409");
   EXPECT_NE(refused.find("\r\nRetry-After: 2\r\n"), std::string::npos);
 }
