--- a/src/membership/discovery.h
+++ b/src/membership/discovery.h
@@ -18,40 +18,40 @@
 
 class Discovery final : public Source {
  public:
-  // `pace` limits when calls are sent and must outlive this object; nullptr: calls are sent on demand.
-  Discovery(Machine& machine, const Config& config, Counters& counters, Told told,
-            start::CallPacer* pace = nullptr);
-  void Start(std::optional<uint64_t> has) override;
+  // `pacer` limits when calls are sent and must outlive this object; nullptr: calls are sent on demand.
+  Discovery(Machine& machine, const Config& config, Counters& counters, OnUpdate on_update,
+            start::CallPacer* pacer = nullptr);
+  void Start(std::optional<uint64_t> known_version) override;
   void Follow() override;
-  void Again() override;
+  void Reconnect() override;
 
  private:
   // Result of one call.
   struct Answer {
     std::optional<HostList> list = {};  // nullopt if the call failed in any way
     std::string why = {};               // the reason of a failure, for the log
-    ListCallEnd how = ListCallEnd::kDown;
-    Micros retry_after = 0;  // requested by the service; 0: none
-    bool waited = false;     // the call was queued at the service, judging by its duration
+    ListCallOutcome how = ListCallOutcome::kDown;
+    Micros retry_after = 0;   // requested by the service; 0: none
+    bool was_queued = false;  // the call was queued at the service, judging by its duration
   };
   Task<> Watch();
-  bool Bound() const;
-  Micros TurnAt() const;
-  Task<> AwaitTurn();
-  void Settle(const Answer& answer, Micros called_at, bool news);
-  Task<Answer> Ask(std::string path, Micros patience);
+  bool ClockApplies() const;
+  Micros NextPacedCallAt() const;
+  Task<> WaitForNextCall();
+  void RecordOutcome(const Answer& answer, Micros called_at, bool changed);
+  Task<Answer> Call(std::string path, Micros timeout);
 
   Scheduler& scheduler_;
   Network& network_;
   Machine& machine_;
   const Config& config_;
   Counters& counters_;
-  Told told_;
-  start::CallPacer* const pace_;
+  OnUpdate on_update_;
+  start::CallPacer* const pacer_;
   ListClock clock_;
   std::unique_ptr<Stream> link_;
-  Event asked_;
-  std::optional<uint64_t> has_;  // version on which further changes are based; nullopt: none
+  Event follow_requested_;
+  std::optional<uint64_t> known_version_;  // version on which further changes are based; nullopt: none
   bool started_ = false;
   bool following_ = false;
   Task<> watch_;  // last: what it uses must outlive it
--- a/src/membership/list_clock.h
+++ b/src/membership/list_clock.h
@@ -19,8 +19,8 @@
 };
 
 // Outcome of a call to the list service.
-enum class ListCallEnd {
-  kHeard,   // a list, or an answer without changes
+enum class ListCallOutcome {
+  kAnswered,   // a list, or an answer without changes
   kBusy,    // the service rejected the call as overloaded
   kSilent,  // timeout: a broken watch may give no other sign
   kDown,    // refused, reset, or an invalid answer
@@ -30,41 +30,41 @@
  public:
   // What a silent call missed counts as delivered this long after the silence began, or after the end of the
   // wait that the call requested, whichever is later (protocol page).
-  static constexpr Micros kSilenceCounts = 6 * kSecond;
-  static constexpr Micros kWaitCounts = 2 * kSecond;
+  static constexpr Micros kSilenceCountsAfter = 6 * kSecond;
+  static constexpr Micros kWaitCountsAfter = 2 * kSecond;
   // What a new service has counts as delivered this long after the balancer was told its address (standing
   // test).
-  static constexpr Micros kNewPlaceCounts = 4 * kSecond;
+  static constexpr Micros kNewServiceCountsAfter = 4 * kSecond;
 
   explicit ListClock(const ListRules& rules) : rules_(rules) {}
 
   // The longest wait that a watch requests from the service.
   Micros wait() const;
-  // Timeout of a call. `opens`: the call waits in the service's queue; a call that continues a watch does
-  // not.
-  Micros patience(bool watch, bool opens) const;
+  // Timeout of a call. `opens_watch`: the call waits in the service's queue; a call that continues a watch
+  // does not.
+  Micros timeout(bool watch, bool opens_watch) const;
 
   // Another service is called from now on; the behaviour of the previous one no longer counts.
-  void Anew(Micros now);
+  void Reset(Micros now);
   void Called(Micros now, bool watch);
   // `retry_after`: requested by the service; 0: none. `draw`: random number from [0, 1).
-  void Ended(Micros now, ListCallEnd how, Micros retry_after, double draw);
+  void Ended(Micros now, ListCallOutcome how, Micros retry_after, double draw);
 
   // Latest time of the next call, whether requested or not; kNever: only on request.
-  Micros ask_at() const { return ask_at_; }
+  Micros next_call_at() const { return next_call_at_; }
   // Time from which a possibly missed change counts as delivered; kNever: nothing was missed.
   Micros counts_at() const { return counts_at_; }
 
  private:
   Micros Pause(double draw) const;
-  Micros PauseAfter(ListCallEnd how, Micros retry_after, double draw) const;
+  Micros PauseAfter(ListCallOutcome how, Micros retry_after, double draw) const;
 
   const ListRules rules_;
   Micros called_at_ = 0;
   bool watch_ = false;  // the current call is a watch
   int silent_ = 0;      // consecutive calls without an answer
   int failed_ = 0;      // consecutive failed calls
-  Micros ask_at_ = kNever;
+  Micros next_call_at_ = kNever;
   Micros counts_at_ = kNever;
 };
 
--- a/src/membership/list_log.cpp
+++ b/src/membership/list_log.cpp
@@ -5,8 +5,8 @@
 namespace burlfall {
 namespace {
 
-constexpr Micros kChangesEvery = 1 * kSecond;
-constexpr Micros kFailedEvery = 10 * kSecond;
+constexpr Micros kChangesInterval = 1 * kSecond;
+constexpr Micros kFailuresInterval = 10 * kSecond;
 
 }  // namespace
 
@@ -15,27 +15,27 @@
   hosts_.ForgetChanges();
 }
 
-void ListLog::Heard() {
-  if (std::exchange(failing_told_, false)) {
+void ListLog::OnListApplied() {
+  if (std::exchange(failure_logged_, false)) {
     log_.Tell<"list_back">(failed_, (clock_.Now() - failing_since_) / kMs);
   }
   failed_ = 0;
-  Tell();
+  LogChanges();
 }
 
-void ListLog::Failed(const std::string& why) {
+void ListLog::OnFailure(const std::string& why) {
   const Micros now = clock_.Now();
   if (++failed_ == 1) failing_since_ = now;
-  if (now < tell_failed_at_) return;
-  tell_failed_at_ = now + kFailedEvery;
-  failing_told_ = true;
+  if (now < log_failure_at_) return;
+  log_failure_at_ = now + kFailuresInterval;
+  failure_logged_ = true;
   log_.Tell<"list_failed">(failed_, why);
 }
 
-void ListLog::Tell() {
+void ListLog::LogChanges() {
   const HostChanges& all = hosts_.changes();
-  if (!all.any() || clock_.Now() < tell_changes_at_) return;
-  tell_changes_at_ = clock_.Now() + kChangesEvery;
+  if (!all.any() || clock_.Now() < log_changes_at_) return;
+  log_changes_at_ = clock_.Now() + kChangesInterval;
   log_.Tell<"list_heard">(hosts_.version(), hosts_.Ready(), all.added, all.removed, all.draining,
                           all.restarted);
   hosts_.ForgetChanges();
--- a/src/membership/list_log.h
+++ b/src/membership/list_log.h
@@ -15,19 +15,19 @@
  public:
   // Changes before the construction are not logged.
   ListLog(const Scheduler& clock, HostGroup& hosts, Log& log);
-  void Heard();  // the group has applied a list
-  void Failed(const std::string& why);
-  void Tell();  // logs changes that the rate limit held back; call it periodically
+  void OnListApplied();  // the group has applied a list
+  void OnFailure(const std::string& why);
+  void LogChanges();  // logs changes that the rate limit held back; call it periodically
 
  private:
   const Scheduler& clock_;
   HostGroup& hosts_;
   Log& log_;
-  Micros tell_changes_at_ = 0;
-  Micros tell_failed_at_ = 0;
+  Micros log_changes_at_ = 0;
+  Micros log_failure_at_ = 0;
   uint64_t failed_ = 0;  // consecutive failed calls
   Micros failing_since_ = 0;
-  bool failing_told_ = false;
+  bool failure_logged_ = false;
 };
 
 }  // namespace burlfall
--- a/src/membership/source.h
+++ b/src/membership/source.h
@@ -15,14 +15,14 @@
  public:
   // Called with each list, and with nullptr and the reason after each failed call. After a failure Follow()
   // must be called again.
-  using Told = std::function<void(const HostList*, const std::string& why)>;
+  using OnUpdate = std::function<void(const HostList*, const std::string& why)>;
 
   virtual ~Source() = default;
-  // Starts the source. `has`: version of the list that the group has, so that changes since then suffice;
+  // Starts the source. `known_version`: version of the list that the group has, so that changes since then suffice;
   // nullopt: the full list is needed.
-  virtual void Start(std::optional<uint64_t> has) = 0;
-  virtual void Follow() = 0;  // follows the list from now on, until a call fails
-  virtual void Again() = 0;   // reconnects at once to the address in the current configuration
+  virtual void Start(std::optional<uint64_t> known_version) = 0;
+  virtual void Follow() = 0;     // follows the list from now on, until a call fails
+  virtual void Reconnect() = 0;  // reconnects at once to the address in the current configuration
 };
 
 }  // namespace burlfall
--- a/src/serve/program.cpp
+++ b/src/serve/program.cpp
@@ -138,7 +138,7 @@
     facts.zone = zone;
     return facts;
   };
-  setup.on_list_behind = [this] { discovery_.Again(); };
+  setup.on_list_behind = [this] { discovery_.Reconnect(); };
   member_.emplace(machine_, cluster, std::move(setup), log_, counters_);
   member_->Start();
 }
@@ -290,9 +290,9 @@
     if (keeper_) keeper_->OnConfirmed(changed);
     told = hosts_.Take(*list, machine_.Now());
     upstream_.CloseStaleIdle();
-    list_log_->Heard();
+    list_log_->OnListApplied();
   } else {
-    list_log_->Failed(why);
+    list_log_->OnFailure(why);
   }
   dispatcher_.OnList(told);
   TellStart();
@@ -320,7 +320,7 @@
   if (phase_ == Phase::kStarting) {
     list_moved_ = true;
   } else {
-    discovery_.Again();
+    discovery_.Reconnect();
   }
   return same;
 }
@@ -411,7 +411,7 @@
   while (true) {
     co_await sweep_.Wait(machine_.Now() + kSweepEvery);
     upstream_.CloseStaleIdle();
-    list_log_->Tell();
+    list_log_->LogChanges();
     TellDescriptors();
     KeepOutLate();
     KeepList();
--- a/tests/membership/list_clock_test.cpp
+++ b/tests/membership/list_clock_test.cpp
@@ -8,7 +8,7 @@
 namespace burlfall {
 namespace {
 
-using enum ListCallEnd;
+using enum ListCallOutcome;
 
 constexpr ListRules kAsked = {.pushed = false, .must_ask_within = 10 * kSecond, .drain_grace = 750 * kMs};
 constexpr ListRules kPushed = {.pushed = true, .must_ask_within = 10 * kSecond, .drain_grace = 750 * kMs};
@@ -20,9 +20,9 @@
     ListClock clock({.must_ask_within = must_ask});
     clock.Called(0, true);
     EXPECT_GE(clock.wait(), kSecond);
-    const Micros found = clock.patience(true, false);
+    const Micros found = clock.timeout(true, false);
     clock.Ended(found, kSilent, 0, 0.5);
-    EXPECT_EQ(clock.ask_at(), found) << must_ask;  // at once
+    EXPECT_EQ(clock.next_call_at(), found) << must_ask;  // at once
     EXPECT_EQ(clock.counts_at(), 6 * kSecond);
     EXPECT_GE(clock.counts_at() - found, 2500 * kMs) << must_ask;
   }
@@ -37,23 +37,23 @@
   clock.Ended(107 * kSecond, kSilent, 0, 0);
   EXPECT_EQ(clock.counts_at(), 106 * kSecond);  // a later silence takes nothing back
   clock.Called(107 * kSecond, true);
-  clock.Ended(107 * kSecond, kHeard, 0, 0);
+  clock.Ended(107 * kSecond, kAnswered, 0, 0);
   EXPECT_EQ(clock.counts_at(), kNever);
-  EXPECT_EQ(clock.ask_at(), kNever);
+  EXPECT_EQ(clock.next_call_at(), kNever);
 }
 
 TEST(ListClock, ACallRejectedAfterASilenceIsRetriedInTime) {
   for (double draw : {0.0, 0.5, 0.999}) {
     ListClock clock(kAsked);
     clock.Called(0, true);
-    Micros now = clock.patience(true, false);
+    Micros now = clock.timeout(true, false);
     clock.Ended(now, kSilent, 0, draw);
     int calls = 0;
-    while (clock.ask_at() < clock.counts_at()) {
-      now = clock.ask_at();
+    while (clock.next_call_at() < clock.counts_at()) {
+      now = clock.next_call_at();
       clock.Called(now, true);
       clock.Ended(now + 5 * kMs, kBusy, 3600 * kSecond, draw);  // no hour is waited for
-      EXPECT_GT(clock.ask_at(), now + 5 * kMs);                 // nor is the service asked without a pause
+      EXPECT_GT(clock.next_call_at(), now + 5 * kMs);           // nor is the service asked without a pause
       ++calls;
     }
     EXPECT_GE(calls, 3) << draw;  // each of them before what was missed counts
@@ -64,14 +64,14 @@
 // The call after a failure may be turned away once more after 2 s in line, and one more stands in it.
 TEST(ListClock, AfterAnyFailureTheNextCallIsInTimeForAChangeRightAfterIt) {
   for (Micros must_ask : {kSecond, 10 * kSecond, 60 * kSecond, 3600 * kSecond}) {
-    for (ListCallEnd how : {kBusy, kDown}) {
+    for (ListCallOutcome how : {kBusy, kDown}) {
       for (double draw : {0.0, 0.5, 0.999}) {
         ListClock clock({.must_ask_within = must_ask});
-        for (Micros now = 0; now < 60 * kSecond; now = clock.ask_at()) {
+        for (Micros now = 0; now < 60 * kSecond; now = clock.next_call_at()) {
           clock.Called(now, false);
           clock.Ended(now + 5 * kMs, how, 0, draw);
-          ASSERT_LE(clock.ask_at() - now, 1900 * kMs) << must_ask << " " << draw;
-          ASSERT_GE(clock.ask_at() - now, 600 * kMs) << must_ask << " " << draw;  // nor in a loop
+          ASSERT_LE(clock.next_call_at() - now, 1900 * kMs) << must_ask << " " << draw;
+          ASSERT_GE(clock.next_call_at() - now, 600 * kMs) << must_ask << " " << draw;  // nor in a loop
           EXPECT_EQ(clock.counts_at(), kNever);
         }
       }
@@ -89,8 +89,8 @@
         ListClock clock({.must_ask_within = must_ask});
         clock.Called(0, false);
         clock.Ended(0, kBusy, asked_for, draw);
-        least = std::min(least, clock.ask_at());
-        most = std::max(most, clock.ask_at());
+        least = std::min(least, clock.next_call_at());
+        most = std::max(most, clock.next_call_at());
       }
       EXPECT_GE(least, std::min({asked_for, must_ask / 3, kSecond}));
       EXPECT_LE(most, 1900 * kMs);
@@ -102,48 +102,48 @@
 // What the service has counts at once: each pause is a part of the grace.
 TEST(ListClock, WithPushedListsTheNextCallIsWithinAPartOfTheGrace) {
   for (Micros grace : {20 * kMs, 100 * kMs, 750 * kMs, 10 * kSecond}) {
-    for (ListCallEnd how : {kBusy, kDown, kSilent}) {
+    for (ListCallOutcome how : {kBusy, kDown, kSilent}) {
       ListClock clock({.pushed = true, .drain_grace = grace});
       for (int i = 0; i < 20; ++i) {
         clock.Called(i * kSecond, true);
         clock.Ended(i * kSecond, how, i % 2 * 3600 * kSecond, 0.999);
-        EXPECT_LE(clock.ask_at() - i * kSecond, std::max<Micros>(10 * kMs, grace / 4));
+        EXPECT_LE(clock.next_call_at() - i * kSecond, std::max<Micros>(10 * kMs, grace / 4));
       }
     }
   }
   ListClock clock(kPushed);
   clock.Called(0, true);
   clock.Ended(0, kDown, 0, 0);
-  EXPECT_GE(clock.ask_at(), 50 * kMs);  // and yet not in a closed loop
+  EXPECT_GE(clock.next_call_at(), 50 * kMs);  // and yet not in a closed loop
 }
 
 // What the service before did buys the new one no patience: it is found silent, and asked again, in time.
 TEST(ListClock, ANewServiceStartsWithoutFailuresAndCountsAfterFourSeconds) {
   ListClock clock(kAsked);
-  const Micros patience = clock.patience(false, true);
+  const Micros timeout = clock.timeout(false, true);
   Micros now = 0;
   for (int i = 0; i < 5; ++i) {
     clock.Called(now, true);
-    now += clock.patience(true, true);
+    now += clock.timeout(true, true);
     clock.Ended(now, kSilent, 0, 0.5);
   }
-  clock.Anew(now);
+  clock.Reset(now);
   EXPECT_EQ(clock.counts_at(), now + 4 * kSecond);
-  EXPECT_EQ(clock.patience(false, true), patience);
+  EXPECT_EQ(clock.timeout(false, true), timeout);
   clock.Called(now, false);
-  clock.Ended(now + patience, kSilent, 0, 0.999);
-  EXPECT_EQ(clock.ask_at(), now + patience);
+  clock.Ended(now + timeout, kSilent, 0, 0.999);
+  EXPECT_EQ(clock.next_call_at(), now + timeout);
   EXPECT_LE(clock.counts_at(), now + 4 * kSecond);  // a silence puts nothing off
 }
 
 TEST(ListClock, AQueueLongerThanTheTimeoutIsWaitedForTheSecondTime) {
   ListClock clock(kAsked);
-  const Micros first = clock.patience(false, true);
+  const Micros first = clock.timeout(false, true);
   clock.Called(0, false);
   clock.Ended(first, kSilent, 0, 0);
-  EXPECT_GT(clock.patience(false, true), first);
-  EXPECT_GT(clock.patience(true, true), first);
-  EXPECT_EQ(clock.patience(true, false), clock.wait() + kSecond);  // one that goes on stands in no line
+  EXPECT_GT(clock.timeout(false, true), first);
+  EXPECT_GT(clock.timeout(true, true), first);
+  EXPECT_EQ(clock.timeout(true, false), clock.wait() + kSecond);  // one that goes on stands in no line
 }
 
 }  // namespace
--- a/tests/membership/watch_test.cpp
+++ b/tests/membership/watch_test.cpp
@@ -409,7 +409,7 @@
     for (const Reload& reload : reloads) {
       while (world.scheduler.Now() < kBegin + reload.at) co_await pause.Wait(kBegin + reload.at);
       config.discovery = reload.elsewhere ? new_place : old_place;
-      discovery.Again();
+      discovery.Reconnect();
     }
     co_await pause.Wait(kBegin + length);
     world.scheduler.Halt();
@@ -540,7 +540,7 @@
   Counters counters;
   int heard = 0;
   Discovery discovery(machine, config, counters, [&](const HostList*, const std::string&) { ++heard; });
-  discovery.Again();
+  discovery.Reconnect();
   const auto story = [&]() -> Task<> {
     Event pause(world.scheduler);
     co_await pause.Wait(kBegin + kSecond);
