--- a/src/membership/host_group.cpp
+++ b/src/membership/host_group.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-std::shared_ptr<const Host> HostGroup::Hold(meadowslip::BackendId id) const {
+std::shared_ptr<const Host> HostGroup::FindShared(meadowslip::BackendId id) const {
   auto it = hosts_.find(id);
   return it == hosts_.end() ? nullptr : it->second;
 }
@@ -38,7 +38,7 @@
   return names;
 }
 
-Host& HostGroup::Named(const std::string& name) {
+Host& HostGroup::FindOrAdd(const std::string& name) {
   Host*& host = by_name_[name];
   if (host == nullptr) {
     uint32_t id = Hash(name);
@@ -52,19 +52,19 @@
   return *host;
 }
 
-BackendList HostGroup::Take(const HostList& list, Micros now) {
-  BackendList told;
+BackendList HostGroup::ApplyList(const HostList& list, Micros now) {
+  BackendList module_list;
   version_ = list.version;
-  told.kind = list.full ? ListKind::kFull : ListKind::kChanges;
+  module_list.kind = list.full ? ListKind::kFull : ListKind::kChanges;
   if (list.full && settings_.gone_binds) {
     for (auto& [id, host] : hosts_) {
       host->listed = BackendState::kGone;  // unless the list names it, see below
       if (host->gone_at == kNever) host->gone_at = now;
-      Settle(*host);
+      UpdateState(*host);
     }
   }
   for (HostEntry e : list.hosts) {
-    Host& host = Named(e.name);
+    Host& host = FindOrAdd(e.name);
     // A start time in the future is replaced by now. Otherwise a node would count as cold for as long as the
     // clocks differ.
     const Micros listed_start = e.entry.started_at;
@@ -73,36 +73,37 @@
     if (e.address.length > 0 && (host.address.text != e.address.text || host.started_at != listed_start)) {
       host.address = e.address;
       host.started_at = listed_start;
-      ++host.era;  // links to the process before its restart are useless
+      ++host.incarnation;  // links to the process before its restart are useless
     }
     if (e.entry.state != BackendState::kGone) host.entry = e.entry;
     if (e.entry.state != BackendState::kGone || settings_.gone_binds) host.listed = e.entry.state;
     host.entry.id = host.id;
     const bool gone = host.listed == BackendState::kGone;
     host.gone_at = !gone ? kNever : host.gone_at == kNever ? now : host.gone_at;
-    Settle(host);
-    told.entries.push_back(Told(host));
-    if (e.entry.state == BackendState::kGone) told.entries.back().state = BackendState::kGone;
+    UpdateState(host);
+    module_list.entries.push_back(ModuleEntry(host));
+    if (e.entry.state == BackendState::kGone) module_list.entries.back().state = BackendState::kGone;
   }
-  Forget(now);
+  ForgetGone(now);
   if (list.full) {
-    for (auto& [id, host] : hosts_) Count(*host);
+    for (auto& [id, host] : hosts_) CountChange(*host);
   } else {
-    for (const HostEntry& e : list.hosts) Count(Named(e.name));
+    for (const HostEntry& e : list.hosts) CountChange(FindOrAdd(e.name));
   }
-  return told;
+  return module_list;
 }
 
-void HostGroup::Forget(Micros now) {
-  if (hosts_.size() <= kMostKnown) return;
+void HostGroup::ForgetGone(Micros now) {
+  if (hosts_.size() <= kMaxKnown) return;
   std::vector<const Host*> gone;
   for (const auto& [id, host] : hosts_) {
-    if (!host->out && host->gone_at != kNever && now - host->gone_at >= kKnownFor) gone.push_back(host.get());
+    if (!host->out && host->gone_at != kNever && now - host->gone_at >= kGoneRetention)
+      gone.push_back(host.get());
   }
   std::sort(gone.begin(), gone.end(), [](const Host* a, const Host* b) {
     return std::pair(a->gone_at, a->id) < std::pair(b->gone_at, b->id);
   });
-  gone.resize(std::min(gone.size(), hosts_.size() - kMostKnown));
+  gone.resize(std::min(gone.size(), hosts_.size() - kMaxKnown));
   for (const Host* host : gone) {
     const meadowslip::BackendId id = host->id;
     by_name_.erase(host->name);
@@ -111,48 +112,48 @@
 }
 
 // Combines the operator's calls with the listed state. No other function does so.
-void HostGroup::Settle(Host& host) const {
-  const bool not_ours = host.out || Told(host).started_at > cold_since_;
-  host.state = not_ours && host.listed == BackendState::kReady ? BackendState::kDraining : host.listed;
+void HostGroup::UpdateState(Host& host) const {
+  const bool drains = host.out || ModuleEntry(host).started_at > cold_since_;
+  host.state = drains && host.listed == BackendState::kReady ? BackendState::kDraining : host.listed;
 }
 
 // A host that was out of service is assumed to have restarted by the time it was put back. Guards the rule
 // on cold servers when the list does not report that start.
-BackendEntry HostGroup::Told(const Host& host) {
+BackendEntry HostGroup::ModuleEntry(const Host& host) {
   BackendEntry entry = host.entry;
   entry.state = host.state;
   if (host.back_at > 0 && entry.started_at < host.out_at) entry.started_at = host.back_at;
   return entry;
 }
 
-Host* HostGroup::FindNamed(std::string_view name) {
+Host* HostGroup::FindByName(std::string_view name) {
   auto it = by_name_.find(std::string(name));
   return it == by_name_.end() ? nullptr : it->second;
 }
 
 bool HostGroup::TakeOut(std::string_view name, Micros now) {
-  Host* host = FindNamed(name);
+  Host* host = FindByName(name);
   if (host == nullptr) return false;
   if (!host->out) host->out_at = now;
   host->out = true;
-  Settle(*host);
-  Count(*host);
+  UpdateState(*host);
+  CountChange(*host);
   return true;
 }
 
 bool HostGroup::PutBack(std::string_view name, Micros now) {
-  Host* host = FindNamed(name);
+  Host* host = FindByName(name);
   if (host == nullptr) return false;
   if (!std::exchange(host->out, false)) return true;
   host->back_at = now;
-  ++host->era;  // links to the process before its restart are useless
-  Settle(*host);
-  Count(*host);
+  ++host->incarnation;  // links to the process before its restart are useless
+  UpdateState(*host);
+  CountChange(*host);
   return true;
 }
 
-void HostGroup::TakeOutUnseen(const std::string& name, Micros since) {
-  Named(name);
+void HostGroup::TakeOutUnlisted(const std::string& name, Micros since) {
+  FindOrAdd(name);
   TakeOut(name, since);
 }
 
@@ -191,13 +192,13 @@
   return records;
 }
 
-bool HostGroup::TakeOver(const std::vector<HostRecord>& records, uint64_t version) {
+bool HostGroup::Restore(const std::vector<HostRecord>& records, uint64_t version) {
   HostGroup fresh(settings_);
   for (const HostRecord& r : records) {
     const std::optional<Address> address = r.address.empty() ? Address() : ReadAddress(r.address);
     const bool known = r.listed == BackendState::kGone || r.listed == BackendState::kReady ||
                        r.listed == BackendState::kDraining;
-    if (!address || !known || r.name.empty() || fresh.hosts_.contains(r.id) || fresh.Names(r.name)) {
+    if (!address || !known || r.name.empty() || fresh.hosts_.contains(r.id) || fresh.Knows(r.name)) {
       return false;
     }
     auto host = std::make_shared<Host>();
@@ -213,7 +214,7 @@
     host->entry.kind = r.kind;
     host->started_at = host->entry.started_at = r.started_at;
     host->entry.size = r.size;
-    Settle(*host);
+    UpdateState(*host);
     host->state_counted = host->state;
     fresh.by_name_[r.name] = host.get();
     fresh.hosts_.emplace(r.id, std::move(host));
@@ -224,29 +225,29 @@
   return true;
 }
 
-void HostGroup::LeaveCold(bool leave, Micros now) {
+void HostGroup::ExcludeCold(bool leave, Micros now) {
   cold_since_ = leave ? now - settings_.warm_after : kNever;
-  const bool others = std::any_of(hosts_.begin(), hosts_.end(), [this](const auto& one) {
-    const Host& host = *one.second;
-    return host.listed == BackendState::kReady && !host.out && Told(host).started_at <= cold_since_;
+  const bool has_others = std::any_of(hosts_.begin(), hosts_.end(), [this](const auto& item) {
+    const Host& host = *item.second;
+    return host.listed == BackendState::kReady && !host.out && ModuleEntry(host).started_at <= cold_since_;
   });
-  if (!others) cold_since_ = kNever;
-  for (auto& [id, host] : hosts_) Settle(*host);
+  if (!has_others) cold_since_ = kNever;
+  for (auto& [id, host] : hosts_) UpdateState(*host);
 }
 
-BackendList HostGroup::AsItStands() const {
-  BackendList told;
-  told.kind = ListKind::kCached;  // so that the module does not treat it as an answer from discovery
+BackendList HostGroup::Snapshot() const {
+  BackendList module_list;
+  module_list.kind = ListKind::kCached;  // so that the module does not treat it as an answer from discovery
   for (const auto& [id, host] : hosts_) {
-    if (host->listed != BackendState::kGone) told.entries.push_back(Told(*host));
+    if (host->listed != BackendState::kGone) module_list.entries.push_back(ModuleEntry(*host));
   }
-  std::sort(told.entries.begin(), told.entries.end(),
+  std::sort(module_list.entries.begin(), module_list.entries.end(),
             [](const BackendEntry& a, const BackendEntry& b) { return a.id < b.id; });
-  return told;
+  return module_list;
 }
 
-void HostGroup::Count(Host& host) {
-  const bool restarted = std::exchange(host.era_counted, host.era) != host.era;
+void HostGroup::CountChange(Host& host) {
+  const bool restarted = std::exchange(host.incarnation_counted, host.incarnation) != host.incarnation;
   if (std::exchange(host.state_counted, host.state) == host.state) {
     changes_.restarted += restarted && host.state == BackendState::kReady;
   } else {
@@ -257,8 +258,8 @@
 }
 
 size_t HostGroup::Ready() const {
-  return static_cast<size_t>(std::count_if(hosts_.begin(), hosts_.end(), [](const auto& one) {
-    return one.second->state == BackendState::kReady;
+  return static_cast<size_t>(std::count_if(hosts_.begin(), hosts_.end(), [](const auto& item) {
+    return item.second->state == BackendState::kReady;
   }));
 }
 
--- a/src/membership/host_group.h
+++ b/src/membership/host_group.h
@@ -31,11 +31,11 @@
   Micros out_at = 0;
   Micros back_at = 0;  // when an operator last put it back; it may have restarted until then
   Micros gone_at = kNever;
-  Micros started_at = 0;  // as listed; in `entry` it is never later than the time the list arrived
-  uint64_t era = 0;       // incremented by each restart and change of address
+  Micros started_at = 0;     // as listed; in `entry` it is never later than the time the list arrived
+  uint64_t incarnation = 0;  // incremented by each restart and change of address
   // included in HostGroup::changes()
   meadowslip::BackendState state_counted = meadowslip::BackendState::kGone;
-  uint64_t era_counted = 0;
+  uint64_t incarnation_counted = 0;
 };
 
 // A host as it is handed over to the next process.
@@ -68,14 +68,14 @@
 
 class HostGroup final : public ServerNames {
  public:
-  static constexpr size_t kMostKnown = 10000;
-  static constexpr Micros kKnownFor = 3600 * kSecond;
+  static constexpr size_t kMaxKnown = 10000;
+  static constexpr Micros kGoneRetention = 3600 * kSecond;
 
   explicit HostGroup(const meadowslip::Settings& settings) : settings_(settings) {}
 
   // Applies a list received at `now`, and returns it in the form for the module. Call this before passing
   // the result on, so that the group and the module see the same states.
-  meadowslip::BackendList Take(const HostList& list, Micros now = kNever);
+  meadowslip::BackendList ApplyList(const HostList& list, Micros now = kNever);
   // Takes a host out of service. The operator's call overrides the list until the host is put back: the host
   // drains meanwhile, and its listed state is remembered. Returns false if no list ever named it.
   // Idempotent, as is PutBack().
@@ -84,24 +84,24 @@
   // whatever the list says.
   bool PutBack(std::string_view name, Micros now);
   // Takes a host out of service that was out before this start and may not be listed yet.
-  void TakeOutUnseen(const std::string& name, Micros since);
-  bool Names(std::string_view name) const { return by_name_.contains(std::string(name)); }
+  void TakeOutUnlisted(const std::string& name, Micros since);
+  bool Knows(std::string_view name) const { return by_name_.contains(std::string(name)); }
   bool IsOut(std::string_view name) const;
   std::vector<OutHost> Out() const;  // sorted by name
-  // Records() returns all state of all hosts, for a successor process. TakeOver() restores it in place of a
+  // Records() returns all state of all hosts, for a successor process. Restore() restores it in place of a
   // list, before any other call; returns false, with nothing changed, if a record is invalid.
   std::vector<HostRecord> Records() const;
-  bool TakeOver(const std::vector<HostRecord>& records, uint64_t version);
+  bool Restore(const std::vector<HostRecord>& records, uint64_t version);
   // Leaves hosts that are cold now, or start later, to another process: they are draining for this one, as
   // long as there are other ready hosts.
-  void LeaveCold(bool leave, Micros now);
+  void ExcludeCold(bool leave, Micros now);
   // Current state of the group in the form for the module, marked as not coming from discovery.
-  meadowslip::BackendList AsItStands() const;
-  // Returns a known host or nullptr. Hosts that have been gone for kKnownFor may be forgotten once more than
-  // kMostKnown are known, the longest gone first; hosts out of service are kept. Hold() returns shared
-  // ownership to callers that need a host for longer.
-  const Host* Find(meadowslip::BackendId id) const { return Hold(id).get(); }
-  std::shared_ptr<const Host> Hold(meadowslip::BackendId id) const;
+  meadowslip::BackendList Snapshot() const;
+  // Returns a known host or nullptr. Hosts that have been gone for kGoneRetention may be forgotten once more
+  // than kMaxKnown are known, the longest gone first; hosts out of service are kept. FindShared() returns
+  // shared ownership to callers that need a host for longer.
+  const Host* Find(meadowslip::BackendId id) const { return FindShared(id).get(); }
+  std::shared_ptr<const Host> FindShared(meadowslip::BackendId id) const;
   size_t Ready() const;                                    // number of ready hosts
   const HostChanges& changes() const { return changes_; }  // since the last ForgetChanges()
   void ForgetChanges() { changes_ = HostChanges(); }
@@ -111,12 +111,12 @@
   std::vector<std::pair<meadowslip::BackendId, std::string_view>> AllNames() const override;
 
  private:
-  Host& Named(const std::string& name);
-  void Forget(Micros now);
-  Host* FindNamed(std::string_view name);
-  void Settle(Host& host) const;
-  static meadowslip::BackendEntry Told(const Host& host);
-  void Count(Host& host);
+  Host& FindOrAdd(const std::string& name);
+  void ForgetGone(Micros now);
+  Host* FindByName(std::string_view name);
+  void UpdateState(Host& host) const;
+  static meadowslip::BackendEntry ModuleEntry(const Host& host);
+  void CountChange(Host& host);
 
   const meadowslip::Settings& settings_;
   std::unordered_map<meadowslip::BackendId, std::shared_ptr<Host>> hosts_;
--- a/src/serve/program.cpp
+++ b/src/serve/program.cpp
@@ -247,7 +247,7 @@
   // Where starts are paced, the service hands out whole lists first and begins watches once all have theirs.
   const bool has_list = !asking_ && !list_moved_ && hosts_.Ready() > 0;
   discovery_.Start(has_list ? std::optional<uint64_t>(hosts_.version()) : std::nullopt);
-  dispatcher_.OnList(hosts_.AsItStands());
+  dispatcher_.OnList(hosts_.Snapshot());
   // A module that was taken over may believe that discovery is followed.
   if (estate) discovery_.Follow();
   phase_ = Phase::kServing;
@@ -274,7 +274,7 @@
 
 // From the list that the configuration came with.
 void Program::BeginAlone() {
-  if (!UseSavedList()) hosts_.Take(config_.known, machine_.Now());
+  if (!UseSavedList()) hosts_.ApplyList(config_.known, machine_.Now());
   list_log_.emplace(machine_.scheduler(), hosts_, log_);
   ReadOut();
 }
@@ -288,7 +288,7 @@
     const bool changed = list->version != hosts_.version() || (list->full && heard_at_ == 0);
     heard_at_ = machine_.WallClock();
     if (keeper_) keeper_->OnConfirmed(changed);
-    told = hosts_.Take(*list, machine_.Now());
+    told = hosts_.ApplyList(*list, machine_.Now());
     upstream_.CloseStaleIdle();
     list_log_->OnListApplied();
   } else {
--- a/src/serve/program_handover.cpp
+++ b/src/serve/program_handover.cpp
@@ -15,7 +15,7 @@
 
 // Where another left off. False where nothing of it can be used.
 bool Program::TakeOver(const HandoverState& estate) {
-  if (!hosts_.TakeOver(estate.hosts, estate.list)) {
+  if (!hosts_.Restore(estate.hosts, estate.list)) {
     log_.Tell<"handover_refused">("nodes that can't be");
     return false;
   }
@@ -73,7 +73,7 @@
     council_->Shut();
     councils_before_.push_back(std::move(council_));
   }
-  hosts_.LeaveCold(true, machine_.Now());
+  hosts_.ExcludeCold(true, machine_.Now());
   HostsChanged();
   upstream_.CloseAllIdle();
   TellUse();
@@ -94,7 +94,7 @@
   front_.HandOverLinks(nullptr);
   front_.StartAccepting();
   Join();
-  hosts_.LeaveCold(false, machine_.Now());
+  hosts_.ExcludeCold(false, machine_.Now());
   HostsChanged();
   if (told_to_end_at_) Drain();
   moved_.Notify();
--- a/src/serve/program_operations.cpp
+++ b/src/serve/program_operations.cpp
@@ -20,7 +20,7 @@
     return;
   }
   if (out->empty()) return;
-  for (const OutHost& host : *out) hosts_.TakeOutUnseen(host.name, host.since);
+  for (const OutHost& host : *out) hosts_.TakeOutUnlisted(host.name, host.since);
   log_.Tell<"nodes_kept_out">(out->size());
 }
 
@@ -44,13 +44,13 @@
 
 void Program::HostsChanged() {
   upstream_.CloseStaleIdle();
-  dispatcher_.OnList(hosts_.AsItStands());
+  dispatcher_.OnList(hosts_.Snapshot());
 }
 
 Verdict Program::TakeOut(std::string_view server) {
   if (phase_ == Phase::kStarting) return Verdict::kNotNow;
   if (hosts_.IsOut(server)) return Verdict::kDone;  // one ban, since the first call
-  if (!hosts_.Names(server)) return Verdict::kUnknown;
+  if (!hosts_.Knows(server)) return Verdict::kUnknown;
   std::vector<OutHost> out = hosts_.Out();
   const Micros now = machine_.Now();
   out.push_back({std::string(server), now});
@@ -64,7 +64,7 @@
 
 Verdict Program::PutBack(std::string_view server) {
   if (phase_ == Phase::kStarting) return Verdict::kNotNow;
-  if (!hosts_.Names(server)) return Verdict::kUnknown;
+  if (!hosts_.Knows(server)) return Verdict::kUnknown;
   if (!hosts_.IsOut(server)) return Verdict::kDone;
   std::vector<OutHost> out = hosts_.Out();
   std::erase_if(out, [&](const OutHost& h) { return h.name == server; });
@@ -100,7 +100,7 @@
   if (call.what == What::kTakeOut || call.what == What::kPutBack) {
     const bool out = call.what == What::kTakeOut;
     // What is so already, or can't be, changes nothing.
-    if (!hosts_.Names(call.server) || hosts_.IsOut(call.server) == out) co_return ChangePermission();
+    if (!hosts_.Knows(call.server) || hosts_.IsOut(call.server) == out) co_return ChangePermission();
     kind = out ? freeze::ChangeKind::kNodeOut : freeze::ChangeKind::kNodeBack;
     scope = freeze::Scope::Node(call.server, "", "");
     for (const HostRecord& host : hosts_.Records()) {
--- a/src/serve/program_saved_list.cpp
+++ b/src/serve/program_saved_list.cpp
@@ -50,7 +50,7 @@
     entry.entry.started_at = node.started_at;
     entry.entry.size = node.size;
   }
-  hosts_.Take(list, machine_.Now());
+  hosts_.ApplyList(list, machine_.Now());
   log_.Tell<"saved_list_used">(list.hosts.size(), list.version, choice.age / kMs);
   return true;
 }
--- a/src/upstream/http_upstream.cpp
+++ b/src/upstream/http_upstream.cpp
@@ -134,7 +134,8 @@
 
 Task<ServerAnswer> HttpUpstream::Exchange(meadowslip::BackendId to, const Payload& query, Micros until,
                                           Micros send_by) {
-  return RunAttempt(hosts_.Hold(to), static_cast<const HttpPayload&>(query), until, std::min(until, send_by));
+  return RunAttempt(hosts_.FindShared(to), static_cast<const HttpPayload&>(query), until,
+                    std::min(until, send_by));
 }
 
 // Returns false if the link broke, or if the deadline passed or the query was closed first. Unlike
@@ -191,7 +192,7 @@
     answer.outcome = Outcome::kConnectFailed;
     if (!stream) co_return answer;
     ++counters_.server_links;
-    link = std::make_unique<Link>(*this, std::move(stream), host.era);
+    link = std::make_unique<Link>(*this, std::move(stream), host.incarnation);
     Micros connect_by = scheduler_.Now() + connect_timeout_;
     bool connected = co_await Connected(*link->stream, std::min(send_by, connect_by));
     // A query whose time ran out first says nothing about the host. This holds even if the connection came up
@@ -204,8 +205,8 @@
     // The host may have been withdrawn while the connection came up, and the drain rule then forbids the
     // query. If the host has been restarted or has moved since, this link leads to its earlier incarnation,
     // which says nothing about the current one.
-    if (link->host_generation != host.era) answer.outcome = Outcome::kMoot;
-    if (link->host_generation != host.era || host.state != BackendState::kReady) co_return answer;
+    if (link->host_generation != host.incarnation) answer.outcome = Outcome::kMoot;
+    if (link->host_generation != host.incarnation || host.state != BackendState::kReady) co_return answer;
   }
   // Formatted only now, so that the remaining time sent to the server excludes the wait for the connection.
   const std::string bytes = FormatQuery(query, std::max<Micros>(0, until - scheduler_.Now()));
@@ -301,7 +302,8 @@
 // Whether the link can carry a query. A query on a link that its server has closed would end in a reset.
 bool HttpUpstream::Usable(const Host& host, const Link& link) {
   const Micros now = scheduler_.Now(), idle = now - link.idle_since;
-  if (link.host_generation != host.era || idle >= idle_timeout_ || !idle_reuse_stats_.Usable(idle, now))
+  if (link.host_generation != host.incarnation || idle >= idle_timeout_ ||
+      !idle_reuse_stats_.Usable(idle, now))
     return false;
   if (link.stream->Quiet()) return true;
   std::string in;
@@ -321,7 +323,7 @@
 }
 
 void HttpUpstream::ReturnToPool(const Host& host, std::unique_ptr<Link> link) {
-  if (host.state != BackendState::kReady || link->host_generation != host.era) return;
+  if (host.state != BackendState::kReady || link->host_generation != host.incarnation) return;
   link->idle_since = scheduler_.Now();
   idle_links_[host.id].push_back(std::move(link));
 }
--- a/tests/attempts/attempts_test.cpp
+++ b/tests/attempts/attempts_test.cpp
@@ -40,7 +40,7 @@
     HostList list;
     list.full = true;
     list.hosts.push_back(entry);
-    hosts.Take(list, Now());
+    hosts.ApplyList(list, Now());
   }
   Micros Now() const { return world.scheduler.Now(); }
   HttpUpstream& GetUpstream() {
@@ -210,7 +210,7 @@
   SetServerState(BackendState::kDraining, 0);
   Dispatcher dispatcher(
       world.scheduler, settings, 1, GetUpstream(), [] {}, counters);
-  dispatcher.OnList(hosts.AsItStands());
+  dispatcher.OnList(hosts.Snapshot());
   dispatcher.Start();
   FakeSink stays, leaves;
   RunScenario([&]() -> Task<> {
@@ -229,7 +229,7 @@
     EXPECT_EQ(counters.sent, 0u);
     leaves.gone = true;
     SetServerState(BackendState::kReady, 0);
-    dispatcher.OnList(hosts.AsItStands());
+    dispatcher.OnList(hosts.Snapshot());
     EXPECT_EQ(counters.sent, 0u);
     dispatcher.ClientLeft(id);
     submit(stays);
@@ -245,7 +245,7 @@
   settings.may_cancel = false;
   Dispatcher dispatcher(
       world.scheduler, settings, 1, GetUpstream(), [] {}, counters);
-  dispatcher.OnList(hosts.AsItStands());
+  dispatcher.OnList(hosts.Snapshot());
   dispatcher.Start();
   FakeSink sink;
   RunScenario([&]() -> Task<> {
--- a/tests/membership/list_forms_test.cpp
+++ b/tests/membership/list_forms_test.cpp
@@ -50,9 +50,9 @@
 // Also where it still answers, and also as the answer to a watch: the upstream sees it gone at once, and the
 // module hears a whole list.
 TEST_F(ListForms, HostsMissingFromAFullListAreGone) {
-  hosts.Take(List(1, true, {{"a"}, {"b"}, {"c", kDraining}}), now);
+  hosts.ApplyList(List(1, true, {{"a"}, {"b"}, {"c", kDraining}}), now);
   for (uint64_t version : {2, 2, 1}) {  // newer, the same once more, and one from before
-    const BackendList told = hosts.Take(List(version, true, {{"a"}}), now);
+    const BackendList told = hosts.ApplyList(List(version, true, {{"a"}}), now);
     EXPECT_EQ(told.kind, ListKind::kFull);
     ASSERT_EQ(told.entries.size(), 1u);
     EXPECT_EQ(Called("a")->state, kReady);
@@ -61,22 +61,22 @@
     EXPECT_EQ(hosts.Ready(), 1u);
     EXPECT_EQ(hosts.version(), version);
   }
-  hosts.Take(List(3, true, {}), now);  // nobody is left
+  hosts.ApplyList(List(3, true, {}), now);  // nobody is left
   EXPECT_EQ(hosts.Ready(), 0u);
 }
 
 // Where the settings say that gone alone does not bind, a listed drain ends sends, and nothing else.
 TEST_F(ListForms, WithoutBindingRemovalMissingHostsKeepTheirState) {
   settings.gone_binds = false;
-  hosts.Take(List(1, true, {{"a"}, {"b", kDraining}}), now);
-  hosts.Take(List(2, true, {}), now);
+  hosts.ApplyList(List(1, true, {{"a"}, {"b", kDraining}}), now);
+  hosts.ApplyList(List(2, true, {}), now);
   EXPECT_EQ(Called("a")->state, kReady);
   EXPECT_EQ(Called("b")->state, kDraining);
 }
 
 TEST_F(ListForms, AnEmptyChangeListChangesNothing) {
-  hosts.Take(List(1, true, {{"a"}, {"b", kDraining}}), now);
-  const BackendList told = hosts.Take(List(2, false, {}), now);
+  hosts.ApplyList(List(1, true, {{"a"}, {"b", kDraining}}), now);
+  const BackendList told = hosts.ApplyList(List(2, false, {}), now);
   EXPECT_EQ(told.kind, ListKind::kChanges);
   EXPECT_TRUE(told.entries.empty());
   EXPECT_EQ(Called("a")->state, kReady);
@@ -85,12 +85,12 @@
 }
 
 TEST_F(ListForms, AHostFirstListedAsGoneIsNotReadyAndKeepsItsId) {
-  hosts.Take(List(1, true, {{"a"}}), now);
-  const BackendList told = hosts.Take(List(2, false, {{"x", kGone}}), now);
+  hosts.ApplyList(List(1, true, {{"a"}}), now);
+  const BackendList told = hosts.ApplyList(List(2, false, {{"x", kGone}}), now);
   ASSERT_EQ(told.entries.size(), 1u);
   EXPECT_EQ(told.entries[0].state, kGone);
   EXPECT_EQ(hosts.Ready(), 1u);
-  const BackendList later = hosts.Take(List(3, false, {{"x", kReady, "127.0.0.1:9001"}}), now);
+  const BackendList later = hosts.ApplyList(List(3, false, {{"x", kReady, "127.0.0.1:9001"}}), now);
   EXPECT_EQ(later.entries[0].id, told.entries[0].id);
   EXPECT_EQ(Called("x")->address.text, "127.0.0.1:9001");
   EXPECT_EQ(hosts.Ready(), 2u);
@@ -98,30 +98,30 @@
 
 // The last word of one list holds, whatever it said before in the same one.
 TEST_F(ListForms, TheLastEntryOfAHostNamedTwiceApplies) {
-  hosts.Take(List(1, true, {{"a"}, {"a", kDraining}}), now);
+  hosts.ApplyList(List(1, true, {{"a"}, {"a", kDraining}}), now);
   EXPECT_EQ(Called("a")->state, kDraining);
-  hosts.Take(List(2, false, {{"a", kReady}, {"a", kGone}}), now);
+  hosts.ApplyList(List(2, false, {{"a", kReady}, {"a", kGone}}), now);
   EXPECT_EQ(Called("a")->state, kGone);
 }
 
 // Links to its earlier life are of no use, and a new start is told as one.
-TEST_F(ListForms, ANewAddressOrStartTimeIsANewGeneration) {
-  hosts.Take(List(1, true, {{"a"}}), now);
-  const uint64_t first = Called("a")->era;
-  hosts.Take(List(2, false, {{"a", kGone}}), now);
+TEST_F(ListForms, ANewAddressOrStartTimeIsANewIncarnation) {
+  hosts.ApplyList(List(1, true, {{"a"}}), now);
+  const uint64_t first = Called("a")->incarnation;
+  hosts.ApplyList(List(2, false, {{"a", kGone}}), now);
   EXPECT_EQ(Called("a")->state, kGone);
-  hosts.Take(List(3, false, {{"a", kReady, "127.0.0.1:9007"}}), now);
-  const uint64_t second = Called("a")->era;
+  hosts.ApplyList(List(3, false, {{"a", kReady, "127.0.0.1:9007"}}), now);
+  const uint64_t second = Called("a")->incarnation;
   EXPECT_GT(second, first);
   EXPECT_EQ(Called("a")->address.text, "127.0.0.1:9007");
   const Micros restarted = now - kSecond;
-  const BackendList told = hosts.Take(List(4, false, {{"a", kReady, "127.0.0.1:9007", restarted}}), now);
-  EXPECT_GT(Called("a")->era, second);
+  const BackendList told = hosts.ApplyList(List(4, false, {{"a", kReady, "127.0.0.1:9007", restarted}}), now);
+  EXPECT_GT(Called("a")->incarnation, second);
   ASSERT_EQ(told.entries.size(), 1u);
   EXPECT_EQ(told.entries[0].started_at, restarted);
-  const uint64_t third = Called("a")->era;
-  hosts.Take(List(5, true, {{"a", kReady, "127.0.0.1:9007", restarted}}), now);
-  EXPECT_EQ(Called("a")->era, third);  // said once more
+  const uint64_t third = Called("a")->incarnation;
+  hosts.ApplyList(List(5, true, {{"a", kReady, "127.0.0.1:9007", restarted}}), now);
+  EXPECT_EQ(Called("a")->incarnation, third);  // said once more
 }
 
 }  // namespace
--- a/tests/service/host_group_test.cpp
+++ b/tests/service/host_group_test.cpp
@@ -34,7 +34,7 @@
 
 class Group : public testing::Test {
  protected:
-  Group() { hosts.Take(List(true, {{"a", BackendState::kReady}, {"b", BackendState::kReady}})); }
+  Group() { hosts.ApplyList(List(true, {{"a", BackendState::kReady}, {"b", BackendState::kReady}})); }
   BackendState Here(const std::string& name) const {
     BackendState state = BackendState::kGone;
     for (const auto& [id, known] : hosts.AllNames()) {
@@ -49,24 +49,24 @@
 TEST_F(Group, AHostThatWasNeverListedCantBeTakenOut) {
   EXPECT_FALSE(hosts.TakeOut("c", 1));
   EXPECT_FALSE(hosts.PutBack("c", 1));
-  EXPECT_FALSE(hosts.Names("c"));
+  EXPECT_FALSE(hosts.Knows("c"));
 }
 
 TEST_F(Group, AHostTakenOutDrainsWhateverTheListSays) {
   ASSERT_TRUE(hosts.TakeOut("a", 1));
   EXPECT_EQ(Here("a"), BackendState::kDraining);
-  EXPECT_EQ(StateOf(hosts, hosts.AsItStands(), "a"), BackendState::kDraining);
-  EXPECT_EQ(StateOf(hosts, hosts.AsItStands(), "b"), BackendState::kReady);
+  EXPECT_EQ(StateOf(hosts, hosts.Snapshot(), "a"), BackendState::kDraining);
+  EXPECT_EQ(StateOf(hosts, hosts.Snapshot(), "b"), BackendState::kReady);
   for (bool full : {true, false}) {
     const BackendList told =
-        hosts.Take(List(full, {{"a", BackendState::kReady}, {"b", BackendState::kReady}}, 5));
+        hosts.ApplyList(List(full, {{"a", BackendState::kReady}, {"b", BackendState::kReady}}, 5));
     EXPECT_EQ(StateOf(hosts, told, "a"), BackendState::kDraining);
     EXPECT_EQ(Here("a"), BackendState::kDraining);
   }
-  hosts.Take(List(false, {{"a", BackendState::kGone}}));
+  hosts.ApplyList(List(false, {{"a", BackendState::kGone}}));
   EXPECT_EQ(Here("a"), BackendState::kGone);
-  hosts.Take(List(true, {{"b", BackendState::kReady}}));
-  const BackendList back = hosts.Take(List(false, {{"a", BackendState::kReady}}, 9));
+  hosts.ApplyList(List(true, {{"b", BackendState::kReady}}));
+  const BackendList back = hosts.ApplyList(List(false, {{"a", BackendState::kReady}}, 9));
   EXPECT_EQ(StateOf(hosts, back, "a"), BackendState::kDraining);
   EXPECT_EQ(hosts.Out(), (std::vector<OutHost>{{"a", 1}}));
 }
@@ -82,17 +82,17 @@
 
 TEST_F(Group, AHostPutBackHasItsListedState) {
   hosts.TakeOut("a", 1);
-  hosts.Take(List(false, {{"a", BackendState::kDraining}}));
+  hosts.ApplyList(List(false, {{"a", BackendState::kDraining}}));
   hosts.PutBack("a", 10);
   EXPECT_EQ(Here("a"), BackendState::kDraining);
   hosts.TakeOut("b", 11);
-  hosts.Take(List(false, {{"b", BackendState::kGone}}));
+  hosts.ApplyList(List(false, {{"b", BackendState::kGone}}));
   hosts.PutBack("b", 12);
   EXPECT_EQ(Here("b"), BackendState::kGone);
 }
 
 Micros StartOf(const HostGroup& group, const std::string& name) {
-  for (const BackendEntry& e : group.AsItStands().entries) {
+  for (const BackendEntry& e : group.Snapshot().entries) {
     if (group.NameOf(e.id) == name) return e.started_at;
   }
   return -1;
@@ -102,37 +102,37 @@
   hosts.TakeOut("a", 100);
   hosts.PutBack("a", 200);
   EXPECT_EQ(StartOf(hosts, "a"), 200);
-  hosts.Take(List(true, {{"a", BackendState::kReady}, {"b", BackendState::kReady}}, 50));  // old news
+  hosts.ApplyList(List(true, {{"a", BackendState::kReady}, {"b", BackendState::kReady}}, 50));  // old news
   EXPECT_EQ(StartOf(hosts, "a"), 200);
   EXPECT_EQ(StartOf(hosts, "b"), 50);
-  hosts.Take(List(false, {{"a", BackendState::kReady}}, 150));  // the restart itself
+  hosts.ApplyList(List(false, {{"a", BackendState::kReady}}, 150));  // the restart itself
   EXPECT_EQ(StartOf(hosts, "a"), 150);
 }
 
-TEST_F(Group, PuttingAHostBackStartsANewGeneration) {
-  const auto id = hosts.AsItStands().entries.front().id;
-  const uint64_t era = hosts.Find(id)->era;
+TEST_F(Group, PuttingAHostBackStartsANewIncarnation) {
+  const auto id = hosts.Snapshot().entries.front().id;
+  const uint64_t generation = hosts.Find(id)->incarnation;
   hosts.TakeOut(hosts.NameOf(id), 1);
   hosts.PutBack(hosts.NameOf(id), 2);
-  EXPECT_NE(hosts.Find(id)->era, era);
+  EXPECT_NE(hosts.Find(id)->incarnation, generation);
 }
 
 TEST_F(Group, AHostOutBeforeTheStartIsOutOnceListed) {
-  hosts.TakeOutUnseen("late", 1);
-  EXPECT_EQ(StateOf(hosts, hosts.Take(List(false, {{"late", BackendState::kReady}})), "late"),
+  hosts.TakeOutUnlisted("late", 1);
+  EXPECT_EQ(StateOf(hosts, hosts.ApplyList(List(false, {{"late", BackendState::kReady}})), "late"),
             BackendState::kDraining);
 }
 
 // Of another clock than this machine's: a start is never later than when it was heard, and stands still then.
 TEST_F(Group, AStartTimeInTheFutureIsReplacedByNow) {
   const auto start = [&](Micros listed, Micros now, bool full = true) {
-    const BackendList told = hosts.Take(List(full, {{"a", BackendState::kReady}}, listed), now);
+    const BackendList told = hosts.ApplyList(List(full, {{"a", BackendState::kReady}}, listed), now);
     return told.entries.at(0).started_at;
   };
   EXPECT_EQ(start(3000, 1000), 1000);
   EXPECT_EQ(start(3000, 2000), 1000);
   EXPECT_EQ(start(3000, 2500, false), 1000);
-  EXPECT_EQ(hosts.AsItStands().entries.at(0).started_at, 1000);
+  EXPECT_EQ(hosts.Snapshot().entries.at(0).started_at, 1000);
   EXPECT_EQ(start(3500, 2600), 2600);  // it was started anew
   EXPECT_EQ(start(3500, 4000), 3500);  // the time has come
   EXPECT_EQ(start(3800, 4000), 3800);
@@ -141,23 +141,23 @@
 TEST(HostGroupMemory, IsBoundedAndKeepsHostsThatAreOutOrListed) {
   meadowslip::Settings settings;
   HostGroup group(settings);
-  group.Take(List(false, {{"there", BackendState::kReady}, {"out", BackendState::kReady}}), 1);
+  group.ApplyList(List(false, {{"there", BackendState::kReady}, {"out", BackendState::kReady}}), 1);
   group.TakeOut("out", 1);
-  group.Take(List(false, {{"out", BackendState::kGone}}), 1);
+  group.ApplyList(List(false, {{"out", BackendState::kGone}}), 1);
   for (Micros i = 0; i < 300; ++i) {
     std::vector<std::pair<std::string, BackendState>> come, go;
     for (int k = 0; k < 100; ++k) {
       come.emplace_back(std::string("h").append(std::to_string(100 * i + k)), BackendState::kReady);
       go.emplace_back(come.back().first, BackendState::kGone);
     }
-    group.Take(List(false, come), i * 60 * kSecond);
-    group.Take(List(false, go), i * 60 * kSecond + 1);
+    group.ApplyList(List(false, come), i * 60 * kSecond);
+    group.ApplyList(List(false, go), i * 60 * kSecond + 1);
   }
-  EXPECT_LE(group.AllNames().size(), HostGroup::kMostKnown + 100);
-  EXPECT_TRUE(group.Names("there"));
-  EXPECT_TRUE(group.Names("out"));
-  EXPECT_TRUE(group.Names("h29999"));
-  EXPECT_FALSE(group.Names("h0"));
+  EXPECT_LE(group.AllNames().size(), HostGroup::kMaxKnown + 100);
+  EXPECT_TRUE(group.Knows("there"));
+  EXPECT_TRUE(group.Knows("out"));
+  EXPECT_TRUE(group.Knows("h29999"));
+  EXPECT_FALSE(group.Knows("h0"));
 }
 
 // The module's side: what the group says of a node that is back reaches it, and a sleep that the restart
@@ -192,7 +192,7 @@
   Micros now = 1000 * kSecond;
   module.OnList(
       now,
-      hosts.Take(List(
+      hosts.ApplyList(List(
           true, {{"a", BackendState::kReady}, {"b", BackendState::kReady}, {"c", BackendState::kReady}})),
       sends);
   meadowslip::BackendId a = 0;
@@ -223,12 +223,12 @@
   to_a = 0;
   while (to_a == 0) play(10 * kMs, true);  // a trial that fails: it sleeps for half a minute from here on
   hosts.TakeOut("a", now);
-  module.OnList(now, hosts.AsItStands(), sends);
+  module.OnList(now, hosts.Snapshot(), sends);
   to_a = 0;
   play(3 * kSecond, false);
   EXPECT_EQ(to_a, 0);
   hosts.PutBack("a", now);
-  module.OnList(now, hosts.AsItStands(), sends);
+  module.OnList(now, hosts.Snapshot(), sends);
   play(5 * kSecond, false);
   EXPECT_GT(to_a, 0);
 }
