--- a/tests/membership/list_clock_test.cpp
+++ b/tests/membership/list_clock_test.cpp
@@ -1,4 +1,4 @@
-// The list's clock alone: when the service has to be asked again, whoever else asks.
+// ListClock in isolation: when the list service must be called again, even if nobody requests it.
 #include "membership/list_clock.h"
 
 #include <gtest/gtest.h>
@@ -13,8 +13,8 @@
 constexpr ListRules kAsked = {.pushed = false, .must_ask_within = 10 * kSecond, .drain_grace = 750 * kMs};
 constexpr ListRules kPushed = {.pushed = true, .must_ask_within = 10 * kSecond, .drain_grace = 750 * kMs};
 
-// For any settings: a silent watch is found out and its successor has stood in line before what was missed
-// counts.
+// For any settings, a silent watch is detected, and its replacement has waited in the service's queue,
+// before a missed change counts.
 TEST(ListClock, ASilentWatchIsDetectedWithTimeLeftToQueue) {
   for (Micros must_ask : {200 * kMs, kSecond, 2 * kSecond, 10 * kSecond, 60 * kSecond, 3600 * kSecond}) {
     ListClock clock({.must_ask_within = must_ask});
@@ -22,7 +22,7 @@
     EXPECT_GE(clock.wait(), kSecond);
     const Micros found = clock.timeout(true, false);
     clock.Ended(found, kSilent, 0, 0.5);
-    EXPECT_EQ(clock.next_call_at(), found) << must_ask;  // at once
+    EXPECT_EQ(clock.next_call_at(), found) << must_ask;  // retried at once
     EXPECT_EQ(clock.counts_at(), 6 * kSecond);
     EXPECT_GE(clock.counts_at() - found, 2500 * kMs) << must_ask;
   }
@@ -35,7 +35,7 @@
   EXPECT_EQ(clock.counts_at(), 106 * kSecond);
   clock.Called(103 * kSecond, true);
   clock.Ended(107 * kSecond, kSilent, 0, 0);
-  EXPECT_EQ(clock.counts_at(), 106 * kSecond);  // a later silence takes nothing back
+  EXPECT_EQ(clock.counts_at(), 106 * kSecond);  // a later silence does not postpone it
   clock.Called(107 * kSecond, true);
   clock.Ended(107 * kSecond, kAnswered, 0, 0);
   EXPECT_EQ(clock.counts_at(), kNever);
@@ -52,16 +52,16 @@
     while (clock.next_call_at() < clock.counts_at()) {
       now = clock.next_call_at();
       clock.Called(now, true);
-      clock.Ended(now + 5 * kMs, kBusy, 3600 * kSecond, draw);  // no hour is waited for
-      EXPECT_GT(clock.next_call_at(), now + 5 * kMs);           // nor is the service asked without a pause
+      clock.Ended(now + 5 * kMs, kBusy, 3600 * kSecond, draw);  // the Retry-After of an hour is limited
+      EXPECT_GT(clock.next_call_at(), now + 5 * kMs);  // but the service is not called without a pause
       ++calls;
     }
-    EXPECT_GE(calls, 3) << draw;  // each of them before what was missed counts
+    EXPECT_GE(calls, 3) << draw;  // all of them before a missed change counts
   }
 }
 
-// Whatever the settings give for asking: a change counts 6 s after the service had it and could be reached.
-// The call after a failure may be turned away once more after 2 s in line, and one more stands in it.
+// Whatever Rules.MustAskIn is, a change counts 6 s after the service had it and was reachable. The call
+// after a failure may be rejected once more after 2 s in the queue, and another one waits in it.
 TEST(ListClock, AfterAnyFailureTheNextCallIsInTimeForAChangeRightAfterIt) {
   for (Micros must_ask : {kSecond, 10 * kSecond, 60 * kSecond, 3600 * kSecond}) {
     for (ListCallOutcome how : {kBusy, kDown}) {
@@ -71,7 +71,7 @@
           clock.Called(now, false);
           clock.Ended(now + 5 * kMs, how, 0, draw);
           ASSERT_LE(clock.next_call_at() - now, 1900 * kMs) << must_ask << " " << draw;
-          ASSERT_GE(clock.next_call_at() - now, 600 * kMs) << must_ask << " " << draw;  // nor in a loop
+          ASSERT_GE(clock.next_call_at() - now, 600 * kMs) << must_ask << " " << draw;  // but not in a loop
           EXPECT_EQ(clock.counts_at(), kNever);
         }
       }
@@ -79,8 +79,8 @@
   }
 }
 
-// As far as may be, with the same room. What it says to all that it turned away in one moment, each follows
-// at a time of its own.
+// A Retry-After is obeyed within the same limit. The calls of balancers that were rejected at the same
+// moment are spread out.
 TEST(ListClock, ARetryAfterIsObeyedWithinLimits) {
   for (Micros must_ask : {kSecond, 10 * kSecond, 60 * kSecond, 3600 * kSecond}) {
     for (Micros asked_for : {100 * kMs, kSecond, 3 * kSecond, 86400 * kSecond}) {
@@ -99,7 +99,7 @@
   }
 }
 
-// What the service has counts at once: each pause is a part of the grace.
+// Whatever the service has counts at once, so each pause is a part of the grace.
 TEST(ListClock, WithPushedListsTheNextCallIsWithinAPartOfTheGrace) {
   for (Micros grace : {20 * kMs, 100 * kMs, 750 * kMs, 10 * kSecond}) {
     for (ListCallOutcome how : {kBusy, kDown, kSilent}) {
@@ -114,10 +114,11 @@
   ListClock clock(kPushed);
   clock.Called(0, true);
   clock.Ended(0, kDown, 0, 0);
-  EXPECT_GE(clock.next_call_at(), 50 * kMs);  // and yet not in a closed loop
+  EXPECT_GE(clock.next_call_at(), 50 * kMs);  // but not in a tight loop
 }
 
-// What the service before did buys the new one no patience: it is found silent, and asked again, in time.
+// Failures of the previous service do not lengthen the timeout: a silent new service is detected and called
+// again in time.
 TEST(ListClock, ANewServiceStartsWithoutFailuresAndCountsAfterFourSeconds) {
   ListClock clock(kAsked);
   const Micros timeout = clock.timeout(false, true);
@@ -133,7 +134,7 @@
   clock.Called(now, false);
   clock.Ended(now + timeout, kSilent, 0, 0.999);
   EXPECT_EQ(clock.next_call_at(), now + timeout);
-  EXPECT_LE(clock.counts_at(), now + 4 * kSecond);  // a silence puts nothing off
+  EXPECT_LE(clock.counts_at(), now + 4 * kSecond);  // a silence does not postpone it
 }
 
 TEST(ListClock, AQueueLongerThanTheTimeoutIsWaitedForTheSecondTime) {
@@ -143,7 +144,8 @@
   clock.Ended(first, kSilent, 0, 0);
   EXPECT_GT(clock.timeout(false, true), first);
   EXPECT_GT(clock.timeout(true, true), first);
-  EXPECT_EQ(clock.timeout(true, false), clock.wait() + kSecond);  // one that goes on stands in no line
+  // a call that continues a watch does not wait in the queue
+  EXPECT_EQ(clock.timeout(true, false), clock.wait() + kSecond);
 }
 
 }  // namespace
--- a/tests/service/control_call_test.cpp
+++ b/tests/service/control_call_test.cpp
@@ -5,16 +5,16 @@
 namespace burlfall {
 namespace {
 
-class Told : public Operations {
+class RecordingOperations : public Operations {
  public:
   bool Serving() const override { return serving; }
-  Verdict TakeOut(std::string_view server) override { return Say("out " + std::string(server)); }
-  Verdict PutBack(std::string_view server) override { return Say("back " + std::string(server)); }
-  Verdict StartManualDrain() override { return Say("aside"); }
-  Verdict StopManualDrain() override { return Say("come back"); }
+  Verdict TakeOut(std::string_view server) override { return Record("out " + std::string(server)); }
+  Verdict PutBack(std::string_view server) override { return Record("back " + std::string(server)); }
+  Verdict StartManualDrain() override { return Record("aside"); }
+  Verdict StopManualDrain() override { return Record("come back"); }
   Task<ChangePermission> RequestPermission(ChangeCall) override { co_return ChangePermission(); }
   Task<> ReleasePermission(ChangePermission) override { co_return; }
-  Verdict Say(const std::string& what) {
+  Verdict Record(const std::string& what) {
     last = what;
     return verdict;
   }
@@ -23,57 +23,57 @@
   Verdict verdict = Verdict::kDone;
 };
 
-std::string Ask(Told& told, const std::string& method, const std::string& target) {
+std::string Execute(RecordingOperations& operations, const std::string& method, const std::string& target) {
   HttpMessage call;
   call.method = method;
   call.target = target;
-  told.last.clear();
-  const std::string answer = AnswerCall(call, told);
+  operations.last.clear();
+  const std::string answer = AnswerCall(call, operations);
   EXPECT_NE(answer.find("\r\nConnection: close\r\n"), std::string::npos);
   return answer.substr(9, 3);
 }
 
 TEST(ControlCall, EachCallIsExecutedAndAnswered) {
-  Told told;
-  EXPECT_EQ(Ask(told, "POST", "/nodes/s-5be2a07c/maint"), "200");
-  EXPECT_EQ(told.last, "out s-5be2a07c");
-  EXPECT_EQ(Ask(told, "POST", "/nodes/a%2Fb%20c/ready?x=1"), "200");
-  EXPECT_EQ(told.last, "back a/b c");
-  EXPECT_EQ(Ask(told, "POST", "/healthcheck/fail"), "200");
-  EXPECT_EQ(told.last, "aside");
-  EXPECT_EQ(Ask(told, "POST", "/healthcheck/ok"), "200");
-  EXPECT_EQ(told.last, "come back");
-  EXPECT_EQ(Ask(told, "GET", "/healthcheck"), "200");
-  told.serving = false;
-  EXPECT_EQ(Ask(told, "GET", "/healthcheck"), "503");
+  RecordingOperations operations;
+  EXPECT_EQ(Execute(operations, "POST", "/nodes/s-5be2a07c/maint"), "200");
+  EXPECT_EQ(operations.last, "out s-5be2a07c");
+  EXPECT_EQ(Execute(operations, "POST", "/nodes/a%2Fb%20c/ready?x=1"), "200");
+  EXPECT_EQ(operations.last, "back a/b c");
+  EXPECT_EQ(Execute(operations, "POST", "/healthcheck/fail"), "200");
+  EXPECT_EQ(operations.last, "aside");
+  EXPECT_EQ(Execute(operations, "POST", "/healthcheck/ok"), "200");
+  EXPECT_EQ(operations.last, "come back");
+  EXPECT_EQ(Execute(operations, "GET", "/healthcheck"), "200");
+  operations.serving = false;
+  EXPECT_EQ(Execute(operations, "GET", "/healthcheck"), "503");
 }
 
 TEST(ControlCall, EachRefusalHasItsStatus) {
-  Told told;
-  told.verdict = Verdict::kUnknown;
-  EXPECT_EQ(Ask(told, "POST", "/nodes/s-1/maint"), "404");
-  told.verdict = Verdict::kNotNow;
-  EXPECT_EQ(Ask(told, "POST", "/healthcheck/ok"), "409");
-  told.verdict = Verdict::kFailed;
-  EXPECT_EQ(Ask(told, "POST", "/nodes/s-1/maint"), "500");
+  RecordingOperations operations;
+  operations.verdict = Verdict::kUnknown;
+  EXPECT_EQ(Execute(operations, "POST", "/nodes/s-1/maint"), "404");
+  operations.verdict = Verdict::kNotNow;
+  EXPECT_EQ(Execute(operations, "POST", "/healthcheck/ok"), "409");
+  operations.verdict = Verdict::kFailed;
+  EXPECT_EQ(Execute(operations, "POST", "/nodes/s-1/maint"), "500");
 }
 
 TEST(ControlCall, InvalidCallsChangeNothing) {
-  Told told;
+  RecordingOperations operations;
   for (const char* target : {"/", "/up", "/nodes/", "/nodes/s-1", "/nodes/s-1/", "/nodes/s-1/maint/",
                              "/nodes", "/healthcheck/", "/nodes/a/b/maint"}) {
-    EXPECT_EQ(Ask(told, "POST", target), "404") << target;
-    EXPECT_EQ(told.last, "") << target;
+    EXPECT_EQ(Execute(operations, "POST", target), "404") << target;
+    EXPECT_EQ(operations.last, "") << target;
   }
   for (const char* target : {"/nodes//maint", "/nodes/%4/ready", "/nodes/%zz/ready"}) {
-    EXPECT_EQ(Ask(told, "POST", target), "400") << target;
-    EXPECT_EQ(told.last, "") << target;
+    EXPECT_EQ(Execute(operations, "POST", target), "400") << target;
+    EXPECT_EQ(operations.last, "") << target;
   }
-  EXPECT_EQ(Ask(told, "POST", "/nodes/" + std::string(300, 'x') + "/maint"), "400");
-  EXPECT_EQ(Ask(told, "GET", "/nodes/s-1/maint"), "405");
-  EXPECT_EQ(Ask(told, "GET", "/healthcheck/fail"), "405");
-  EXPECT_EQ(Ask(told, "POST", "/healthcheck"), "405");
-  EXPECT_EQ(told.last, "");
+  EXPECT_EQ(Execute(operations, "POST", "/nodes/" + std::string(300, 'x') + "/maint"), "400");
+  EXPECT_EQ(Execute(operations, "GET", "/nodes/s-1/maint"), "405");
+  EXPECT_EQ(Execute(operations, "GET", "/healthcheck/fail"), "405");
+  EXPECT_EQ(Execute(operations, "POST", "/healthcheck"), "405");
+  EXPECT_EQ(operations.last, "");
 }
 
 TEST(ControlCall, AChangeIsParsedBeforeItIsExecuted) {
--- a/tests/service/host_group_test.cpp
+++ b/tests/service/host_group_test.cpp
@@ -1,4 +1,5 @@
-// Hosts that operators take out: their word goes before the list's, for the module and the upstream alike.
+// Hosts that operators take out of service: the operator's call overrides the list, for the module and the
+// upstream alike.
 #include "membership/host_group.h"
 
 #include <gtest/gtest.h>
@@ -35,7 +36,7 @@
 class Group : public testing::Test {
  protected:
   Group() { hosts.ApplyList(List(true, {{"a", BackendState::kReady}, {"b", BackendState::kReady}})); }
-  BackendState Here(const std::string& name) const {
+  BackendState EffectiveState(const std::string& name) const {
     BackendState state = BackendState::kGone;
     for (const auto& [id, known] : hosts.AllNames()) {
       if (known == name) state = hosts.Find(id)->state;
@@ -54,17 +55,17 @@
 
 TEST_F(Group, AHostTakenOutDrainsWhateverTheListSays) {
   ASSERT_TRUE(hosts.TakeOut("a", 1));
-  EXPECT_EQ(Here("a"), BackendState::kDraining);
+  EXPECT_EQ(EffectiveState("a"), BackendState::kDraining);
   EXPECT_EQ(StateOf(hosts, hosts.Snapshot(), "a"), BackendState::kDraining);
   EXPECT_EQ(StateOf(hosts, hosts.Snapshot(), "b"), BackendState::kReady);
   for (bool full : {true, false}) {
     const BackendList told =
         hosts.ApplyList(List(full, {{"a", BackendState::kReady}, {"b", BackendState::kReady}}, 5));
     EXPECT_EQ(StateOf(hosts, told, "a"), BackendState::kDraining);
-    EXPECT_EQ(Here("a"), BackendState::kDraining);
+    EXPECT_EQ(EffectiveState("a"), BackendState::kDraining);
   }
   hosts.ApplyList(List(false, {{"a", BackendState::kGone}}));
-  EXPECT_EQ(Here("a"), BackendState::kGone);
+  EXPECT_EQ(EffectiveState("a"), BackendState::kGone);
   hosts.ApplyList(List(true, {{"b", BackendState::kReady}}));
   const BackendList back = hosts.ApplyList(List(false, {{"a", BackendState::kReady}}, 9));
   EXPECT_EQ(StateOf(hosts, back, "a"), BackendState::kDraining);
@@ -76,7 +77,7 @@
   hosts.TakeOut("a", 7);
   EXPECT_EQ(hosts.Out(), (std::vector<OutHost>{{"a", 1}}));
   hosts.PutBack("a", 10);
-  EXPECT_EQ(Here("a"), BackendState::kReady);
+  EXPECT_EQ(EffectiveState("a"), BackendState::kReady);
   EXPECT_TRUE(hosts.Out().empty());
 }
 
@@ -84,11 +85,11 @@
   hosts.TakeOut("a", 1);
   hosts.ApplyList(List(false, {{"a", BackendState::kDraining}}));
   hosts.PutBack("a", 10);
-  EXPECT_EQ(Here("a"), BackendState::kDraining);
+  EXPECT_EQ(EffectiveState("a"), BackendState::kDraining);
   hosts.TakeOut("b", 11);
   hosts.ApplyList(List(false, {{"b", BackendState::kGone}}));
   hosts.PutBack("b", 12);
-  EXPECT_EQ(Here("b"), BackendState::kGone);
+  EXPECT_EQ(EffectiveState("b"), BackendState::kGone);
 }
 
 Micros StartOf(const HostGroup& group, const std::string& name) {
@@ -102,7 +103,8 @@
   hosts.TakeOut("a", 100);
   hosts.PutBack("a", 200);
   EXPECT_EQ(StartOf(hosts, "a"), 200);
-  hosts.ApplyList(List(true, {{"a", BackendState::kReady}, {"b", BackendState::kReady}}, 50));  // old news
+  // a start time from before the restart
+  hosts.ApplyList(List(true, {{"a", BackendState::kReady}, {"b", BackendState::kReady}}, 50));
   EXPECT_EQ(StartOf(hosts, "a"), 200);
   EXPECT_EQ(StartOf(hosts, "b"), 50);
   hosts.ApplyList(List(false, {{"a", BackendState::kReady}}, 150));  // the restart itself
@@ -111,10 +113,10 @@
 
 TEST_F(Group, PuttingAHostBackStartsANewIncarnation) {
   const auto id = hosts.Snapshot().entries.front().id;
-  const uint64_t generation = hosts.Find(id)->incarnation;
+  const uint64_t previous = hosts.Find(id)->incarnation;
   hosts.TakeOut(hosts.NameOf(id), 1);
   hosts.PutBack(hosts.NameOf(id), 2);
-  EXPECT_NE(hosts.Find(id)->incarnation, generation);
+  EXPECT_NE(hosts.Find(id)->incarnation, previous);
 }
 
 TEST_F(Group, AHostOutBeforeTheStartIsOutOnceListed) {
@@ -123,7 +125,8 @@
             BackendState::kDraining);
 }
 
-// Of another clock than this machine's: a start is never later than when it was heard, and stands still then.
+// Start times from another machine's clock: a start is never later than the time its list arrived, and does
+// not change afterwards.
 TEST_F(Group, AStartTimeInTheFutureIsReplacedByNow) {
   const auto start = [&](Micros listed, Micros now, bool full = true) {
     const BackendList told = hosts.ApplyList(List(full, {{"a", BackendState::kReady}}, listed), now);
@@ -133,8 +136,8 @@
   EXPECT_EQ(start(3000, 2000), 1000);
   EXPECT_EQ(start(3000, 2500, false), 1000);
   EXPECT_EQ(hosts.Snapshot().entries.at(0).started_at, 1000);
-  EXPECT_EQ(start(3500, 2600), 2600);  // it was started anew
-  EXPECT_EQ(start(3500, 4000), 3500);  // the time has come
+  EXPECT_EQ(start(3500, 2600), 2600);  // it was restarted
+  EXPECT_EQ(start(3500, 4000), 3500);  // that time has passed
   EXPECT_EQ(start(3800, 4000), 3800);
 }
 
@@ -160,8 +163,8 @@
   EXPECT_FALSE(group.Knows("h0"));
 }
 
-// The module's side: what the group says of a node that is back reaches it, and a sleep that the restart
-// earned does not keep the node idle.
+// The module's side: the state of a node that was put back reaches the module, and the sleep caused by the
+// restart does not keep the node idle.
 class Sends final : public meadowslip::ActionSink {
  public:
   void Send(meadowslip::RequestId id, meadowslip::BackendId backend, Micros) override {
@@ -199,8 +202,8 @@
   for (const auto& [id, name] : hosts.AllNames()) a = name == "a" ? id : a;
   uint64_t next = 0;
   int to_a = 0;
-  // `a` fails all it gets while `broken`; one query each 10 ms.
-  auto play = [&](Micros span, bool broken) {
+  // `a` fails every query while `broken` is set; one query each 10 ms.
+  auto run = [&](Micros span, bool broken) {
     for (const Micros until = now + span; now < until; now += 10 * kMs) {
       meadowslip::Request r;
       r.id = ++next;
@@ -218,18 +221,19 @@
       }
     }
   };
-  play(5 * kSecond, false);
-  for (int i = 0; i < 6; ++i) play(20 * kSecond, true);
+  run(5 * kSecond, false);
+  for (int i = 0; i < 6; ++i) run(20 * kSecond, true);
   to_a = 0;
-  while (to_a == 0) play(10 * kMs, true);  // a trial that fails: it sleeps for half a minute from here on
+  // a trial that fails: the node sleeps for half a minute from here on
+  while (to_a == 0) run(10 * kMs, true);
   hosts.TakeOut("a", now);
   module.OnList(now, hosts.Snapshot(), sends);
   to_a = 0;
-  play(3 * kSecond, false);
+  run(3 * kSecond, false);
   EXPECT_EQ(to_a, 0);
   hosts.PutBack("a", now);
   module.OnList(now, hosts.Snapshot(), sends);
-  play(5 * kSecond, false);
+  run(5 * kSecond, false);
   EXPECT_GT(to_a, 0);
 }
 
--- a/tests/service/out_file_test.cpp
+++ b/tests/service/out_file_test.cpp
@@ -35,8 +35,8 @@
   EXPECT_FALSE(ReadOutFile(std::string(100, '\0')));
 }
 
-// The two processes of an upgrade, told in the same moment (F19): whoever reads sees the one or the other,
-// whole.
+// The two processes of an upgrade write the file at the same moment (F19): a reader sees the content of one
+// of them, complete.
 TEST(Replace, TwoProcessesThatWriteOneFileNeverCorruptIt) {
   std::string folder = (std::filesystem::temp_directory_path() / "burlfall-XXXXXX").string();
   ASSERT_NE(mkdtemp(folder.data()), nullptr);
@@ -55,20 +55,20 @@
     writers.push_back(pid);
   }
   const auto files = MakeRealFiles();
-  size_t left = writers.size(), torn = 0, read = 0;
+  size_t left = writers.size(), corrupted = 0, read = 0;
   while (left > 0) {
     int status = 0;
     if (waitpid(-1, &status, WNOHANG) > 0) --left;
     const std::optional<std::string> text = files->Read(path);
     if (!text) continue;
     ++read;
-    const bool whole = text->size() == (text->starts_with('a') ? 200'000u : 150'000u) &&
-                       text->find_first_not_of(text->front()) == std::string::npos;
-    torn += whole ? 0 : 1;
+    const bool complete = text->size() == (text->starts_with('a') ? 200'000u : 150'000u) &&
+                          text->find_first_not_of(text->front()) == std::string::npos;
+    corrupted += complete ? 0 : 1;
   }
   EXPECT_GT(read, 0u);
-  EXPECT_EQ(torn, 0u);
-  EXPECT_EQ(files->List(folder).size(), 1u);  // nothing is left beside it
+  EXPECT_EQ(corrupted, 0u);
+  EXPECT_EQ(files->List(folder).size(), 1u);  // no temporary file is left
   std::filesystem::remove_all(folder);
 }
 
--- a/tests/start/call_pacer_test.cpp
+++ b/tests/start/call_pacer_test.cpp
@@ -141,10 +141,10 @@
 }
 
 TEST(StartBook, KeepsTheLastStartsAndIgnoresMalformedText) {
-  StartHistory book;
-  for (int i = 0; i < 40; ++i) book.Add(kT0 + i * kSecond);
-  const StartHistory again(book.Text());
-  EXPECT_EQ(again.Text(), book.Text());
+  StartHistory history;
+  for (int i = 0; i < 40; ++i) history.Add(kT0 + i * kSecond);
+  const StartHistory again(history.Text());
+  EXPECT_EQ(again.Text(), history.Text());
   EXPECT_EQ(again.Within(3 * kSecond, kT0 + 39 * kSecond), 4);
   EXPECT_EQ(again.Within(3600 * kSecond, kT0 + 39 * kSecond), 16);
   EXPECT_EQ(again.Within(3600 * kSecond, kT0), 0);  // after the clock was set back
@@ -200,29 +200,31 @@
 
 // ---- Hundreds of balancers -------------------------------------------------------------------------------
 
-void AllWell(const RunResult& course, Micros within, double calls_each, int most, const std::string& what) {
-  EXPECT_EQ(course.callers_without_list, 0) << what;
-  EXPECT_LE(course.last_listed, within) << what;
-  EXPECT_LE(course.MeanCalls(), calls_each) << what;
-  EXPECT_LE(course.MaxCallsPerSecond(1), most) << what;
-  EXPECT_LE(course.longest_silence, 10 * kSecond) << what;
+void ExpectGoodRun(const RunResult& result, Micros within, double calls_each, int most,
+                   const std::string& what) {
+  EXPECT_EQ(result.callers_without_list, 0) << what;
+  EXPECT_LE(result.last_listed, within) << what;
+  EXPECT_LE(result.MeanCalls(), calls_each) << what;
+  EXPECT_LE(result.MaxCallsPerSecond(1), most) << what;
+  EXPECT_LE(result.longest_silence, 10 * kSecond) << what;
 }
 
 TEST(ManyAsk, ThreeHundredBalancersGetTheirListsWithinOneAndAHalfRounds) {
   for (uint64_t seed = 1; seed <= Seeds(); ++seed) {
     auto strategies = PacedCallers(300, Rules());
-    AllWell(RunCallers(strategies, {}, 40 * kSecond, seed), 9 * kSecond, 1.05, 50, std::to_string(seed));
+    ExpectGoodRun(RunCallers(strategies, {}, 40 * kSecond, seed), 9 * kSecond, 1.05, 50,
+                  std::to_string(seed));
   }
 }
 
 TEST(ManyAsk, CallsGrowOnlyLinearlyWithTheBalancers) {
   for (const int count : {10, 30, 100, 300, 1000}) {
     auto strategies = PacedCallers(static_cast<size_t>(count), Rules(count));
-    const RunResult course = RunCallers(strategies, {}, 90 * kSecond, 5);
-    EXPECT_EQ(course.callers_without_list, 0) << count;
-    EXPECT_LE(course.MeanCalls(), 1.1) << count;
-    EXPECT_LE(course.MaxCallsPerSecond(1), 50) << count;
-    EXPECT_LE(course.longest_silence, 10 * kSecond) << count;
+    const RunResult result = RunCallers(strategies, {}, 90 * kSecond, 5);
+    EXPECT_EQ(result.callers_without_list, 0) << count;
+    EXPECT_LE(result.MeanCalls(), 1.1) << count;
+    EXPECT_LE(result.MaxCallsPerSecond(1), 50) << count;
+    EXPECT_LE(result.longest_silence, 10 * kSecond) << count;
   }
 }
 
@@ -245,12 +247,12 @@
   for (const int down_s : {10, 20, 60}) {
     for (uint64_t seed = 1; seed <= Seeds(); ++seed) {
       auto strategies = PacedCallers(300, Rules());
-      const RunResult course =
+      const RunResult result =
           RunCallers(strategies, {.down_until = down_s * kSecond}, (down_s + 40) * kSecond, seed);
       const std::string what = std::to_string(down_s) + " s, seed " + std::to_string(seed);
-      EXPECT_EQ(course.callers_without_list, 0) << what;
-      EXPECT_LE(course.last_listed, (down_s + 12) * kSecond) << what;
-      EXPECT_LE(course.calls[static_cast<size_t>(down_s)], 60) << what;
+      EXPECT_EQ(result.callers_without_list, 0) << what;
+      EXPECT_LE(result.last_listed, (down_s + 12) * kSecond) << what;
+      EXPECT_LE(result.calls[static_cast<size_t>(down_s)], 60) << what;
     }
   }
 }
@@ -258,12 +260,12 @@
 TEST(ManyAsk, BalancersWithTheSameSeedClockAndNumberSpreadOut) {
   // All balancers have the same number and start at the same moment; only their names differ.
   auto strategies = PacedCallers(300, Rules(), [](size_t) { return 0; });
-  const RunResult course = RunCallers(strategies, {}, 60 * kSecond, 2, 0);
-  EXPECT_EQ(course.callers_without_list, 0);
-  EXPECT_LE(course.last_listed, 35 * kSecond);
+  const RunResult result = RunCallers(strategies, {}, 60 * kSecond, 2, 0);
+  EXPECT_EQ(result.callers_without_list, 0);
+  EXPECT_LE(result.last_listed, 35 * kSecond);
   // No balancer has a number.
   auto unnumbered = PacedCallers(300, Rules(), [](size_t) { return -1; });
-  AllWell(RunCallers(unnumbered, {}, 60 * kSecond, 2, 0), 12 * kSecond, 1.5, 75, "without numbers");
+  ExpectGoodRun(RunCallers(unnumbered, {}, 60 * kSecond, 2, 0), 12 * kSecond, 1.5, 75, "without numbers");
 }
 
 TEST(ManyAsk, ABalancerCountWrongByTenTimesDelaysListsButLosesNone) {
@@ -271,10 +273,10 @@
     auto strategies = PacedCallers(300, Rules(believed), [&](size_t i) {
       return static_cast<int>(static_cast<double>(i) * believed / 300);
     });
-    const RunResult course = RunCallers(strategies, {}, 90 * kSecond, 4);
-    EXPECT_EQ(course.callers_without_list, 0) << believed;
-    EXPECT_LE(course.last_listed, 61 * kSecond) << believed;
-    EXPECT_LE(course.longest_silence, 10 * kSecond) << believed;
+    const RunResult result = RunCallers(strategies, {}, 90 * kSecond, 4);
+    EXPECT_EQ(result.callers_without_list, 0) << believed;
+    EXPECT_LE(result.last_listed, 61 * kSecond) << believed;
+    EXPECT_LE(result.longest_silence, 10 * kSecond) << believed;
   }
 }
 
@@ -287,34 +289,34 @@
   }
   EXPECT_GT(with, callers_without_list + static_cast<double>(kSecond));
   auto again = PacedCallers(300, Rules(), nullptr, [](size_t i) { return i % 2 == 1; });
-  AllWell(RunCallers(again, {}, 40 * kSecond, 6), 10 * kSecond, 1.05, 55, "half of them");
+  ExpectGoodRun(RunCallers(again, {}, 40 * kSecond, 6), 10 * kSecond, 1.05, 55, "half of them");
   auto all = PacedCallers(300, Rules(), nullptr, [](size_t) { return true; });
-  AllWell(RunCallers(all, {}, 40 * kSecond, 6), 10 * kSecond, 1.05, 55, "all of them");
+  ExpectGoodRun(RunCallers(all, {}, 40 * kSecond, 6), 10 * kSecond, 1.05, 55, "all of them");
 }
 
 TEST(ManyAsk, ARetryAfterOfAnHourDelaysNoBalancerBeyondTheRule) {
   auto strategies = PacedCallers(300, Rules());
-  const RunResult course =
+  const RunResult result =
       RunCallers(strategies, {.down_until = 20 * kSecond, .retry_after = 3600 * kSecond}, 90 * kSecond, 7);
-  EXPECT_EQ(course.callers_without_list, 0);
-  EXPECT_LE(course.last_listed, 62 * kSecond);
+  EXPECT_EQ(result.callers_without_list, 0);
+  EXPECT_LE(result.last_listed, 62 * kSecond);
 }
 
 TEST(ManyAsk, AChangeThatAllReceiveAtOnceCausesNoBurst) {
   std::vector<Micros> changes;
   for (int i = 0; i < 5; ++i) changes.push_back((30 + 20 * i) * kSecond);
   auto strategies = PacedCallers(300, Rules());
-  const RunResult course = RunCallers(strategies, {.changes = changes}, 140 * kSecond, 8);
-  EXPECT_EQ(course.callers_without_list, 0);
-  EXPECT_LE(course.MaxCallsPerSecond(1), 70);
-  EXPECT_LE(course.longest_silence, 10 * kSecond);
+  const RunResult result = RunCallers(strategies, {.changes = changes}, 140 * kSecond, 8);
+  EXPECT_EQ(result.callers_without_list, 0);
+  EXPECT_LE(result.MaxCallsPerSecond(1), 70);
+  EXPECT_LE(result.longest_silence, 10 * kSecond);
 }
 
 TEST(ManyAsk, ASlowServiceStillGivesEveryBalancerItsList) {
   // The service handles a tenth of the rate that the balancers assume.
   auto strategies = PacedCallers(100, Rules(100));
-  const RunResult course = RunCallers(strategies, {.calls_per_s = 5}, 240 * kSecond, 9);
-  EXPECT_EQ(course.callers_without_list, 0);
+  const RunResult result = RunCallers(strategies, {.calls_per_s = 5}, 240 * kSecond, 9);
+  EXPECT_EQ(result.callers_without_list, 0);
 }
 
 TEST(ManyAsk, EveryBalancerGetsItsListOnceFaultsEnd) {
@@ -335,9 +337,9 @@
     rules.must_ask_within = static_cast<Micros>(draws.Between({4, 30}) * kSecond);
     auto strategies =
         PacedCallers(static_cast<size_t>(count), rules, [&](size_t i) { return static_cast<int>(i); });
-    const RunResult course = RunCallers(strategies, service, 300 * kSecond, seed);
-    EXPECT_EQ(course.callers_without_list, 0) << "seed " << seed;
-    EXPECT_LE(course.longest_silence, rules.must_ask_within) << "seed " << seed;
+    const RunResult result = RunCallers(strategies, service, 300 * kSecond, seed);
+    EXPECT_EQ(result.callers_without_list, 0) << "seed " << seed;
+    EXPECT_LE(result.longest_silence, rules.must_ask_within) << "seed " << seed;
   }
 }
 
--- a/tests/start/callers.h
+++ b/tests/start/callers.h
@@ -110,15 +110,15 @@
     bool begun = false;
     bool watch = false;
     uint64_t call = 0;
-    Micros called_at = 0, until = 0, told_at = 0;
+    Micros called_at = 0, until = 0, list_at = 0;
     bool listed = false;
     uint64_t version = 0;
   };
   std::vector<Caller> callers(strategies.size());
   std::map<uint64_t, size_t> by_call;
-  RunResult course;
-  course.calls_of_caller.resize(strategies.size());
-  course.calls.resize(static_cast<size_t>(length / kSecond));
+  RunResult result;
+  result.calls_of_caller.resize(strategies.size());
+  result.calls.resize(static_cast<size_t>(length / kSecond));
   for (Caller& one : callers)
     one.begins = t0 + static_cast<Micros>(draws.Uniform() * static_cast<double>(began_within));
   if (service.down_until > 0 && !service.retry_after) model.GoDown(t0, effects);
@@ -131,13 +131,13 @@
     by_call.erase(one.call);
     one.call = 0;
     if (how == CallOutcome::kChanged || how == CallOutcome::kUnchanged) {
-      one.told_at = now;
-      if (!one.listed) course.last_listed = std::max(course.last_listed, now - t0);
+      one.list_at = now;
+      if (!one.listed) result.last_listed = std::max(result.last_listed, now - t0);
       one.listed = true;
       one.watch = true;
     } else {
       one.watch = false;
-      one.told_at = 0;  // after a failure the limit is four times as long, counted from here
+      one.list_at = 0;  // after a failure the limit is four times as long, counted from here
     }
     strategies[i]->Ended(now, how, queue_time, retry_after, draws.Uniform());
   };
@@ -150,9 +150,9 @@
       const size_t i = it->second;
       Caller& one = callers[i];
       if (effect.did == DiscoveryModel::Did::kAnswered) {
-        const bool news = !one.watch || effect.version != one.version;
+        const bool is_change = !one.watch || effect.version != one.version;
         one.version = effect.version;
-        end(i, now, news ? CallOutcome::kChanged : CallOutcome::kUnchanged, 0);
+        end(i, now, is_change ? CallOutcome::kChanged : CallOutcome::kUnchanged, 0);
       } else {
         end(i, now, !down && now - one.called_at >= 500 * kMs ? CallOutcome::kBusy : CallOutcome::kDown, 0);
       }
@@ -195,9 +195,9 @@
         model.Left(now, one.call, effects);
         end(i, now, CallOutcome::kNoAnswer, 0);
       } else if (now >= strategies[i]->NextAt()) {
-        ++course.calls[static_cast<size_t>((now - t0) / kSecond)];
-        if (!one.listed) ++course.calls_of_caller[i];
-        if (one.told_at > 0) course.longest_silence = std::max(course.longest_silence, now - one.told_at);
+        ++result.calls[static_cast<size_t>((now - t0) / kSecond)];
+        if (!one.listed) ++result.calls_of_caller[i];
+        if (one.list_at > 0) result.longest_silence = std::max(result.longest_silence, now - one.list_at);
         strategies[i]->Called(now, one.watch);
         one.called_at = now;
         one.until =
@@ -216,8 +216,8 @@
     }
     apply(now);
   }
-  for (const Caller& one : callers) course.callers_without_list += one.listed ? 0 : 1;
-  return course;
+  for (const Caller& one : callers) result.callers_without_list += one.listed ? 0 : 1;
+  return result;
 }
 
 // `number`: gives the number of each balancer; nullptr: its index.
--- a/tests/start/start_test.cpp
+++ b/tests/start/start_test.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 // A folder, and start settings that save the list there.
-struct Kept {
-  explicit Kept(const std::string& more = "")
+struct SavedListFolder {
+  explicit SavedListFolder(const std::string& more = "")
       : settings("[saved_list]\nfolder = \"" + folder.path + "\"\n" + more) {}
   std::vector<std::string> words() const { return {"serve", "--start", settings.path}; }
   std::string file(int i) const { return folder.path + "/burlfall-n1.list." + std::to_string(i); }
@@ -20,14 +20,14 @@
 };
 
 // A process that receives this list and exits once it is saved.
-void Hear(const Kept& kept, const std::string& entries) {
+void SaveList(const SavedListFolder& saved, const std::string& entries) {
   Peer discovery;
-  Program program(ConfigText({.discovery = discovery.port}), kept.words());
+  Program program(ConfigText({.discovery = discovery.port}), saved.words());
   Link watch = discovery.Accept();
   watch.Read();
   watch.Write(Ok(List(2, true, entries)));
   watch.Read();
-  REQUIRE(Until([&] { return kept.written(); }));
+  REQUIRE(Until([&] { return saved.written(); }));
   CHECK(program.Wait(SIGTERM) == 0);
 }
 
@@ -39,10 +39,10 @@
 }  // namespace
 
 TEST_CASE("a saved list serves the next start while discovery is down, and its age is logged") {
-  Kept kept;
+  SavedListFolder saved;
   Peer server;
-  Hear(kept, Entry("s-1", server.port));
-  Program program(ConfigText({}), kept.words());  // discovery is no longer reachable
+  SaveList(saved, Entry("s-1", server.port));
+  Program program(ConfigText({}), saved.words());  // discovery is no longer reachable
   CHECK(program.output.find("starts from a saved list: 1 nodes, version 2, ") != std::string::npos);
   CHECK(program.output.find("start: older_list") == std::string::npos);  // logged only once it serves
   Link client = Link::To(program.port);
@@ -52,10 +52,10 @@
 }
 
 TEST_CASE("an answer from discovery replaces a saved list") {
-  Kept kept;
+  SavedListFolder saved;
   Peer before, now, discovery;
-  Hear(kept, Entry("s-1", before.port));
-  Program program(ConfigText({.discovery = discovery.port}), kept.words());
+  SaveList(saved, Entry("s-1", before.port));
+  Program program(ConfigText({.discovery = discovery.port}), saved.words());
   Link watch = discovery.Accept();
   watch.Read();
   // an older version, from a service that was restarted
@@ -67,13 +67,13 @@
 
 TEST_CASE(
     "a saved list that is damaged, foreign or too old is rejected with its path, and the start continues") {
-  Kept kept;
+  SavedListFolder saved;
   Peer server;
-  Hear(kept, Entry("s-1", server.port));
-  const std::string path = kept.path(), good = Text(path);
+  SaveList(saved, Entry("s-1", server.port));
+  const std::string path = saved.path(), good = Text(path);
   const auto refused = [&](const std::string& text, const std::string& why) {
     std::ofstream(path) << text;
-    Program program(ConfigText({.deadline = 1000000}), kept.words());
+    Program program(ConfigText({.deadline = 1000000}), saved.words());
     CHECK(program.output.find(path + " is not used: ") != std::string::npos);
     CHECK(program.output.find(why) != std::string::npos);
     Link client = Link::To(program.port);
@@ -96,36 +96,36 @@
 }
 
 TEST_CASE("a truncated list file is skipped, and the older file is used") {
-  Kept kept("write_every_s = 0.5\n");
+  SavedListFolder saved("write_every_s = 0.5\n");
   Peer server, discovery;
   {
-    Program program(ConfigText({.discovery = discovery.port}), kept.words());
+    Program program(ConfigText({.discovery = discovery.port}), saved.words());
     Link watch = discovery.Accept();
     watch.Read();
     watch.Write(Ok(List(2, true, Entry("s-1", server.port))));
     watch.Read();
-    REQUIRE(Until([&] { return kept.written(); }));
+    REQUIRE(Until([&] { return saved.written(); }));
     watch.Write(Ok(List(3, false, Entry("s-2", server.port))));
     watch.Read();
     REQUIRE(Until(
-        [&] { return std::filesystem::exists(kept.file(0)) && std::filesystem::exists(kept.file(1)); }));
+        [&] { return std::filesystem::exists(saved.file(0)) && std::filesystem::exists(saved.file(1)); }));
     CHECK(program.Wait(SIGKILL) == -1);
   }
   std::string why;
-  const auto number = [&](int i) { return start::ReadSavedList(Text(kept.file(i)), why)->number; };
+  const auto number = [&](int i) { return start::ReadSavedList(Text(saved.file(i)), why)->number; };
   const int newer = number(0) > number(1) ? 0 : 1;
-  std::filesystem::resize_file(kept.file(newer), 50);
-  Program program(ConfigText({}), kept.words());
-  CHECK(program.output.find(kept.file(newer) + " is not used: it is damaged") != std::string::npos);
+  std::filesystem::resize_file(saved.file(newer), 50);
+  Program program(ConfigText({}), saved.words());
+  CHECK(program.output.find(saved.file(newer) + " is not used: it is damaged") != std::string::npos);
   CHECK(program.output.find("starts from a saved list: 1 nodes, version 2, ") != std::string::npos);
 }
 
 TEST_CASE("a folder that cannot be written is logged, and service continues") {
-  Kept kept;
-  std::filesystem::remove_all(kept.folder.path);
-  std::ofstream(kept.folder.path) << "no folder";
+  SavedListFolder saved;
+  std::filesystem::remove_all(saved.folder.path);
+  std::ofstream(saved.folder.path) << "no folder";
   Peer server, discovery;
-  Program program(ConfigText({.discovery = discovery.port}), kept.words());
+  Program program(ConfigText({.discovery = discovery.port}), saved.words());
   Link watch = discovery.Accept();
   watch.Read();
   watch.Write(Ok(List(2, true, Entry("s-1", server.port))));
@@ -133,51 +133,51 @@
   // the error of the first attempt, logged once
   const size_t told = program.output.find("can't be written");
   REQUIRE(told != std::string::npos);
-  CHECK(program.output.rfind(kept.folder.path, told) != std::string::npos);
+  CHECK(program.output.rfind(saved.folder.path, told) != std::string::npos);
   Link client = Link::To(program.port);
   CHECK(Served(client, server, "t1").ends_with("fine"));
 }
 
 TEST_CASE("a restart after a kill is logged, and one after an orderly exit is not") {
-  Kept kept;
+  SavedListFolder saved;
   {
-    Program first(ConfigText({}), kept.words());
+    Program first(ConfigText({}), saved.words());
     CHECK(first.output.find("was started") == std::string::npos);
     CHECK(first.Wait(SIGKILL) == -1);
   }
   {
-    Program second(ConfigText({}), kept.words());
+    Program second(ConfigText({}), saved.words());
     CHECK(second.output.find("was started 1 times before") != std::string::npos);
     CHECK(second.Wait(SIGTERM) == 0);
   }
-  Program third(ConfigText({}), kept.words());
+  Program third(ConfigText({}), saved.words());
   CHECK(third.output.find("was started") == std::string::npos);
 }
 
 TEST_CASE("the successor in an upgrade continues the numbers of the saved lists") {
-  Kept kept("write_every_s = 0.5\n");
+  SavedListFolder saved("write_every_s = 0.5\n");
   Folder shared;
   Peer door, discovery, server;
   const World world = {.variables = {{"TMPDIR", shared.path}, {"PROXY_PASSED_SOCKET", "5"}},
                        .passed = door.fd()};
   const std::string config = ConfigText({.discovery = discovery.port});
-  Program old(config, kept.words(), nullptr, world);
+  Program old(config, saved.words(), nullptr, world);
   Link watch = discovery.Accept();
   watch.Read();
   watch.Write(Ok(List(2, true, Entry("s-1", server.port))));
   watch.Read();
-  REQUIRE(Until([&] { return kept.written(); }));
+  REQUIRE(Until([&] { return saved.written(); }));
   std::string why;
-  const uint64_t before = start::ReadSavedList(Text(kept.path()), why)->number;
-  Program heir(config, kept.words(), nullptr, world);
-  CHECK(heir.output.find("took over") != std::string::npos);
+  const uint64_t before = start::ReadSavedList(Text(saved.path()), why)->number;
+  Program successor(config, saved.words(), nullptr, world);
+  CHECK(successor.output.find("took over") != std::string::npos);
   Link again = discovery.Accept();
   again.Read();
   again.Write(Ok(List(3, true, Entry("s-1", server.port) + "," + Entry("s-2", server.port))));
-  REQUIRE(
-      Until([&] { return std::filesystem::exists(kept.file(0)) && std::filesystem::exists(kept.file(1)); }));
-  const uint64_t one = start::ReadSavedList(Text(kept.file(0)), why)->number;
-  const uint64_t two = start::ReadSavedList(Text(kept.file(1)), why)->number;
+  REQUIRE(Until(
+      [&] { return std::filesystem::exists(saved.file(0)) && std::filesystem::exists(saved.file(1)); }));
+  const uint64_t one = start::ReadSavedList(Text(saved.file(0)), why)->number;
+  const uint64_t two = start::ReadSavedList(Text(saved.file(1)), why)->number;
   CHECK(std::max(one, two) > before);
 }
 
