--- a/fuzz/saved_list_fuzz.cpp
+++ b/fuzz/saved_list_fuzz.cpp
@@ -37,7 +37,7 @@
   if (!list) return;
   const auto again = ReadSavedList(WriteSavedList(*list), why);
   if (!again || !(*again == *list)) std::abort();
-  ChooseSavedList({{"f", text}}, list->site, list->heard_at, burlfall::kSecond);
+  ChooseSavedList({{"f", text}}, list->site, list->confirmed_at, burlfall::kSecond);
 }
 
 }  // namespace
--- a/src/control/control_server.h
+++ b/src/control/control_server.h
@@ -14,6 +14,7 @@
 
 namespace burlfall {
 
+// Accepts connections at the control address and answers their calls.
 class ControlServer {
  public:
   // Binds the address; throws std::system_error on failure. Holds at most `max_connections` connections, in
--- a/src/control/operations.h
+++ b/src/control/operations.h
@@ -12,6 +12,7 @@
 
 namespace burlfall {
 
+// Result of an operation.
 enum class Verdict {
   kDone,     // in effect, also if it was before
   kUnknown,  // no such server was ever listed
@@ -36,6 +37,7 @@
   uint64_t change = 0, epoch = 0;  // identifies the permission, for ReleasePermission()
 };
 
+// Implemented by the process.
 class Operations {
  public:
   virtual bool Serving() const = 0;  // this process can serve; a manual drain does not change that
--- a/src/handover/handover.h
+++ b/src/handover/handover.h
@@ -25,11 +25,11 @@
   virtual std::optional<HandoverState> ReleaseListener(std::string& why) = 0;
   virtual void KeepListener() = 0;        // the successor did not start to serve: accept again
   virtual void OnSuccessorServing() = 0;  // the successor serves: pass idle links over, then exit
-  virtual void
-  OnLinksConfirmed() = 0;  // the successor has reported what it received; see SuccessorHasAllLinks()
+  // The successor has reported how many links it received; see SuccessorHasAllLinks().
+  virtual void OnLinksConfirmed() = 0;
   virtual void OnSuccessorLost() = 0;    // the successor disconnected after that without an orderly exit
   virtual void OnSuccessorExited() = 0;  // the successor exited in order: nothing can be passed any more
-  // Callbacks to the successor.
+  // Callbacks to the successor. OnPeerUse() gives the resources that the predecessor still uses.
   virtual void ReceiveLink(std::unique_ptr<Stream> stream, PassedLink link) = 0;
   virtual void OnPeerUse(const ResourceUse& use) = 0;
   // Callbacks to both: operator calls that the other process received.
@@ -41,6 +41,7 @@
   ~HandoverHandler() = default;
 };
 
+// One process's side of the hand-over, towards its predecessor and its successor.
 class Handover {
  public:
   // `path`: the socket at which the processes connect. `log` and `handler` must outlive this object.
--- a/src/membership/host_group.h
+++ b/src/membership/host_group.h
@@ -19,6 +19,7 @@
 
 namespace burlfall {
 
+// A server that a list or an operator has named.
 struct Host {
   meadowslip::BackendId id = 0;
   std::string name;
@@ -28,9 +29,9 @@
   meadowslip::BackendState listed = meadowslip::BackendState::kGone;
   meadowslip::BackendEntry entry = {};  // as listed last
   bool out = false;                     // an operator has taken it out of service
-  Micros out_at = 0;
-  Micros back_at = 0;  // when an operator last put it back; it may have restarted until then
-  Micros gone_at = kNever;
+  Micros out_at = 0;                    // when an operator last took it out
+  Micros back_at = 0;                   // when an operator last put it back; it may have restarted until then
+  Micros gone_at = kNever;              // since when its listed state is kGone
   Micros started_at = 0;     // as listed; in `entry` it is never later than the time the list arrived
   uint64_t incarnation = 0;  // incremented by each restart and change of address
   // included in HostGroup::changes()
--- a/src/membership/list_clock.h
+++ b/src/membership/list_clock.h
@@ -11,6 +11,7 @@
 
 namespace burlfall {
 
+// The platform's rules on lists.
 struct ListRules {
   // lists are pushed: whatever the service has counts as delivered (the settings' MembershipMode)
   bool pushed = false;
@@ -20,10 +21,10 @@
 
 // Outcome of a call to the list service.
 enum class ListCallOutcome {
-  kAnswered,   // a list, or an answer without changes
-  kBusy,    // the service rejected the call as overloaded
-  kSilent,  // timeout: a broken watch may give no other sign
-  kDown,    // refused, reset, or an invalid answer
+  kAnswered,  // a list, or an answer without changes
+  kBusy,      // the service rejected the call as overloaded
+  kSilent,    // timeout: a broken watch may give no other sign
+  kDown,      // refused, reset, or an invalid answer
 };
 
 class ListClock {
--- a/src/membership/out_file.h
+++ b/src/membership/out_file.h
@@ -18,6 +18,7 @@
 
 namespace burlfall {
 
+// A host out of service.
 struct OutHost {
   std::string name;
   Micros since = 0;
--- a/src/membership/source.h
+++ b/src/membership/source.h
@@ -18,8 +18,8 @@
   using OnUpdate = std::function<void(const HostList*, const std::string& why)>;
 
   virtual ~Source() = default;
-  // Starts the source. `known_version`: version of the list that the group has, so that changes since then suffice;
-  // nullopt: the full list is needed.
+  // Starts the source. `known_version`: version of the list that the group has, so that changes since then
+  // suffice; nullopt: the full list is needed.
   virtual void Start(std::optional<uint64_t> known_version) = 0;
   virtual void Follow() = 0;     // follows the list from now on, until a call fails
   virtual void Reconnect() = 0;  // reconnects at once to the address in the current configuration
--- a/src/serve/program_saved_list.cpp
+++ b/src/serve/program_saved_list.cpp
@@ -60,7 +60,7 @@
   start::SavedList list;
   list.site = start::SiteOf(start_.saved_list.site, config_.settings);
   list.version = hosts_.version();
-  list.heard_at = heard_at_;
+  list.confirmed_at = heard_at_;
   list.number = keeper_->NextNumber();
   for (const HostRecord& host : hosts_.Records()) {
     if (host.listed == meadowslip::BackendState::kGone) continue;
--- a/src/start/call_pacer.h
+++ b/src/start/call_pacer.h
@@ -26,6 +26,7 @@
 
 namespace burlfall::start {
 
+// Limits and shares of the list service.
 struct PacerRules {
   // A balancer that has not called for this long is treated as if it had received what was listed that long
   // ago; after a failed call the limit is four times as long (the settings' Rules.MustAskIn).
@@ -54,6 +55,7 @@
 };
 const char* NameOf(StartPhase phase);
 
+// The pacer of one balancer.
 class CallPacer {
  public:
   // `name_hash`: a hash of the balancer's name, unique among the balancers.
--- a/src/start/saved_list.cpp
+++ b/src/start/saved_list.cpp
@@ -79,7 +79,7 @@
   const auto append_word = [&out](std::string_view word) { out.append(" ").append(word); };
   out.append("\nsite ").append(Escaped(list.site));
   out.append("\nversion ").append(std::to_string(list.version));
-  out.append("\nheard ").append(std::to_string(list.heard_at));
+  out.append("\nheard ").append(std::to_string(list.confirmed_at));
   out.append("\nnumber ").append(std::to_string(list.number)).append("\n");
   size_t nodes = 0;
   for (const SavedNode& node : list.nodes) {
@@ -109,7 +109,7 @@
   if (!NextLine(text, line) || line != kFirstLine) return {};
   why = "it is damaged";
   if (!ReadField(text, "site", list.site) || !ReadField(text, "version", list.version) ||
-      !ReadField(text, "heard", list.heard_at) || !ReadField(text, "number", list.number)) {
+      !ReadField(text, "heard", list.confirmed_at) || !ReadField(text, "number", list.number)) {
     return {};
   }
   std::set<std::string> names;
@@ -154,7 +154,7 @@
     std::optional<SavedList> list = ReadSavedList(file.text, why);
     if (list) {
       choice.last_number = std::max(choice.last_number, list->number);
-      const Micros age = wall - list->heard_at;
+      const Micros age = wall - list->confirmed_at;
       if (list->site != site) {
         why = "it is of another site";
       } else if (age > oldest) {
@@ -168,7 +168,7 @@
     if (!why.empty()) {
       choice.refused.emplace_back(file.path, why);
     } else if (!choice.list || list->number > choice.list->number) {
-      choice.age = std::max<Micros>(0, wall - list->heard_at);
+      choice.age = std::max<Micros>(0, wall - list->confirmed_at);
       choice.list = std::move(list);
     }
   }
--- a/src/start/saved_list.h
+++ b/src/start/saved_list.h
@@ -31,6 +31,7 @@
 
 namespace burlfall::start {
 
+// A node as saved; zone, cell and kind are indices into the settings.
 struct SavedNode {
   std::string name;
   std::string address;
@@ -44,8 +45,8 @@
 struct SavedList {
   std::string site;
   uint64_t version = 0;
-  Micros heard_at = 0;  // Unix time at which the list service last confirmed the list
-  uint64_t number = 0;  // sequence number of the balancer's writes
+  Micros confirmed_at = 0;  // Unix time at which the list service last confirmed the list
+  uint64_t number = 0;      // sequence number of the balancer's writes
   std::vector<SavedNode> nodes;
   bool operator==(const SavedList&) const = default;
 };
@@ -60,13 +61,15 @@
 // indices the lists use.
 std::string SiteOf(std::string_view name, const meadowslip::Settings& settings);
 
+// Path and content of a saved file.
 struct SavedFile {
   std::string path;
   std::string text;
 };
+// Result of ChooseSavedList().
 struct SavedChoice {
   std::optional<SavedList> list;
-  Micros age = 0;
+  Micros age = 0;            // of the chosen list, from its confirmation
   uint64_t last_number = 0;  // highest number of all readable files, used or not
   std::vector<std::pair<std::string, std::string>> refused;  // path and reason
 };
@@ -80,16 +83,19 @@
   SavedListSchedule(Micros write_every, Micros oldest)
       : write_every_(write_every), refresh_every_(oldest / 20) {}
 
-  // the number that the start found; later writes continue from it
+  // Sets the number of the newest file that the start found; later writes continue from it.
   void SetNumber(uint64_t number) { number_ = number; }
+  // The list service has confirmed the list; `changed`: with changes since the last call.
   void OnConfirmed(bool changed) {
     confirmed_ = true;
     changed_ = changed_ || changed;
   }
   bool changed() const { return changed_; }
+  // Whether a write is due.
   bool Due(Micros now) const;
   uint64_t NextNumber() const { return number_ + 1; }
   int NextFile() const { return static_cast<int>(NextNumber() % 2); }
+  // A write was attempted; `done`: it succeeded.
   void OnWritten(Micros now, bool done);
 
  private:
--- a/tests/start/saved_list_test.cpp
+++ b/tests/start/saved_list_test.cpp
@@ -13,7 +13,7 @@
   SavedList list;
   list.site = "north";
   list.version = 41;
-  list.heard_at = kWall - 5 * kSecond;
+  list.confirmed_at = kWall - 5 * kSecond;
   list.number = number;
   list.nodes = {{"s-1", "10.1.0.18:9000", meadowslip::BackendState::kReady, 0, 3, 1, 0, 1.25},
                 {"odd name %", "[::1]:9001", meadowslip::BackendState::kDraining, 1, 0, 0, kWall, 0.1}};
--- a/tests/start/start_test.cpp
+++ b/tests/start/start_test.cpp
@@ -89,9 +89,9 @@
   list.site = "another";
   refused(start::WriteSavedList(list), "it is of another site");
   list = *start::ReadSavedList(good, why);
-  list.heard_at -= 2 * 3600 * kSecond;
+  list.confirmed_at -= 2 * 3600 * kSecond;
   refused(start::WriteSavedList(list), "too old");
-  list.heard_at += 365 * 86400 * kSecond;
+  list.confirmed_at += 365 * 86400 * kSecond;
   refused(start::WriteSavedList(list), "from the future");
 }
 
