--- a/src/membership/discovery.cpp
+++ b/src/membership/discovery.cpp
@@ -11,41 +11,42 @@
 namespace burlfall {
 namespace {
 
-constexpr Micros kConnectPatience = 1500 * kMs;
-constexpr Micros kLeastPause = 150 * kMs;  // a watch goes on if the next call comes within 200 ms
-constexpr Micros kStoodInLine = 500 * kMs;
-// Lists may come indented, and name thousands of nodes; what is larger is no list.
-constexpr size_t kLargestList = 2 << 20;
-constexpr Micros kPacedLate = 1500 * kMs;     // after the wait of a paced watch
-constexpr double kLongestRetryAfter = 86400;  // s
-
-// Seconds, whole or decimal; 0: none that can be read. A date says nothing that our clock could be trusted
-// with.
+constexpr Micros kConnectTimeout = 1500 * kMs;
+constexpr Micros kMinPause = 150 * kMs;  // a watch continues if the next call comes within 200 ms
+constexpr Micros kMinQueueTime = 500 * kMs;
+// Lists may be indented and name thousands of nodes. A larger answer is rejected.
+constexpr size_t kMaxListBytes = 2 << 20;
+constexpr Micros kPacedTimeoutMargin = 1500 * kMs;  // after the wait that a paced watch requested
+constexpr double kMaxRetryAfterSeconds = 86400;     // s
+
+// Seconds, integer or decimal; 0 if the header is missing or unreadable. Dates are ignored, because the
+// local clock may not match the service's.
 Micros RetryAfter(const HttpMessage& answer) {
   const std::string* text = answer.Find(platform::kRetryAfter);
   if (text == nullptr) return 0;
-  return static_cast<Micros>(std::min(PositiveSeconds(*text), kLongestRetryAfter) *
+  return static_cast<Micros>(std::min(PositiveSeconds(*text), kMaxRetryAfterSeconds) *
                              static_cast<double>(kSecond));
 }
 
 }  // namespace
 
-Discovery::Discovery(Machine& machine, const Config& config, Counters& counters, Told told,
-                     start::Asking* pace)
+Discovery::Discovery(Machine& machine, const Config& config, Counters& counters, OnUpdate on_update,
+                     start::CallPacer* pacer)
     : scheduler_(machine.scheduler()),
       network_(machine.network()),
       machine_(machine),
       config_(config),
       counters_(counters),
-      told_(std::move(told)),
-      pace_(pace),
+      on_update_(std::move(on_update)),
+      pacer_(pacer),
       clock_({!config.settings.must_subscribe, config.settings.must_ask_within, config.settings.drain_grace}),
-      asked_(scheduler_) {}
+      follow_requested_(scheduler_) {}
 
-// Where lists are pushed nobody asks to follow, and what the service has counts from the first moment on.
-void Discovery::Start(std::optional<uint64_t> has) {
+// With pushed lists nobody calls Follow(), and whatever the service has counts as delivered from the first
+// moment.
+void Discovery::Start(std::optional<uint64_t> known_version) {
   started_ = true;
-  has_ = has;
+  known_version_ = known_version;
   if (!config_.settings.must_subscribe) following_ = true;
   watch_ = Watch();
   watch_.Start();
@@ -54,120 +55,127 @@
 void Discovery::Follow() {
   if (following_) return;
   following_ = true;
-  asked_.Notify();
+  follow_requested_.Notify();
 }
 
-// Ends the call at hand, which may wait for long yet. Guards the drain rule: word of a drain comes from the
-// new place alone, and the module believes that it is told of all, so it would not ask. All balancers may be
-// told of the new place in one moment, so where calls are paced this one goes in its turn there. Before the
-// start there is nobody yet who could take a list: that goes to where the configuration says by then.
-void Discovery::Again() {
+// Abandons the current call, which may still wait for long, and calls the new address. Guards the drain
+// rule: a drain is announced by the new service only, and the module, which assumes that it receives all
+// changes, would not ask. All balancers may get the new address at the same moment, so a paced call waits
+// for its turn. Before Start() nothing is to be done: the first call uses the address that the configuration
+// names then.
+void Discovery::Reconnect() {
   if (!started_) return;
   watch_ = Task<>();
   link_.reset();
   following_ = true;
-  clock_.Anew(scheduler_.Now());
-  if (pace_ != nullptr) pace_->BeginAnew(scheduler_.Now(), machine_.Draw());
-  Start({});  // another service may count its versions otherwise
+  clock_.Reset(scheduler_.Now());
+  if (pacer_ != nullptr) pacer_->Restart(scheduler_.Now(), machine_.Draw());
+  Start({});  // another service may number its versions differently
 }
 
-// Who has no list to send by can break no rule.
-bool Discovery::Bound() const { return pace_ == nullptr || pace_->phase() != start::StartPhase::kWithout; }
+// Whether the rule on asking applies: a balancer without a list cannot break it.
+bool Discovery::ClockApplies() const {
+  return pacer_ == nullptr || pacer_->phase() != start::StartPhase::kNoList;
+}
 
-// Where calls are paced: after one that failed no later than the clock says.
-Micros Discovery::TurnAt() const {
-  return Bound() ? std::min(pace_->next_at(), clock_.ask_at()) : pace_->next_at();
+// Earliest time of the next paced call; after a failed call no later than the list clock says.
+Micros Discovery::NextPacedCallAt() const {
+  return ClockApplies() ? std::min(pacer_->next_at(), clock_.next_call_at()) : pacer_->next_at();
 }
 
-// Until somebody asks, or the clock does; and where calls are paced, until there is a turn.
-Task<> Discovery::AwaitTurn() {
-  while (!following_ && scheduler_.Now() < clock_.ask_at()) co_await asked_.Wait(clock_.ask_at());
+// Waits until Follow() is called or the list clock is due and, with pacing, until the pacer allows a call.
+Task<> Discovery::WaitForNextCall() {
+  while (!following_ && scheduler_.Now() < clock_.next_call_at())
+    co_await follow_requested_.Wait(clock_.next_call_at());
   following_ = true;
-  while (pace_ != nullptr && scheduler_.Now() < TurnAt()) co_await asked_.Wait(TurnAt());
+  while (pacer_ != nullptr && scheduler_.Now() < NextPacedCallAt())
+    co_await follow_requested_.Wait(NextPacedCallAt());
 }
 
-// A watch begins with the version that the group has: the service then tells what has changed since, and has
-// one call in its line where the whole list first and a watch after it are two. What is told between these
-// two would count as told, with no call open that could take it.
+// A watch starts from the version that the group has. The service then reports the changes since that
+// version, and one call waits in its queue instead of two (full list, then watch). Between such two calls no
+// call would be open to receive a change, but the change would count as delivered.
 Task<> Discovery::Watch() {
-  bool opens = true;
+  bool opens_watch = true;
   while (true) {
-    co_await AwaitTurn();
-    const Micros wait = pace_ != nullptr ? pace_->watch_wait() : clock_.wait();
+    co_await WaitForNextCall();
+    const Micros wait = pacer_ != nullptr ? pacer_->watch_wait() : clock_.wait();
     const Micros called_at = scheduler_.Now();
-    const bool watch = has_.has_value();
+    const bool watch = known_version_.has_value();
     std::string path = platform::kHostsPath;
-    if (watch) path += "?index=" + std::to_string(*has_) + "&wait=" + std::to_string(wait / kMs);
-    if (pace_ != nullptr) pace_->Called(called_at, watch);
+    if (watch) path += "?index=" + std::to_string(*known_version_) + "&wait=" + std::to_string(wait / kMs);
+    if (pacer_ != nullptr) pacer_->Called(called_at, watch);
     clock_.Called(called_at, watch);
     ++counters_.list_calls;
-    const Micros patience = pace_ != nullptr && watch ? wait + kPacedLate
-                            : Bound()                 ? clock_.patience(watch, opens)
-                                                      : pace_->patience();
-    Answer answer = co_await Ask(std::move(path), patience);
+    const Micros timeout = pacer_ != nullptr && watch ? wait + kPacedTimeoutMargin
+                           : ClockApplies()           ? clock_.timeout(watch, opens_watch)
+                                                      : pacer_->call_timeout();
+    Answer answer = co_await Call(std::move(path), timeout);
     if (!answer.list) {
-      opens = true;
+      opens_watch = true;
       link_.reset();
-      following_ = false;  // before anyone hears of it, who may ask again at once
-      // What broke off, or says what is no list, may be a service that was begun anew: its whole list then.
-      if (pace_ != nullptr || answer.how == ListCallEnd::kDown) has_.reset();
-      Settle(answer, called_at, false);
-      told_(nullptr, answer.why);
+      following_ = false;  // set before the callback, which may call Follow() again at once
+      // After a broken connection or an invalid answer the service may have restarted, so its full list is
+      // fetched.
+      if (pacer_ != nullptr || answer.how == ListCallOutcome::kDown) known_version_.reset();
+      RecordOutcome(answer, called_at, false);
+      on_update_(nullptr, answer.why);
       continue;
     }
     const HostList& list = *answer.list;
-    const bool news = !watch || *has_ != list.version;
-    opens = !watch;
-    Settle(answer, called_at, news);
-    // A service that counts from further back has lost its way: its changes are no changes of what is known.
-    const bool backwards = watch && !list.full && list.version < *has_;
-    has_ = list.version;
-    if (backwards) has_.reset();
-    if (!backwards) told_(&list, answer.why);
-    // Guards discovery, which is shared and slow, against a watch that is answered at once with no news, or
-    // each time with what is older than its whole list.
-    const Micros pause_ends = called_at + kLeastPause;
-    while ((!news || backwards) && scheduler_.Now() < pause_ends) co_await asked_.Wait(pause_ends);
+    const bool changed = !watch || *known_version_ != list.version;
+    opens_watch = !watch;
+    RecordOutcome(answer, called_at, changed);
+    // A lower version means that the service lost its state: its changes do not apply to the known list.
+    const bool version_decreased = watch && !list.full && list.version < *known_version_;
+    known_version_ = list.version;
+    if (version_decreased) known_version_.reset();
+    if (!version_decreased) on_update_(&list, answer.why);
+    // Limits the load on discovery, which is shared and slow, when watches are answered at once without
+    // changes, or always with changes older than its full list.
+    const Micros pause_ends = called_at + kMinPause;
+    while ((!changed || version_decreased) && scheduler_.Now() < pause_ends)
+      co_await follow_requested_.Wait(pause_ends);
   }
 }
 
-// What keeps time hears of each call's end before anybody else.
-void Discovery::Settle(const Answer& answer, Micros called_at, bool news) {
+// Reports the end of a call to the clock and the pacer, before any callback.
+void Discovery::RecordOutcome(const Answer& answer, Micros called_at, bool changed) {
   const Micros now = scheduler_.Now();
   clock_.Ended(now, answer.how, answer.retry_after, machine_.Draw());
-  if (pace_ == nullptr) return;
-  start::CallEnd how = start::CallEnd::kDown;
-  if (answer.list) how = news ? start::CallEnd::kNews : start::CallEnd::kNothing;
-  if (answer.how == ListCallEnd::kSilent) how = start::CallEnd::kNoAnswer;
-  // A refusal after a while in line is for the line, and not for what is broken.
-  if (answer.how == ListCallEnd::kBusy && (answer.waited || answer.retry_after > 0))
-    how = start::CallEnd::kBusy;
-  pace_->Ended(now, how, now - called_at, answer.retry_after, machine_.Draw());
+  if (pacer_ == nullptr) return;
+  start::CallOutcome how = start::CallOutcome::kDown;
+  if (answer.list) how = changed ? start::CallOutcome::kChanged : start::CallOutcome::kUnchanged;
+  if (answer.how == ListCallOutcome::kSilent) how = start::CallOutcome::kNoAnswer;
+  // A call that was rejected after waiting in the queue indicates overload, not a broken service.
+  if (answer.how == ListCallOutcome::kBusy && (answer.was_queued || answer.retry_after > 0))
+    how = start::CallOutcome::kBusy;
+  pacer_->Ended(now, how, now - called_at, answer.retry_after, machine_.Draw());
 }
 
-// One call.
-Task<Discovery::Answer> Discovery::Ask(std::string path, Micros patience) {
-  const Micros called_at = scheduler_.Now(), until = called_at + patience;
+// Performs one call.
+Task<Discovery::Answer> Discovery::Call(std::string path, Micros timeout) {
+  const Micros called_at = scheduler_.Now(), until = called_at + timeout;
   Answer answer;
   if (!link_ || !link_->Quiet()) {
     link_.reset();
     answer.why = "no connection";
-    NoConnection ours;
-    link_ = network_.Connect(config_.discovery, ours);
+    NoConnection no_connection;
+    link_ = network_.Connect(config_.discovery, no_connection);
     if (!link_) co_return answer;
-    // Guards the drain rule where this process stood still: queries that came meanwhile wait in the same line
-    // as the word that was told before them.
+    // Guards the drain rule after this process was suspended: queries that arrived meanwhile are in the same
+    // event queue as an earlier announcement of a drain, which must be processed first.
     link_->GoFirst();
-    const Micros up_by = std::min(until, scheduler_.Now() + kConnectPatience);
-    bool connected = co_await Connected(*link_, up_by);
-    if (!connected && scheduler_.Now() >= up_by) answer.how = ListCallEnd::kSilent;
+    const Micros connect_by = std::min(until, scheduler_.Now() + kConnectTimeout);
+    bool connected = co_await Connected(*link_, connect_by);
+    if (!connected && scheduler_.Now() >= connect_by) answer.how = ListCallOutcome::kSilent;
     if (!connected) co_return answer;
   }
-  std::string call = "GET " + path + " HTTP/1.1\r\nHost: " + config_.discovery.text + "\r\n\r\n";
+  std::string request = "GET " + path + " HTTP/1.1\r\nHost: " + config_.discovery.text + "\r\n\r\n";
   answer.why = "the connection broke";
-  bool written = co_await WriteAll(*link_, call, until);
+  bool written = co_await WriteAll(*link_, request, until);
   if (!written) co_return answer;
-  HttpParser parser(HttpParser::Kind::kResponse, kLargestList, kLargestList);
+  HttpParser parser(HttpParser::Kind::kResponse, kMaxListBytes, kMaxListBytes);
   std::string in;
   Parsed parsed = Parsed::kMore;
   while (parsed == Parsed::kMore) {
@@ -178,7 +186,7 @@
       bool notified = co_await link_->Wait(until);
       if (!notified) {
         answer.why = "no answer in time";
-        answer.how = ListCallEnd::kSilent;
+        answer.how = ListCallOutcome::kSilent;
         co_return answer;
       }
     } else {
@@ -193,14 +201,14 @@
   answer.why = "status " + std::to_string(message.status);
   if (message.status != 200) {
     answer.retry_after = RetryAfter(message);
-    answer.waited = scheduler_.Now() - called_at >= kStoodInLine;
-    if (message.status == 503 || message.status == 429) answer.how = ListCallEnd::kBusy;
+    answer.was_queued = scheduler_.Now() - called_at >= kMinQueueTime;
+    if (message.status == 503 || message.status == 429) answer.how = ListCallOutcome::kBusy;
     co_return answer;
   }
   try {
     answer.list = ParseHostList(message.body, config_.settings);
-    answer.how = ListCallEnd::kHeard;
-  } catch (const BadConfig& e) {  // an answer that can't be read is a call that failed
+    answer.how = ListCallOutcome::kAnswered;
+  } catch (const BadConfig& e) {  // an unreadable answer counts as a failed call
     answer.why = e.what();
   }
   co_return answer;
--- a/src/membership/discovery.h
+++ b/src/membership/discovery.h
@@ -1,5 +1,5 @@
-// The platform's discovery as a source: a watch on what changes, from the version that the group has, or from
-// the whole list where it has none.
+// The platform's discovery service as a source of lists. Watches for changes since the version that the host
+// group has, or fetches the full list if it has none.
 #ifndef BURLFALL_MEMBERSHIP_DISCOVERY_H_
 #define BURLFALL_MEMBERSHIP_DISCOVERY_H_
 
@@ -12,47 +12,46 @@
 #include "membership/list_clock.h"
 #include "membership/source.h"
 #include "observe/counters.h"
-#include "start/asking.h"
+#include "start/call_pacer.h"
 
 namespace burlfall {
 
 class Discovery final : public Source {
  public:
-  // `pace` says when calls may go out, where there is one, and outlives this; nullptr: whenever they are
-  // asked for.
-  Discovery(Machine& machine, const Config& config, Counters& counters, Told told,
-            start::Asking* pace = nullptr);
-  void Start(std::optional<uint64_t> has) override;
+  // `pacer` limits when calls are sent and must outlive this object; nullptr: calls are sent on demand.
+  Discovery(Machine& machine, const Config& config, Counters& counters, OnUpdate on_update,
+            start::CallPacer* pacer = nullptr);
+  void Start(std::optional<uint64_t> known_version) override;
   void Follow() override;
-  void Again() override;
+  void Reconnect() override;
 
  private:
-  // What became of one call.
+  // Result of one call.
   struct Answer {
-    std::optional<HostList> list = {};  // nothing where it failed, in whatever way
-    std::string why = {};               // then: in plain words
-    ListCallEnd how = ListCallEnd::kDown;
-    Micros retry_after = 0;  // that the service asked for; 0: nothing
-    bool waited = false;     // in line, as far as the time that it took tells
+    std::optional<HostList> list = {};  // nullopt if the call failed in any way
+    std::string why = {};               // the reason of a failure, for the log
+    ListCallOutcome how = ListCallOutcome::kDown;
+    Micros retry_after = 0;   // requested by the service; 0: none
+    bool was_queued = false;  // the call was queued at the service, judging by its duration
   };
   Task<> Watch();
-  bool Bound() const;
-  Micros TurnAt() const;
-  Task<> AwaitTurn();
-  void Settle(const Answer& answer, Micros called_at, bool news);
-  Task<Answer> Ask(std::string path, Micros patience);
+  bool ClockApplies() const;
+  Micros NextPacedCallAt() const;
+  Task<> WaitForNextCall();
+  void RecordOutcome(const Answer& answer, Micros called_at, bool changed);
+  Task<Answer> Call(std::string path, Micros timeout);
 
   Scheduler& scheduler_;
   Network& network_;
   Machine& machine_;
   const Config& config_;
   Counters& counters_;
-  Told told_;
-  start::Asking* const pace_;
+  OnUpdate on_update_;
+  start::CallPacer* const pacer_;
   ListClock clock_;
   std::unique_ptr<Stream> link_;
-  Event asked_;
-  std::optional<uint64_t> has_;  // the version of the list that changes go on from; nothing: none
+  Event follow_requested_;
+  std::optional<uint64_t> known_version_;  // version on which further changes are based; nullopt: none
   bool started_ = false;
   bool following_ = false;
   Task<> watch_;  // last: what it uses must outlive it
--- a/src/serve/program.cpp
+++ b/src/serve/program.cpp
@@ -58,9 +58,9 @@
   return std::min(LongestDeadline(settings), kMaxAnswerWait) + kKillDelay - kKillMargin;
 }
 
-start::AskRules ListPacingRules(const StartSettings& start, const Config& config) {
+start::PacerRules ListPacingRules(const StartSettings& start, const Config& config) {
   const meadowslip::Settings& settings = config.settings;
-  start::AskRules rules;
+  start::PacerRules rules;
   rules.must_ask_within = settings.must_ask_within;
   rules.balancers = start.balancers > 0 ? start.balancers : settings.nodes;
   rules.calls_per_s = start.list_service.calls_per_s;
@@ -108,7 +108,7 @@
                      static_cast<Operations&>(*this));
   if (config_.passed >= 0 && !config_.folder.empty()) {
     handover_.emplace(machine_, PathFor(config_, config_.folder, ".sock"), config_.name,
-                      static_cast<Heritage&>(*this), log_);
+                      static_cast<HandoverHandler&>(*this), log_);
   }
   UpdateDescriptorLimits();
   budget_.Add(front_);
@@ -149,7 +149,7 @@
     facts.zone = zone;
     return facts;
   };
-  setup.on_list_behind = [this] { discovery_.Again(); };
+  setup.on_list_behind = [this] { discovery_.Reconnect(); };
   member_.emplace(machine_, cluster, std::move(setup), log_, counters_);
   member_->Start();
 }
@@ -200,7 +200,7 @@
   return facts;
 }
 
-start::Asking* Program::CreateListPacing(const std::optional<StartSettings>& start) {
+start::CallPacer* Program::CreateListPacing(const std::optional<StartSettings>& start) {
   if (!start) return nullptr;
   if (!start_.saved_list.folder.empty()) {
     list_saver_.emplace(static_cast<Micros>(start_.saved_list.write_every_s * static_cast<double>(kSecond)),
@@ -217,7 +217,7 @@
   if (!list_pacing_) return {};
   return [this](Micros timeout) -> std::optional<Micros> {
     if (hosts_.Ready() > 0) return std::nullopt;
-    return list_pacing_->Refuses(machine_.Now(), timeout, machine_.Draw());
+    return list_pacing_->RetryDelay(machine_.Now(), timeout, machine_.Draw());
   };
 }
 
@@ -244,7 +244,7 @@
 }
 
 Task<> Program::RunStart() {
-  std::optional<Estate> estate;
+  std::optional<HandoverState> estate;
   if (handover_) estate = co_await handover_->Claim();
   if (estate && shutdown_requested_at_) {
     // The predecessor keeps the listener. Otherwise both processes would end, although only this one was
@@ -264,7 +264,7 @@
   // has a list.
   const bool has_list = !list_pacing_ && !discovery_changed_ && hosts_.Ready() > 0;
   discovery_.Start(has_list ? std::optional<uint64_t>(hosts_.version()) : std::nullopt);
-  dispatcher_.OnList(hosts_.AsItStands());
+  dispatcher_.OnList(hosts_.Snapshot());
   // The decision module's inherited state may assume that discovery is already being followed.
   if (estate) discovery_.Follow();
   phase_ = Phase::kServing;
@@ -274,9 +274,9 @@
   phases_task_ = RunPhases();
   phases_task_.Start();
   front_.Open();
-  if (estate && estate->aside) {
+  if (estate && estate->drained_manually) {
     SetManualDrain(true);
-    manual_drain_since_ = estate->aside_since;
+    manual_drain_since_ = estate->drained_since;
   }
   if (handover_) handover_->Serve();
   Join();
@@ -292,7 +292,7 @@
 
 // Starts without a predecessor: from the saved list, or else from the list in the configuration.
 void Program::StartFresh() {
-  if (!ApplySavedList()) hosts_.Take(config_.known, machine_.Now());
+  if (!ApplySavedList()) hosts_.ApplyList(config_.known, machine_.Now());
   list_log_.emplace(machine_.scheduler(), hosts_, log_);
   LoadOutFile();
 }
@@ -305,12 +305,12 @@
   if (list != nullptr) {
     const bool changed = list->version != hosts_.version() || (list->full && list_received_at_ == 0);
     list_received_at_ = machine_.WallClock();
-    if (list_saver_) list_saver_->Heard(changed);
-    update = hosts_.Take(*list, machine_.Now());
+    if (list_saver_) list_saver_->OnConfirmed(changed);
+    update = hosts_.ApplyList(*list, machine_.Now());
     upstream_.CloseStaleIdle();
-    list_log_->Heard();
+    list_log_->OnListApplied();
   } else {
-    list_log_->Failed(why);
+    list_log_->OnFailure(why);
   }
   dispatcher_.OnList(update);
   LogStartPhase();
@@ -339,7 +339,7 @@
   if (phase_ == Phase::kStarting) {
     discovery_changed_ = true;
   } else {
-    discovery_.Again();
+    discovery_.Reconnect();
   }
   return same;
 }
@@ -402,7 +402,7 @@
     const bool wait_expired =
         shutdown_requested_at_ && machine_.Now() >= *shutdown_requested_at_ + DrainTime(config_.settings);
     const bool all_passed = front_.open() == 0;
-    if ((all_passed && handover_->HeirHoldsAll()) ||
+    if ((all_passed && handover_->SuccessorHasAllLinks()) ||
         (wait_expired && (all_passed || !successor_accepts_links_))) {
       phase_ = Phase::kClosing;
       break;
@@ -433,7 +433,7 @@
   while (true) {
     co_await sweep_timer_.Wait(machine_.Now() + kSweepInterval);
     upstream_.CloseStaleIdle();
-    list_log_->Tell();
+    list_log_->LogChanges();
     LogDescriptorUse();
     RetrySaveOutFile();
     SaveList();
@@ -447,7 +447,7 @@
 void Program::UpdateListServiceShare() {
   if (!list_pacing_ || !member_ || start_.balancers > 0) return;
   const size_t known = member_->detector().MaxAliveWithin(machine_.Now(), kMemberCountWindow);
-  list_pacing_->SharedBy(std::max<double>(config_.settings.nodes, static_cast<double>(known)));
+  list_pacing_->SetBalancers(std::max<double>(config_.settings.nodes, static_cast<double>(known)));
 }
 
 // Logs only the two transitions. Their thresholds are far apart, so that a budget that is nearly used up
--- a/src/serve/program.h
+++ b/src/serve/program.h
@@ -15,7 +15,7 @@
 #include "config/platform_config.h"
 #include "config/properties.h"
 #include "config/start_settings.h"
-#include "control/control_front.h"
+#include "control/control_server.h"
 #include "control/operations.h"
 #include "council/coordinator_member.h"
 #include "dispatch/dispatcher.h"
@@ -33,9 +33,9 @@
 #include "observe/counters.h"
 #include "observe/figures.h"
 #include "observe/log.h"
-#include "start/asking.h"
+#include "start/call_pacer.h"
 #include "start/saved_list.h"
-#include "start/start_book.h"
+#include "start/start_history.h"
 #include "upstream/http_upstream.h"
 
 namespace burlfall {
@@ -53,7 +53,7 @@
 
 // One balancer process, from its start to its shutdown or hand-over.
 
-class Program final : private Operations, private Heritage {
+class Program final : private Operations, private HandoverHandler {
  public:
   // Binds the addresses; throws std::system_error if that fails. `log` and `counters` must outlive the
   // program. The optional settings switch features on:
@@ -68,8 +68,8 @@
   void Drain();  // begins the orderly shutdown; the scheduler stops once it is complete
   // Requests the permission for a reload (SIGHUP). A refusal is logged. If granted, call EndReload()
   // after the reload.
-  Task<Leave> RequestReload();
-  Task<> EndReload(Leave leave) { return Ended(std::move(leave)); }
+  Task<ChangePermission> RequestReload();
+  Task<> EndReload(ChangePermission leave) { return ReleasePermission(std::move(leave)); }
   // Applies a configuration that was read again: the address of discovery and the descriptor limit. The
   // other settings apply from the next start; returns false if they differ.
   bool Reload(Config config);
@@ -85,30 +85,31 @@
   bool Serving() const override { return phase_ == Phase::kServing || phase_ == Phase::kDrainedManually; }
   Verdict TakeOut(std::string_view server) override;
   Verdict PutBack(std::string_view server) override;
-  Verdict StandAside() override;
-  Verdict ComeBack() override;
-  Task<Leave> MayBegin(ChangeCall call) override;
-  Task<> Ended(Leave leave) override;
+  Verdict StartManualDrain() override;
+  Verdict StopManualDrain() override;
+  Task<ChangePermission> RequestPermission(ChangeCall call) override;
+  Task<> ReleasePermission(ChangePermission leave) override;
 
   // Heritage: messages from the other process of a hand-over.
-  std::optional<Estate> GiveUpDoor(std::string& why) override;
-  void KeepDoor() override;
-  void HandOn() override;
-  void HeirTold() override;
-  void TakeBack() override;
-  void LastOwner() override;
-  void TakeLink(std::unique_ptr<Stream> stream, PassedLink link) override;
-  void OtherUses(const Use& use) override;
-  void OtherTookOut(const NodeCall& call) override;
-  void OtherPutBack(const NodeCall& call) override;
-  void OtherDrains(bool drains) override;
+  std::optional<HandoverState> ReleaseListener(std::string& why) override;
+  void KeepListener() override;
+  void OnSuccessorServing() override;
+  void OnLinksConfirmed() override;
+  void OnSuccessorLost() override;
+  void OnSuccessorExited() override;
+  void ReceiveLink(std::unique_ptr<Stream> stream, PassedLink link) override;
+  void OnPeerUse(const ResourceUse& use) override;
+  void OnPeerTookOut(const NodeChange& call) override;
+  void OnPeerPutBack(const NodeChange& call) override;
+  void OnPeerDrain(bool drains) override;
 
   // Requests a change lease from the coordinator group.
-  Task<Leave> RequestChange(freeze::ChangeKind kind, freeze::Scope scope, std::string by, std::string reason);
+  Task<ChangePermission> RequestChange(freeze::ChangeKind kind, freeze::Scope scope, std::string by,
+                                       std::string reason);
   Task<> RunStart();
   void StartFresh();  // without a predecessor
   std::function<std::optional<Micros>(Micros)> CreateReadinessGate();
-  start::Asking* CreateListPacing(const std::optional<StartSettings>& start);
+  start::CallPacer* CreateListPacing(const std::optional<StartSettings>& start);
   std::string SavedPath(const char* suffix) const;  // in the folder of the saved list
   std::string SavedListPath(int file) const;
   start::SavedChoice ReadSavedLists();
@@ -121,7 +122,7 @@
   void Join();
   cluster::Facts CurrentFacts() const;
   std::vector<CoordinatorMember::Setup::Observation> CurrentObservations() const;
-  bool TakeOver(const Estate& estate);
+  bool TakeOver(const HandoverState& estate);
   void SetManualDrain(bool drained);
   void SendUse();
   Task<> RunDraining();
@@ -146,8 +147,8 @@
   RateLimiter rate_limiter_;
   LinkBudget budget_;
   const StartSettings start_;
-  std::optional<start::Asking> list_pacing_;
-  std::optional<start::ListKeeper> list_saver_;
+  std::optional<start::CallPacer> list_pacing_;
+  std::optional<start::SavedListSchedule> list_saver_;
   Micros list_received_at_ = 0;  // wall clock; when the list service last answered; 0: not yet
   HostGroup hosts_;
   std::optional<ListLog> list_log_;  // set once the initial list is applied
@@ -160,7 +161,7 @@
   std::unique_ptr<CoordinatorMember> council_;
   // Shut down; retained because a call may still wait in one.
   std::vector<std::unique_ptr<CoordinatorMember>> retired_councils_;
-  std::optional<ControlFront> control_;
+  std::optional<ControlServer> control_;
   std::optional<Handover> handover_;
   const std::optional<ClusterSettings> cluster_;
   std::optional<ClusterMember> member_;
@@ -171,10 +172,10 @@
   bool discovery_changed_ = false;  // discovery's address was read again before the start was complete
   Micros all_answered_at_ = 0;      // while closing: when the last open query was answered
   Micros manual_drain_since_ = 0;
-  Use other_use_;  // resources of the other process during a hand-over
+  ResourceUse other_use_;  // resources of the other process during a hand-over
   bool descriptors_tight_ = false;
   Micros start_began_at_ = 0;
-  start::StartPhase logged_phase_ = start::StartPhase::kWithout;
+  start::StartPhase logged_phase_ = start::StartPhase::kNoList;
   bool list_file_error_logged_ = false;  // since the last successful write
   bool out_file_current_ = true;         // the file agrees with the nodes that are out of service
   Event phase_event_;
--- a/src/serve/program_handover.cpp
+++ b/src/serve/program_handover.cpp
@@ -15,20 +15,20 @@
 }  // namespace
 
 // Continues from the predecessor's state. Returns false if none of it can be used.
-bool Program::TakeOver(const Estate& estate) {
-  if (!hosts_.TakeOver(estate.hosts, estate.list)) {
+bool Program::TakeOver(const HandoverState& estate) {
+  if (!hosts_.Restore(estate.hosts, estate.list)) {
     log_.Tell<"handover_refused">("nodes that can't be");
     return false;
   }
   if (list_saver_) ReadSavedLists();
   list_log_.emplace(machine_.scheduler(), hosts_, log_);
-  log_.Tell<"taken_over">(estate.hosts.size(), hosts_.Out().size(), estate.carried.queries.size());
+  log_.Tell<"taken_over">(estate.hosts.size(), hosts_.Out().size(), estate.dispatcher.queries.size());
   std::string why;
   if (estate.settings != config_.settings_json) {
     why = "other settings";
-  } else if (std::abs(machine_.Now() - estate.carried.saved_at) > kMaxClockDifference) {
+  } else if (std::abs(machine_.Now() - estate.dispatcher.saved_at) > kMaxClockDifference) {
     why = "a clock that differs";
-  } else if (!dispatcher_.ImportState(estate.carried)) {
+  } else if (!dispatcher_.ImportState(estate.dispatcher)) {
     why = "a state of another format";
   }
   if (!why.empty()) log_.Tell<"state_refused">(why);
@@ -39,8 +39,8 @@
   return true;
 }
 
-std::optional<Estate> Program::GiveUpDoor(std::string& why) {
-  std::optional<Estate> estate;
+std::optional<HandoverState> Program::ReleaseListener(std::string& why) {
+  std::optional<HandoverState> estate;
   if (!Serving() && phase_ != Phase::kDraining) {
     why = "a claim to a process that does not serve";
     return estate;
@@ -48,20 +48,20 @@
   front_.StopAccepting();
   estate.emplace();
   estate->settings = config_.settings_json;
-  estate->aside = phase_ == Phase::kDrainedManually;
-  estate->aside_since = manual_drain_since_;
+  estate->drained_manually = phase_ == Phase::kDrainedManually;
+  estate->drained_since = manual_drain_since_;
   estate->list = hosts_.version();
   estate->hosts = hosts_.Records();
-  estate->carried = dispatcher_.ExportState();
+  estate->dispatcher = dispatcher_.ExportState();
   return estate;
 }
 
-void Program::KeepDoor() {
+void Program::KeepListener() {
   if (!Serving() && phase_ != Phase::kDraining) return;
   if (front_.StartAccepting()) log_.Tell<"door_kept">();  // KeepDoor() may be called twice for one successor
 }
 
-void Program::HandOn() {
+void Program::OnSuccessorServing() {
   // A process that is closing continues to close, and so can't take back a listener that it no longer has.
   if (phase_ != Phase::kClosing) {
     phase_before_handover_ = phase_;
@@ -74,7 +74,7 @@
     council_->ShutDown();
     retired_councils_.push_back(std::move(council_));
   }
-  hosts_.LeaveCold(true, machine_.Now());
+  hosts_.ExcludeCold(true, machine_.Now());
   OnHostsChanged();
   upstream_.CloseAllIdle();
   SendUse();
@@ -86,33 +86,33 @@
   phase_event_.Notify();
 }
 
-void Program::HeirTold() { phase_event_.Notify(); }
+void Program::OnLinksConfirmed() { phase_event_.Notify(); }
 
-void Program::TakeBack() {
+void Program::OnSuccessorLost() {
   if (phase_ != Phase::kHandedOver) return;
   log_.Tell<"taken_back">(handover_->links_lost());
   phase_ = phase_before_handover_;
   front_.HandOverLinks(nullptr);
   front_.StartAccepting();
   Join();
-  hosts_.LeaveCold(false, machine_.Now());
+  hosts_.ExcludeCold(false, machine_.Now());
   OnHostsChanged();
   if (shutdown_requested_at_) Drain();
   phase_event_.Notify();
 }
 
-void Program::LastOwner() {
+void Program::OnSuccessorExited() {
   if (phase_ != Phase::kHandedOver) return;
   phase_ = Phase::kClosing;
   front_.HandOverLinks(nullptr);
   phase_event_.Notify();
 }
 
-void Program::TakeLink(std::unique_ptr<Stream> stream, PassedLink link) {
-  front_.AdoptLink(std::move(stream), {link.asked, link.began, std::move(link.read)});
+void Program::ReceiveLink(std::unique_ptr<Stream> stream, PassedLink link) {
+  front_.AdoptLink(std::move(stream), {link.has_queried, link.query_began, std::move(link.read)});
 }
 
-void Program::OtherUses(const Use& use) {
+void Program::OnPeerUse(const ResourceUse& use) {
   const bool first = other_use_.descriptors == 0 && use.descriptors > 0;
   other_use_ = use;
   UpdateDescriptorLimits();
@@ -122,25 +122,25 @@
 }
 
 void Program::SendUse() {
-  handover_->TellUse({budget_.open() + LinkBudget::kSpareDescriptors, machine_.ResidentBytes() / 1024});
+  handover_->SendUse({budget_.open() + LinkBudget::kSpareDescriptors, machine_.ResidentBytes() / 1024});
 }
 
 // Forwarded, because a third process may be running. Forwarding ends at a process that already knows it.
-void Program::OtherTookOut(const NodeCall& call) {
+void Program::OnPeerTookOut(const NodeChange& call) {
   if (hosts_.IsOut(call.name) || !hosts_.TakeOut(call.name, call.since)) return;
   OnHostsChanged();
-  handover_->TellOut(call);
+  handover_->SendTakenOut(call);
   log_.Tell<"node_out">(call.name, hosts_.Out().size());
 }
 
-void Program::OtherPutBack(const NodeCall& call) {
+void Program::OnPeerPutBack(const NodeChange& call) {
   if (!hosts_.IsOut(call.name)) return;
   hosts_.PutBack(call.name, call.since);
   OnHostsChanged();
-  handover_->TellBack(call);
+  handover_->SendPutBack(call);
   log_.Tell<"node_back">(call.name, hosts_.Out().size());
 }
 
-void Program::OtherDrains(bool drains) { SetManualDrain(drains); }
+void Program::OnPeerDrain(bool drains) { SetManualDrain(drains); }
 
 }  // namespace burlfall
--- a/src/serve/program_operations.cpp
+++ b/src/serve/program_operations.cpp
@@ -20,7 +20,7 @@
     return;
   }
   if (out->empty()) return;
-  for (const OutHost& host : *out) hosts_.TakeOutUnseen(host.name, host.since);
+  for (const OutHost& host : *out) hosts_.TakeOutUnlisted(host.name, host.since);
   log_.Tell<"nodes_kept_out">(out->size());
 }
 
@@ -46,27 +46,27 @@
 
 void Program::OnHostsChanged() {
   upstream_.CloseStaleIdle();
-  dispatcher_.OnList(hosts_.AsItStands());
+  dispatcher_.OnList(hosts_.Snapshot());
 }
 
 Verdict Program::TakeOut(std::string_view server) {
   if (phase_ == Phase::kStarting) return Verdict::kNotNow;
   if (hosts_.IsOut(server)) return Verdict::kDone;  // the first call counts
-  if (!hosts_.Names(server)) return Verdict::kUnknown;
+  if (!hosts_.Knows(server)) return Verdict::kUnknown;
   std::vector<OutHost> out = hosts_.Out();
   const Micros now = machine_.Now();
   out.push_back({std::string(server), now});
   if (!SaveOutFile(out)) return Verdict::kFailed;
   hosts_.TakeOut(server, now);
   OnHostsChanged();
-  if (handover_) handover_->TellOut({std::string(server), now});
+  if (handover_) handover_->SendTakenOut({std::string(server), now});
   log_.Tell<"node_out">(server, out.size());
   return Verdict::kDone;
 }
 
 Verdict Program::PutBack(std::string_view server) {
   if (phase_ == Phase::kStarting) return Verdict::kNotNow;
-  if (!hosts_.Names(server)) return Verdict::kUnknown;
+  if (!hosts_.Knows(server)) return Verdict::kUnknown;
   if (!hosts_.IsOut(server)) return Verdict::kDone;
   std::vector<OutHost> out = hosts_.Out();
   std::erase_if(out, [&](const OutHost& h) { return h.name == server; });
@@ -74,59 +74,59 @@
   const Micros now = machine_.Now();
   hosts_.PutBack(server, now);
   OnHostsChanged();
-  if (handover_) handover_->TellBack({std::string(server), now});
+  if (handover_) handover_->SendPutBack({std::string(server), now});
   log_.Tell<"node_back">(server, out.size());
   return Verdict::kDone;
 }
 
-Verdict Program::StandAside() {
+Verdict Program::StartManualDrain() {
   if (phase_ == Phase::kStarting) return Verdict::kNotNow;
   SetManualDrain(true);
-  if (handover_ && (Serving() || phase_ == Phase::kHandedOver)) handover_->TellDrain(true);
+  if (handover_ && (Serving() || phase_ == Phase::kHandedOver)) handover_->SendDrain(true);
   return Verdict::kDone;  // a process that shuts down drains as well
 }
 
-Verdict Program::ComeBack() {
+Verdict Program::StopManualDrain() {
   SetManualDrain(false);
-  if (handover_ && (Serving() || phase_ == Phase::kHandedOver)) handover_->TellDrain(false);
+  if (handover_ && (Serving() || phase_ == Phase::kHandedOver)) handover_->SendDrain(false);
   return phase_ == Phase::kServing || phase_ == Phase::kHandedOver ? Verdict::kDone : Verdict::kNotNow;
 }
 
 // Without a coordinator group each balancer decides by itself.
-Task<Leave> Program::MayBegin(ChangeCall call) {
+Task<ChangePermission> Program::RequestPermission(ChangeCall call) {
   using What = ChangeCall::What;
-  if (!council_ || phase_ == Phase::kStarting) co_return Leave();
+  if (!council_ || phase_ == Phase::kStarting) co_return ChangePermission();
   freeze::Scope scope = freeze::Scope::Balancer(config_.name, cluster_ ? cluster_->zone : "");
   freeze::ChangeKind kind =
-      call.what == What::kStandAside ? freeze::ChangeKind::kDrain : freeze::ChangeKind::kUndrain;
+      call.what == What::kStartDrain ? freeze::ChangeKind::kDrain : freeze::ChangeKind::kUndrain;
   if (call.what == What::kTakeOut || call.what == What::kPutBack) {
     const bool out = call.what == What::kTakeOut;
     // A node that is already in the requested state, or is unknown, needs no permission.
-    if (!hosts_.Names(call.server) || hosts_.IsOut(call.server) == out) co_return Leave();
+    if (!hosts_.Knows(call.server) || hosts_.IsOut(call.server) == out) co_return ChangePermission();
     kind = out ? freeze::ChangeKind::kNodeOut : freeze::ChangeKind::kNodeBack;
     scope = freeze::Scope::Node(call.server, "", "");
     for (const HostRecord& host : hosts_.Records()) {
       if (host.name != call.server) continue;
       scope = freeze::Scope::Node(call.server, std::to_string(host.zone), std::to_string(host.kind));
     }
-  } else if ((phase_ == Phase::kDrainedManually) == (call.what == What::kStandAside)) {
-    co_return Leave();
+  } else if ((phase_ == Phase::kDrainedManually) == (call.what == What::kStartDrain)) {
+    co_return ChangePermission();
   }
   co_return co_await RequestChange(kind, scope, std::move(call.by), std::move(call.reason));
 }
 
-Task<Leave> Program::RequestReload() {
-  if (!council_) co_return Leave();
+Task<ChangePermission> Program::RequestReload() {
+  if (!council_) co_return ChangePermission();
   co_return co_await RequestChange(freeze::ChangeKind::kReload,
                                    freeze::Scope::Balancer(config_.name, cluster_ ? cluster_->zone : ""), "",
                                    "");
 }
 
-Task<Leave> Program::RequestChange(freeze::ChangeKind kind, freeze::Scope scope, std::string by,
-                                   std::string reason) {
+Task<ChangePermission> Program::RequestChange(freeze::ChangeKind kind, freeze::Scope scope, std::string by,
+                                              std::string reason) {
   const CoordinatorMember::Permission permission =
       co_await council_->RequestPermission(kind, std::move(scope), std::move(by), std::move(reason));
-  Leave leave;
+  ChangePermission leave;
   leave.granted = permission.error == owner::Error::kNone;
   leave.change = permission.change;
   leave.epoch = permission.epoch;
@@ -139,7 +139,7 @@
   co_return leave;
 }
 
-Task<> Program::Ended(Leave leave) {
+Task<> Program::ReleasePermission(ChangePermission leave) {
   if (!council_ || leave.change == 0) co_return;
   CoordinatorMember::Permission permission;
   permission.change = leave.change;
--- a/src/serve/program_saved_list.cpp
+++ b/src/serve/program_saved_list.cpp
@@ -25,7 +25,7 @@
   start::SavedChoice choice = start::ChooseSavedList(
       files, start::SiteOf(start_.saved_list.site, config_.settings), machine_.WallClock(),
       static_cast<Micros>(start_.saved_list.oldest_s * static_cast<double>(kSecond)));
-  list_saver_->Found(choice.last_number);
+  list_saver_->SetNumber(choice.last_number);
   return choice;
 }
 
@@ -50,7 +50,7 @@
     entry.entry.started_at = node.started_at;
     entry.entry.size = node.size;
   }
-  hosts_.Take(list, machine_.Now());
+  hosts_.ApplyList(list, machine_.Now());
   log_.Tell<"saved_list_used">(list.hosts.size(), list.version, choice.age / kMs);
   return true;
 }
@@ -60,7 +60,7 @@
   start::SavedList list;
   list.site = start::SiteOf(start_.saved_list.site, config_.settings);
   list.version = hosts_.version();
-  list.heard_at = list_received_at_;
+  list.confirmed_at = list_received_at_;
   list.number = list_saver_->NextNumber();
   for (const HostRecord& host : hosts_.Records()) {
     if (host.listed == meadowslip::BackendState::kGone) continue;
@@ -70,7 +70,7 @@
   const std::string path = SavedListPath(list_saver_->NextFile());
   std::string why;
   const bool done = list.nodes.empty() || machine_.files().Replace(path, start::WriteSavedList(list), why);
-  list_saver_->Wrote(machine_.Now(), done);
+  list_saver_->OnWritten(machine_.Now(), done);
   if (!done && !std::exchange(list_file_error_logged_, true)) log_.Tell<"saved_list_error">(path, why);
   if (done) list_file_error_logged_ = false;
 }
@@ -78,7 +78,7 @@
 int Program::RecordStart() {
   if (start_.saved_list.folder.empty()) return 0;
   const std::string path = SavedPath(".starts");
-  start::StartBook book(machine_.files().Read(path).value_or(""));
+  start::StartHistory book(machine_.files().Read(path).value_or(""));
   const Micros wall = machine_.WallClock();
   const int before = book.Within(list_pacing_->loop_span(), wall);
   book.Add(wall);
--- a/src/serve/serve.cpp
+++ b/src/serve/serve.cpp
@@ -53,7 +53,7 @@
 // Requests the permission for a reload if there is a coordinator group, then reloads. A shutdown does not
 // wait for this.
 Task<> RequestAndReload(Program& program, const std::string& path, Files& files, Log& log) {
-  const Leave leave = co_await program.RequestReload();
+  const ChangePermission leave = co_await program.RequestReload();
   if (!leave.granted) co_return;
   Reload(program, path, files, log);
   co_await program.EndReload(leave);
--- a/tests/drills/drills_test.cpp
+++ b/tests/drills/drills_test.cpp
@@ -8,7 +8,7 @@
 #include <cstring>
 #include <thread>
 
-#include "handover/estate.h"
+#include "handover/handover_state.h"
 #include "service/operators.h"
 
 namespace burlfall {
@@ -129,13 +129,13 @@
     successor_channel = Descriptor(accept4(again.get(), nullptr, nullptr, SOCK_CLOEXEC));
     char bytes[65536];
     if (recv(successor_channel.get(), bytes, sizeof bytes, 0) <= 0) return;
-    Estate estate;
+    HandoverState estate;
     HostRecord& host = estate.hosts.emplace_back();
     host.id = 1;
     host.name = "s-1";
     host.address = "127.0.0.1:" + std::to_string(server.port);
     host.listed = meadowslip::BackendState::kReady;
-    for (const std::string& piece : Pieces(std::move(estate))) {
+    for (const std::string& piece : SplitState(std::move(estate))) {
       send(successor_channel.get(), piece.data(), piece.size(), MSG_NOSIGNAL);
     }
     while (recv(successor_channel.get(), bytes, sizeof bytes, 0) > 0 && bytes[0] != 'S') {
--- a/tests/service/host_group_test.cpp
+++ b/tests/service/host_group_test.cpp
@@ -1,4 +1,5 @@
-// Hosts that operators take out: their word goes before the list's, for the module and the upstream alike.
+// Hosts that operators take out of service: the operator's call overrides the list, for the module and the
+// upstream alike.
 #include "membership/host_group.h"
 
 #include <gtest/gtest.h>
@@ -34,8 +35,8 @@
 
 class Group : public testing::Test {
  protected:
-  Group() { hosts.Take(List(true, {{"a", BackendState::kReady}, {"b", BackendState::kReady}})); }
-  BackendState Here(const std::string& name) const {
+  Group() { hosts.ApplyList(List(true, {{"a", BackendState::kReady}, {"b", BackendState::kReady}})); }
+  BackendState EffectiveState(const std::string& name) const {
     BackendState state = BackendState::kGone;
     for (const auto& [id, known] : hosts.AllNames()) {
       if (known == name) state = hosts.Find(id)->state;
@@ -46,122 +47,124 @@
   HostGroup hosts{settings};
 };
 
-TEST_F(Group, OneThatWasNeverListedCantBeTakenOut) {
+TEST_F(Group, AHostThatWasNeverListedCantBeTakenOut) {
   EXPECT_FALSE(hosts.TakeOut("c", 1));
   EXPECT_FALSE(hosts.PutBack("c", 1));
-  EXPECT_FALSE(hosts.Names("c"));
+  EXPECT_FALSE(hosts.Knows("c"));
 }
 
-TEST_F(Group, TakenOutIsDrainingWhateverTheListSays) {
+TEST_F(Group, AHostTakenOutDrainsWhateverTheListSays) {
   ASSERT_TRUE(hosts.TakeOut("a", 1));
-  EXPECT_EQ(Here("a"), BackendState::kDraining);
-  EXPECT_EQ(StateOf(hosts, hosts.AsItStands(), "a"), BackendState::kDraining);
-  EXPECT_EQ(StateOf(hosts, hosts.AsItStands(), "b"), BackendState::kReady);
+  EXPECT_EQ(EffectiveState("a"), BackendState::kDraining);
+  EXPECT_EQ(StateOf(hosts, hosts.Snapshot(), "a"), BackendState::kDraining);
+  EXPECT_EQ(StateOf(hosts, hosts.Snapshot(), "b"), BackendState::kReady);
   for (bool full : {true, false}) {
     const BackendList told =
-        hosts.Take(List(full, {{"a", BackendState::kReady}, {"b", BackendState::kReady}}, 5));
+        hosts.ApplyList(List(full, {{"a", BackendState::kReady}, {"b", BackendState::kReady}}, 5));
     EXPECT_EQ(StateOf(hosts, told, "a"), BackendState::kDraining);
-    EXPECT_EQ(Here("a"), BackendState::kDraining);
+    EXPECT_EQ(EffectiveState("a"), BackendState::kDraining);
   }
-  hosts.Take(List(false, {{"a", BackendState::kGone}}));
-  EXPECT_EQ(Here("a"), BackendState::kGone);
-  hosts.Take(List(true, {{"b", BackendState::kReady}}));
-  const BackendList back = hosts.Take(List(false, {{"a", BackendState::kReady}}, 9));
+  hosts.ApplyList(List(false, {{"a", BackendState::kGone}}));
+  EXPECT_EQ(EffectiveState("a"), BackendState::kGone);
+  hosts.ApplyList(List(true, {{"b", BackendState::kReady}}));
+  const BackendList back = hosts.ApplyList(List(false, {{"a", BackendState::kReady}}, 9));
   EXPECT_EQ(StateOf(hosts, back, "a"), BackendState::kDraining);
   EXPECT_EQ(hosts.Out(), (std::vector<OutHost>{{"a", 1}}));
 }
 
-TEST_F(Group, CallsOutAreOneBanAndOneCallBackEndsIt) {
+TEST_F(Group, RepeatedCallsOutAreEndedByOneCallBack) {
   hosts.TakeOut("a", 1);
   hosts.TakeOut("a", 7);
   EXPECT_EQ(hosts.Out(), (std::vector<OutHost>{{"a", 1}}));
   hosts.PutBack("a", 10);
-  EXPECT_EQ(Here("a"), BackendState::kReady);
+  EXPECT_EQ(EffectiveState("a"), BackendState::kReady);
   EXPECT_TRUE(hosts.Out().empty());
 }
 
-TEST_F(Group, BackIsAsTheListHasItNow) {
+TEST_F(Group, AHostPutBackHasItsListedState) {
   hosts.TakeOut("a", 1);
-  hosts.Take(List(false, {{"a", BackendState::kDraining}}));
+  hosts.ApplyList(List(false, {{"a", BackendState::kDraining}}));
   hosts.PutBack("a", 10);
-  EXPECT_EQ(Here("a"), BackendState::kDraining);
+  EXPECT_EQ(EffectiveState("a"), BackendState::kDraining);
   hosts.TakeOut("b", 11);
-  hosts.Take(List(false, {{"b", BackendState::kGone}}));
+  hosts.ApplyList(List(false, {{"b", BackendState::kGone}}));
   hosts.PutBack("b", 12);
-  EXPECT_EQ(Here("b"), BackendState::kGone);
+  EXPECT_EQ(EffectiveState("b"), BackendState::kGone);
 }
 
 Micros StartOf(const HostGroup& group, const std::string& name) {
-  for (const BackendEntry& e : group.AsItStands().entries) {
+  for (const BackendEntry& e : group.Snapshot().entries) {
     if (group.NameOf(e.id) == name) return e.started_at;
   }
   return -1;
 }
 
-TEST_F(Group, BackIsColdAlsoWhereTheListKnowsOfNoRestart) {
+TEST_F(Group, AHostPutBackIsColdEvenIfTheListReportsNoRestart) {
   hosts.TakeOut("a", 100);
   hosts.PutBack("a", 200);
   EXPECT_EQ(StartOf(hosts, "a"), 200);
-  hosts.Take(List(true, {{"a", BackendState::kReady}, {"b", BackendState::kReady}}, 50));  // old news
+  // a start time from before the restart
+  hosts.ApplyList(List(true, {{"a", BackendState::kReady}, {"b", BackendState::kReady}}, 50));
   EXPECT_EQ(StartOf(hosts, "a"), 200);
   EXPECT_EQ(StartOf(hosts, "b"), 50);
-  hosts.Take(List(false, {{"a", BackendState::kReady}}, 150));  // the restart itself
+  hosts.ApplyList(List(false, {{"a", BackendState::kReady}}, 150));  // the restart itself
   EXPECT_EQ(StartOf(hosts, "a"), 150);
 }
 
-TEST_F(Group, LinksToTheLifeBeforeAreOfNoUse) {
-  const auto id = hosts.AsItStands().entries.front().id;
-  const uint64_t era = hosts.Find(id)->era;
+TEST_F(Group, PuttingAHostBackStartsANewIncarnation) {
+  const auto id = hosts.Snapshot().entries.front().id;
+  const uint64_t previous = hosts.Find(id)->incarnation;
   hosts.TakeOut(hosts.NameOf(id), 1);
   hosts.PutBack(hosts.NameOf(id), 2);
-  EXPECT_NE(hosts.Find(id)->era, era);
+  EXPECT_NE(hosts.Find(id)->incarnation, previous);
 }
 
-TEST_F(Group, OneThatWasOutBeforeTheStartIsOutOnceListed) {
-  hosts.TakeOutUnseen("late", 1);
-  EXPECT_EQ(StateOf(hosts, hosts.Take(List(false, {{"late", BackendState::kReady}})), "late"),
+TEST_F(Group, AHostOutBeforeTheStartIsOutOnceListed) {
+  hosts.TakeOutUnlisted("late", 1);
+  EXPECT_EQ(StateOf(hosts, hosts.ApplyList(List(false, {{"late", BackendState::kReady}})), "late"),
             BackendState::kDraining);
 }
 
-// Of another clock than this machine's: a start is never later than when it was heard, and stands still then.
-TEST_F(Group, AStartInTheFutureIsOneThatWasHeardNow) {
+// Start times from another machine's clock: a start is never later than the time its list arrived, and does
+// not change afterwards.
+TEST_F(Group, AStartTimeInTheFutureIsReplacedByNow) {
   const auto start = [&](Micros listed, Micros now, bool full = true) {
-    const BackendList told = hosts.Take(List(full, {{"a", BackendState::kReady}}, listed), now);
+    const BackendList told = hosts.ApplyList(List(full, {{"a", BackendState::kReady}}, listed), now);
     return told.entries.at(0).started_at;
   };
   EXPECT_EQ(start(3000, 1000), 1000);
   EXPECT_EQ(start(3000, 2000), 1000);
   EXPECT_EQ(start(3000, 2500, false), 1000);
-  EXPECT_EQ(hosts.AsItStands().entries.at(0).started_at, 1000);
-  EXPECT_EQ(start(3500, 2600), 2600);  // it was started anew
-  EXPECT_EQ(start(3500, 4000), 3500);  // the time has come
+  EXPECT_EQ(hosts.Snapshot().entries.at(0).started_at, 1000);
+  EXPECT_EQ(start(3500, 2600), 2600);  // it was restarted
+  EXPECT_EQ(start(3500, 4000), 3500);  // that time has passed
   EXPECT_EQ(start(3800, 4000), 3800);
 }
 
-TEST(HostGroupMemory, IsBoundedAndKeepsThoseThatAreOutAndThoseThatAreThere) {
+TEST(HostGroupMemory, IsBoundedAndKeepsHostsThatAreOutOrListed) {
   meadowslip::Settings settings;
   HostGroup group(settings);
-  group.Take(List(false, {{"there", BackendState::kReady}, {"out", BackendState::kReady}}), 1);
+  group.ApplyList(List(false, {{"there", BackendState::kReady}, {"out", BackendState::kReady}}), 1);
   group.TakeOut("out", 1);
-  group.Take(List(false, {{"out", BackendState::kGone}}), 1);
+  group.ApplyList(List(false, {{"out", BackendState::kGone}}), 1);
   for (Micros i = 0; i < 300; ++i) {
     std::vector<std::pair<std::string, BackendState>> come, go;
     for (int k = 0; k < 100; ++k) {
       come.emplace_back(std::string("h").append(std::to_string(100 * i + k)), BackendState::kReady);
       go.emplace_back(come.back().first, BackendState::kGone);
     }
-    group.Take(List(false, come), i * 60 * kSecond);
-    group.Take(List(false, go), i * 60 * kSecond + 1);
+    group.ApplyList(List(false, come), i * 60 * kSecond);
+    group.ApplyList(List(false, go), i * 60 * kSecond + 1);
   }
-  EXPECT_LE(group.AllNames().size(), HostGroup::kMostKnown + 100);
-  EXPECT_TRUE(group.Names("there"));
-  EXPECT_TRUE(group.Names("out"));
-  EXPECT_TRUE(group.Names("h29999"));
-  EXPECT_FALSE(group.Names("h0"));
+  EXPECT_LE(group.AllNames().size(), HostGroup::kMaxKnown + 100);
+  EXPECT_TRUE(group.Knows("there"));
+  EXPECT_TRUE(group.Knows("out"));
+  EXPECT_TRUE(group.Knows("h29999"));
+  EXPECT_FALSE(group.Knows("h0"));
 }
 
-// The module's side: what the group says of a node that is back reaches it, and a sleep that the restart
-// earned does not keep the node idle.
+// The module's side: the state of a node that was put back reaches the module, and the sleep caused by the
+// restart does not keep the node idle.
 class Sends final : public meadowslip::ActionSink {
  public:
   void Send(meadowslip::RequestId id, meadowslip::BackendId backend, Micros) override {
@@ -192,15 +195,15 @@
   Micros now = 1000 * kSecond;
   module.OnList(
       now,
-      hosts.Take(List(
+      hosts.ApplyList(List(
           true, {{"a", BackendState::kReady}, {"b", BackendState::kReady}, {"c", BackendState::kReady}})),
       sends);
   meadowslip::BackendId a = 0;
   for (const auto& [id, name] : hosts.AllNames()) a = name == "a" ? id : a;
   uint64_t next = 0;
   int to_a = 0;
-  // `a` fails all it gets while `broken`; one query each 10 ms.
-  auto play = [&](Micros span, bool broken) {
+  // `a` fails every query while `broken` is set; one query each 10 ms.
+  auto run = [&](Micros span, bool broken) {
     for (const Micros until = now + span; now < until; now += 10 * kMs) {
       meadowslip::Request r;
       r.id = ++next;
@@ -218,18 +221,19 @@
       }
     }
   };
-  play(5 * kSecond, false);
-  for (int i = 0; i < 6; ++i) play(20 * kSecond, true);
+  run(5 * kSecond, false);
+  for (int i = 0; i < 6; ++i) run(20 * kSecond, true);
   to_a = 0;
-  while (to_a == 0) play(10 * kMs, true);  // a trial that fails: it sleeps for half a minute from here on
+  // a trial that fails: the node sleeps for half a minute from here on
+  while (to_a == 0) run(10 * kMs, true);
   hosts.TakeOut("a", now);
-  module.OnList(now, hosts.AsItStands(), sends);
+  module.OnList(now, hosts.Snapshot(), sends);
   to_a = 0;
-  play(3 * kSecond, false);
+  run(3 * kSecond, false);
   EXPECT_EQ(to_a, 0);
   hosts.PutBack("a", now);
-  module.OnList(now, hosts.AsItStands(), sends);
-  play(5 * kSecond, false);
+  module.OnList(now, hosts.Snapshot(), sends);
+  run(5 * kSecond, false);
   EXPECT_GT(to_a, 0);
 }
 
--- a/tests/service/out_file_test.cpp
+++ b/tests/service/out_file_test.cpp
@@ -14,12 +14,12 @@
 
 const std::vector<OutHost> kHosts = {{"s-1", 1717000000123456}, {"odd name\n%\x7f\xc3\xa9", 0}};
 
-TEST(OutFile, SaysAgainWhatWasWritten) {
+TEST(OutFile, RoundTrips) {
   EXPECT_EQ(ReadOutFile(WriteOutFile(kHosts)), kHosts);
   EXPECT_EQ(ReadOutFile(WriteOutFile({})), std::vector<OutHost>());
 }
 
-TEST(OutFile, TornAnywhereIsRefusedWhole) {
+TEST(OutFile, IsRejectedWhenTruncatedAnywhere) {
   const std::string text = WriteOutFile(kHosts);
   for (size_t n = 0; n < text.size(); ++n) EXPECT_FALSE(ReadOutFile(text.substr(0, n))) << n;
   EXPECT_FALSE(ReadOutFile(text + "x"));
@@ -35,9 +35,9 @@
   EXPECT_FALSE(ReadOutFile(std::string(100, '\0')));
 }
 
-// The two processes of an upgrade, told in the same moment (F19): whoever reads sees the one or the other,
-// whole.
-TEST(Replace, TwoProcessesThatWriteOneFileNeverTearIt) {
+// The two processes of an upgrade write the file at the same moment (F19): a reader sees the content of one
+// of them, complete.
+TEST(Replace, TwoProcessesThatWriteOneFileNeverCorruptIt) {
   std::string folder = (std::filesystem::temp_directory_path() / "burlfall-XXXXXX").string();
   ASSERT_NE(mkdtemp(folder.data()), nullptr);
   const std::string path = folder + "/file";
@@ -55,20 +55,20 @@
     writers.push_back(pid);
   }
   const auto files = MakeRealFiles();
-  size_t left = writers.size(), torn = 0, read = 0;
+  size_t left = writers.size(), corrupted = 0, read = 0;
   while (left > 0) {
     int status = 0;
     if (waitpid(-1, &status, WNOHANG) > 0) --left;
     const std::optional<std::string> text = files->Read(path);
     if (!text) continue;
     ++read;
-    const bool whole = text->size() == (text->starts_with('a') ? 200'000u : 150'000u) &&
-                       text->find_first_not_of(text->front()) == std::string::npos;
-    torn += whole ? 0 : 1;
+    const bool complete = text->size() == (text->starts_with('a') ? 200'000u : 150'000u) &&
+                          text->find_first_not_of(text->front()) == std::string::npos;
+    corrupted += complete ? 0 : 1;
   }
   EXPECT_GT(read, 0u);
-  EXPECT_EQ(torn, 0u);
-  EXPECT_EQ(files->List(folder).size(), 1u);  // nothing is left beside it
+  EXPECT_EQ(corrupted, 0u);
+  EXPECT_EQ(files->List(folder).size(), 1u);  // no temporary file is left
   std::filesystem::remove_all(folder);
 }
 
--- a/tests/service/upgrade_test.cpp
+++ b/tests/service/upgrade_test.cpp
@@ -10,7 +10,7 @@
 #include <set>
 #include <thread>
 
-#include "handover/estate.h"
+#include "handover/handover_state.h"
 #include "service/under_load.h"
 
 namespace burlfall {
@@ -217,9 +217,9 @@
   SendMessage(successor, Pack('T', Claim{kHandoverVersion, "n1"}));
   std::string message = ReceiveMessage(successor);
   CHECK(message.front() == 'Z');
-  EstateReader reader;
-  CHECK(reader.Take(message) == EstateReader::Read::kWhole);
-  CHECK(reader.estate().hosts.size() == 1);
+  HandoverStateReader reader;
+  CHECK(reader.Add(message) == HandoverStateReader::Read::kComplete);
+  CHECK(reader.result().hosts.size() == 1);
   Link client = Link::To(platform.listener.port);
   CHECK(ServeQuery(client, server, "t1").ends_with("fine"));
 }
@@ -495,7 +495,7 @@
     socklen_t length = sizeof credentials;
     getsockopt(successor_.get(), SOL_SOCKET, SO_PEERCRED, &credentials, &length);
     if (before_state) before_state(credentials.pid);
-    for (const std::string& piece : Pieces(std::move(estate_))) {
+    for (const std::string& piece : SplitState(std::move(estate_))) {
       send(successor_.get(), piece.data(), piece.size(), MSG_NOSIGNAL);
     }
     while (!(message = ReceiveMessage(successor_)).empty() && message.front() != 'S') {
@@ -504,7 +504,7 @@
   }
 
   Descriptor listener_, successor_;
-  Estate estate_;
+  HandoverState estate_;
   bool successor_serves_ = false;
   std::thread thread_;
 };
@@ -735,14 +735,14 @@
     const std::vector<Link> idle_links = OpenIdleLinks(platform, server);
     const Descriptor successor = Serving(platform, old);
     REQUIRE(ReceivesHoldQuery(successor));
-    SendMessage(successor, Pack('K', Held{kIdleLinks - 1}));
+    SendMessage(successor, Pack('K', ReceivedLinks{kIdleLinks - 1}));
     WaitTwoTurns(old);
   }
   REQUIRE(WaitForLog(old, "this one serves again, without 1 client links"));
   const std::vector<Link> idle_links = OpenIdleLinks(platform, server);
   const Descriptor successor = Serving(platform, old);
   REQUIRE(ReceivesHoldQuery(successor));
-  SendMessage(successor, Pack('K', Held{kIdleLinks}));
+  SendMessage(successor, Pack('K', ReceivedLinks{kIdleLinks}));
   CHECK(old.Wait() == 0);
 }
 
