--- a/src/council/council.cpp
+++ b/src/council/council.cpp
@@ -624,7 +624,7 @@
   led_on_at_ = now;
   if (core_->log_time(now) >= state_.ejection().next_at()) {
     ejection::Command command;
-    command.what = ejection::Command::What::kRunOut;
+    command.what = ejection::Command::What::kExpire;
     core_->Propose(now, council::Envelope(command));
   }
   if (owner::Rules rules = state_.owner().rules(); rules.lease != LeaseOf(settings_)) {
@@ -1126,7 +1126,7 @@
         }
         SendAct(held, permit.epoch);
         if (WorkOf(held) == owner::kFreezeWork) Look(permit.epoch);
-        if (WorkOf(held) == owner::kEjectionWork && state_.ejection().ToCount(state_.ejection().at())) {
+        if (WorkOf(held) == owner::kEjectionWork && state_.ejection().CountDue(state_.ejection().at())) {
           ejection::Command command;
           command.what = ejection::Command::What::kCount;
           command.epoch = permit.epoch;
--- a/src/council/state.cpp
+++ b/src/council/state.cpp
@@ -24,7 +24,7 @@
 
 std::string Envelope(const ejection::Command& command) {
   std::string data(1, static_cast<char>(Part::kEjection));
-  return data += ejection::Write(command);
+  return data += ejection::EncodeCommand(command);
 }
 
 Came State::Apply(uint64_t index, Micros at, std::string_view data) {
@@ -46,7 +46,7 @@
     }
   }
   if (data[0] == static_cast<char>(Part::kEjection)) {
-    if (const auto command = ejection::ReadCommand(inner)) {
+    if (const auto command = ejection::DecodeCommand(inner)) {
       came.ejection = ejection_.Apply(index, at, *command);
       came.known = true;
     }
--- a/src/ejection/evidence.cpp
+++ b/src/ejection/evidence.cpp
@@ -7,18 +7,20 @@
 namespace burlfall::ejection {
 namespace {
 
-constexpr size_t kMostAllClasses = 64;
-constexpr uint32_t kEnoughTooks = 50;        // answers of a class before any is called slow
-constexpr uint32_t kHalveTooksAt = 4000;     // so that older times fade
-constexpr Micros kOwnNetwork = 5 * kSecond;  // looked back at for it
-constexpr uint32_t kOwnLeast = 8;            // results in it
+constexpr size_t kMaxTrackedClasses = 64;
+constexpr uint32_t kMinLatencySamples = 50;          // answers of a class before any is called slow
+constexpr uint32_t kHalveLatencySamplesAt = 4000;    // so that older times fade
+constexpr Micros kOwnNetworkLookback = 5 * kSecond;  // looked back at for it
+constexpr uint32_t kMinOwnNetworkResults = 8;        // results in it
 
-size_t SlotOf(Micros took) {
-  const double half_octaves = 2 * std::log2(std::max<double>(1, static_cast<double>(took) / kMs));
+size_t LatencyBucketOf(Micros latency) {
+  const double half_octaves = 2 * std::log2(std::max<double>(1, static_cast<double>(latency) / kMs));
   return std::min<size_t>(39, static_cast<size_t>(half_octaves));
 }
 
-Micros EndOf(size_t slot) { return static_cast<Micros>(std::exp2(static_cast<double>(slot + 1) / 2) * kMs); }
+Micros LatencyBucketEnd(size_t slot) {
+  return static_cast<Micros>(std::exp2(static_cast<double>(slot + 1) / 2) * kMs);
+}
 
 }  // namespace
 
@@ -29,7 +31,7 @@
   for (size_t kind = 0; kind < kKinds; ++kind) failures[kind] += bucket.failures[kind];
 }
 
-Evidence::Bucket& Evidence::In(Ring& ring, Micros now) const {
+Evidence::Bucket& Evidence::CurrentBucket(Ring& ring, Micros now) const {
   const Micros width = std::max<Micros>(1, rules_.window / std::max(1u, rules_.buckets));
   const Micros begin = now - now % width;
   std::erase_if(ring, [&](const Bucket& one) { return one.begin + rules_.window <= now; });
@@ -45,162 +47,164 @@
   return sum;
 }
 
-double Evidence::OddsOf(const Bucket& bucket, double usual) const {
+double Evidence::LogOddsOf(const Bucket& bucket, double baseline) const {
   // Where the others fail too, only what fails much more often is this host's fault.
-  const double bad = std::clamp(std::max(rules_.bad_share, 2 * usual), usual, 0.999);
+  const double bad = std::clamp(std::max(rules_.bad_share, 2 * baseline), baseline, 0.999);
   const double failed = bucket.Failed();
-  return failed * std::log(bad / usual) +
-         (static_cast<double>(bucket.trials) - failed) * std::log((1 - bad) / (1 - usual));
+  return failed * std::log(bad / baseline) +
+         (static_cast<double>(bucket.trials) - failed) * std::log((1 - bad) / (1 - baseline));
 }
 
 // What speaks most for "bad" of all spans that end with the last piece, into `best` where it is more.
 template <typename Piece>
-void Evidence::Climb(const std::vector<Piece>& pieces, Sum& best) {
+void Evidence::UpdateBestSpan(const std::vector<Piece>& pieces, Sum& best) {
   Sum sum;
   for (const Piece& piece : pieces) {
-    const double odds = sum.odds + piece.odds;
-    if (odds <= 0) {
+    const double log_odds = sum.log_odds + piece.log_odds;
+    if (log_odds <= 0) {
       sum = {};
       continue;
     }
     sum.Add(*piece.bucket);
-    sum.odds = odds;
+    sum.log_odds = log_odds;
   }
-  if (sum.odds > best.odds) best = sum;
+  if (sum.log_odds > best.log_odds) best = sum;
 }
 
-bool Evidence::IsSlow(const OfClass& of, Micros took) const {
-  if (took < rules_.slow_least || of.tooks < kEnoughTooks) return false;
+bool Evidence::IsSlow(const ClassRecord& class_record, Micros latency) const {
+  if (latency < rules_.min_slow_latency || class_record.latency_samples < kMinLatencySamples) return false;
   uint32_t before = 0;
-  for (size_t slot = 0; slot < of.took.size(); ++slot) {
-    before += of.took[slot];
-    if (2 * before < of.tooks) continue;
-    return static_cast<double>(took) > rules_.slow_times * static_cast<double>(EndOf(slot));
+  for (size_t slot = 0; slot < class_record.latency_histogram.size(); ++slot) {
+    before += class_record.latency_histogram[slot];
+    if (2 * before < class_record.latency_samples) continue;
+    return static_cast<double>(latency) > rules_.slow_factor * static_cast<double>(LatencyBucketEnd(slot));
   }
   return false;
 }
 
-void Evidence::Mark(const std::string& host, Seen& seen) {
-  if (seen.changed) return;
-  seen.changed = true;
+void Evidence::MarkChanged(const std::string& host, HostRecord& record) {
+  if (record.changed) return;
+  record.changed = true;
   changed_.push_back(host);
 }
 
-void Evidence::Clear(Seen& seen) {
-  seen.classes.clear();
-  seen.asked = false;
-  seen.said = Said::kNothing;
+void Evidence::ClearResults(HostRecord& record) {
+  record.classes.clear();
+  record.poll_open = false;
+  record.stance = Stance::kNothing;
 }
 
-void Evidence::Result(Micros now, const std::string& host, Life life, uint32_t cls,
-                      std::optional<Kind> failed, Micros took) {
+void Evidence::OnResult(Micros now, const std::string& host, Incarnation incarnation, uint32_t cls,
+                        std::optional<Kind> failed, Micros latency) {
   auto at = hosts_.find(host);
   if (at == hosts_.end()) {
-    if (hosts_.size() >= rules_.most_hosts) {  // the one that was used last makes room
-      const auto oldest = std::ranges::min_element(
-          hosts_, {}, [](const auto& one) { return std::make_pair(one.second.out, one.second.used); });
+    if (hosts_.size() >= rules_.max_hosts) {  // the one that was used last makes room
+      const auto oldest = std::ranges::min_element(hosts_, {}, [](const auto& one) {
+        return std::make_pair(one.second.out, one.second.last_result_at);
+      });
       hosts_.erase(oldest);
     }
     at = hosts_.try_emplace(host).first;
-    at->second.life = life;
+    at->second.incarnation = incarnation;
   }
-  Seen& seen = at->second;
-  if (life < seen.life) return;  // of an earlier life
-  if (life > seen.life) {
-    seen = {};
-    seen.life = life;
-    seen.deaf_until = now + rules_.grace;
+  HostRecord& record = at->second;
+  if (incarnation < record.incarnation) return;  // of an earlier life
+  if (incarnation > record.incarnation) {
+    record = {};
+    record.incarnation = incarnation;
+    record.ignore_until = now + rules_.grace;
   }
-  seen.used = now;
-  if (classes_.size() >= kMostAllClasses && !classes_.contains(cls)) cls = classes_.rbegin()->first;
-  OfClass& of = classes_[cls];
+  record.last_result_at = now;
+  if (classes_.size() >= kMaxTrackedClasses && !classes_.contains(cls)) cls = classes_.rbegin()->first;
+  ClassRecord& class_record = classes_[cls];
   if (!failed) {
-    if (of.tooks >= kHalveTooksAt) {
-      of.tooks = 0;
-      for (uint32_t& n : of.took) of.tooks += n /= 2;
+    if (class_record.latency_samples >= kHalveLatencySamplesAt) {
+      class_record.latency_samples = 0;
+      for (uint32_t& n : class_record.latency_histogram) class_record.latency_samples += n /= 2;
     }
-    if (IsSlow(of, took)) failed = Kind::kSlow;
-    ++of.took[SlotOf(took)];
-    ++of.tooks;
+    if (IsSlow(class_record, latency)) failed = Kind::kSlow;
+    ++class_record.latency_histogram[LatencyBucketOf(latency)];
+    ++class_record.latency_samples;
   }
-  if (seen.out) return;  // in flight since before; what is told of trials goes another way
-  if (now < seen.deaf_until) return;
-  if (!failed && seen.asleep && (seen.said == Said::kVote || seen.said == Said::kSure)) {
-    seen.classes.clear();  // its own trial was good
+  if (record.out) return;  // in flight since before; what is told of trials goes another way
+  if (now < record.ignore_until) return;
+  if (!failed && record.asleep && (record.stance == Stance::kVote || record.stance == Stance::kSure)) {
+    record.classes.clear();  // its own trial was good
   }
   uint32_t kept = cls;
-  if (seen.classes.size() >= rules_.most_classes && !seen.classes.contains(cls)) {
-    kept = seen.classes.rbegin()->first;
+  if (record.classes.size() >= rules_.max_classes && !record.classes.contains(cls)) {
+    kept = record.classes.rbegin()->first;
   }
-  for (Bucket* bucket : {&In(of.all, now), &In(seen.classes[kept], now)}) {
+  for (Bucket* bucket : {&CurrentBucket(class_record.all, now), &CurrentBucket(record.classes[kept], now)}) {
     ++bucket->trials;
     if (failed) ++bucket->failures[static_cast<size_t>(*failed)];
   }
   // Good answers of a host that nobody asks about change nothing that was said.
-  if (failed || seen.asked || seen.said != Said::kNothing) Mark(host, seen);
+  if (failed || record.poll_open || record.stance != Stance::kNothing) MarkChanged(host, record);
 }
 
-Command Evidence::Trial(const std::string& host, Life life, std::optional<Kind> failed) const {
+Command Evidence::TrialCommand(const std::string& host, Incarnation incarnation,
+                               std::optional<Kind> failed) const {
   Command command;
   command.what = Command::What::kTrial;
   command.balancer = balancer_;
   command.host = host;
-  command.life = life;
+  command.incarnation = incarnation;
   command.was_good = !failed;
   return command;
 }
 
-void Evidence::Heard(Micros now, const Effects& effects) {
+void Evidence::OnEffects(Micros now, const Effects& effects) {
   for (const Effect& effect : effects) {
     if (effect.what == Effect::What::kRefused) {
       const auto at = hosts_.find(effect.host);
       if (at != hosts_.end() && effect.who == std::vector<std::string>{balancer_}) {
-        at->second.said = Said::kNothing;  // told anew with the next result
+        at->second.stance = Stance::kNothing;  // told anew with the next result
       }
       continue;
     }
-    if (effect.what != Effect::What::kAsk && effect.what != Effect::What::kAsked &&
-        effect.what != Effect::What::kEject && effect.what != Effect::What::kBack) {
+    if (effect.what != Effect::What::kPollOpened && effect.what != Effect::What::kPollClosed &&
+        effect.what != Effect::What::kEject && effect.what != Effect::What::kReturn) {
       continue;
     }
     auto at = hosts_.find(effect.host);
     if (at == hosts_.end()) {
-      if (hosts_.size() >= rules_.most_hosts) continue;
+      if (hosts_.size() >= rules_.max_hosts) continue;
       at = hosts_.try_emplace(effect.host).first;
-      at->second.life = effect.life;
+      at->second.incarnation = effect.incarnation;
     }
-    Seen& seen = at->second;
-    if (effect.life > seen.life) {
-      seen = {};
-      seen.life = effect.life;
+    HostRecord& record = at->second;
+    if (effect.incarnation > record.incarnation) {
+      record = {};
+      record.incarnation = effect.incarnation;
     }
     switch (effect.what) {
-      case Effect::What::kAsk:
-        seen.asked = true;
-        seen.asked_at = now - effect.term;
-        Mark(effect.host, seen);
+      case Effect::What::kPollOpened:
+        record.poll_open = true;
+        record.poll_start = now - effect.term;
+        MarkChanged(effect.host, record);
         break;
-      case Effect::What::kAsked:
-        seen.asked = false;
-        if (seen.said != Said::kSure) seen.said = Said::kNothing;
+      case Effect::What::kPollClosed:
+        record.poll_open = false;
+        if (record.stance != Stance::kSure) record.stance = Stance::kNothing;
         break;
       case Effect::What::kEject:
-        Clear(seen);
-        seen.out = true;
+        ClearResults(record);
+        record.out = true;
         break;
       default:
-        Clear(seen);
-        seen.out = false;
-        seen.deaf_until = now + rules_.grace;
+        ClearResults(record);
+        record.out = false;
+        record.ignore_until = now + rules_.grace;
         break;
     }
   }
 }
 
-void Evidence::Begin(Micros now, const State& state) {
-  for (auto& [host, seen] : hosts_) {
-    seen.out = seen.asked = false;
-    seen.said = Said::kNothing;
+void Evidence::LoadState(Micros now, const State& state) {
+  for (auto& [host, record] : hosts_) {
+    record.out = record.poll_open = false;
+    record.stance = Stance::kNothing;
   }
   Effects effects;
   for (const auto& [host, ejection] : state.ejections()) {
@@ -208,35 +212,35 @@
     effects.emplace_back();
     effects.back().what = Effect::What::kEject;
     effects.back().host = host;
-    effects.back().life = ejection.life;
+    effects.back().incarnation = ejection.incarnation;
   }
-  for (const std::string& host : state.InQuestion()) {
+  for (const std::string& host : state.PolledHosts()) {
     effects.emplace_back();
-    effects.back().what = Effect::What::kAsk;
+    effects.back().what = Effect::What::kPollOpened;
     effects.back().host = host;
   }
-  Heard(now, effects);
+  OnEffects(now, effects);
 }
 
-void Evidence::Asleep(const std::string& host, bool asleep) {
+void Evidence::SetAsleep(const std::string& host, bool asleep) {
   const auto at = hosts_.find(host);
   if (at != hosts_.end()) at->second.asleep = asleep;
 }
 
-void Evidence::Gone(const std::string& host) { hosts_.erase(host); }
+void Evidence::RemoveHost(const std::string& host) { hosts_.erase(host); }
 
-bool Evidence::OwnNetwork(Micros now) const { return OthersFail(now, Seen{}); }
+bool Evidence::OwnNetworkSuspect(Micros now) const { return OthersFail(now, HostRecord{}); }
 
 // Of the last results but this host's: those of some seconds, or of more where a balancer has few.
-bool Evidence::OthersFail(Micros now, const Seen& seen) const {
+bool Evidence::OthersFail(Micros now, const HostRecord& record) const {
   const auto of_others = [&](Micros back) {
     uint64_t trials = 0, failed = 0;
-    for (const auto& [cls, of] : classes_) {
-      const Sum sum = SumOf(of.all, now - back);
+    for (const auto& [cls, class_record] : classes_) {
+      const Sum sum = SumOf(class_record.all, now - back);
       trials += sum.trials;
       failed += sum.failed;
     }
-    for (const auto& [cls, ring] : seen.classes) {
+    for (const auto& [cls, ring] : record.classes) {
       const Sum sum = SumOf(ring, now - back);
       trials -= std::min<uint64_t>(trials, sum.trials);
       failed -= std::min<uint64_t>(failed, sum.failed);
@@ -245,67 +249,69 @@
   };
   const auto [at_once, failed_at_once] = of_others(2 * kSecond);
   if (at_once >= 3 && 2 * failed_at_once >= at_once) return true;  // it has just begun
-  for (Micros back = kOwnNetwork;; back = std::min(2 * back, rules_.window)) {
+  for (Micros back = kOwnNetworkLookback;; back = std::min(2 * back, rules_.window)) {
     const auto [trials, failed] = of_others(back);
-    if (trials < kOwnLeast && back < rules_.window) continue;
-    return trials >= 3 && static_cast<double>(failed) >= rules_.own_share * static_cast<double>(trials);
+    if (trials < kMinOwnNetworkResults && back < rules_.window) continue;
+    return trials >= 3 &&
+           static_cast<double>(failed) >= rules_.own_network_share * static_cast<double>(trials);
   }
 }
 
-double Evidence::UsualOf(Micros now, uint32_t cls, const Ring& own_ring) const {
+double Evidence::BaselineShareOf(Micros now, uint32_t cls, const Ring& own_ring) const {
   const auto of = classes_.find(cls);
-  if (of == classes_.end()) return rules_.usual_share;
+  if (of == classes_.end()) return rules_.min_baseline_share;
   const Sum own = SumOf(own_ring, now - rules_.window);
   const Sum all = SumOf(of->second.all, now - rules_.window);
-  if (all.trials <= own.trials) return rules_.usual_share;
+  if (all.trials <= own.trials) return rules_.min_baseline_share;
   const double failed = all.failed > own.failed ? static_cast<double>(all.failed - own.failed) : 0;
-  return std::clamp(failed / static_cast<double>(all.trials - own.trials), rules_.usual_share, 0.5);
+  return std::clamp(failed / static_cast<double>(all.trials - own.trials), rules_.min_baseline_share, 0.5);
 }
 
 // Of each class by itself, and of all together: a host may fail one, or each now and then.
-Evidence::Sum Evidence::Worst(Micros now, const Seen& seen, Micros since) const {
+Evidence::Sum Evidence::MostSuspectSpan(Micros now, const HostRecord& record, Micros since) const {
   struct Piece {
     const Bucket* bucket;
-    double odds;
+    double log_odds;
   };
   std::vector<Piece> pieces;
   Sum best;
-  for (const auto& [cls, ring] : seen.classes) {
-    const double usual = UsualOf(now, cls, ring);
+  for (const auto& [cls, ring] : record.classes) {
+    const double baseline = BaselineShareOf(now, cls, ring);
     std::vector<Piece> own;
     for (const Bucket& bucket : ring) {
-      if (bucket.begin >= since) own.push_back({&bucket, OddsOf(bucket, usual)});
+      if (bucket.begin >= since) own.push_back({&bucket, LogOddsOf(bucket, baseline)});
     }
     pieces.insert(pieces.end(), own.begin(), own.end());
-    if (seen.classes.size() > 1) Climb(own, best);
+    if (record.classes.size() > 1) UpdateBestSpan(own, best);
   }
   std::ranges::stable_sort(pieces, {}, [](const Piece& piece) { return piece.bucket->begin; });
-  Climb(pieces, best);
+  UpdateBestSpan(pieces, best);
   return best;
 }
 
-Evidence::Opinion Evidence::Judge(Micros now, Seen& seen) const {
+Evidence::Opinion Evidence::Assess(Micros now, HostRecord& record) const {
   Opinion opinion;
-  if (OthersFail(now, seen)) {
-    seen.doubtful_until = now;  // what failed until now says nothing later, either
+  if (OthersFail(now, record)) {
+    record.discard_until = now;  // what failed until now says nothing later, either
     return opinion;
   }
-  const Micros oldest = std::max(now - rules_.window, seen.doubtful_until);
+  const Micros oldest = std::max(now - rules_.window, record.discard_until);
   uint64_t trials = 0;
-  for (const auto& [cls, ring] : seen.classes) trials += SumOf(ring, oldest).trials;
-  Sum worst = Worst(now, seen, oldest);
+  for (const auto& [cls, ring] : record.classes) trials += SumOf(ring, oldest).trials;
+  Sum suspect_span = MostSuspectSpan(now, record, oldest);
   // With many results there are many spans to be unlucky in.
-  const double sure = rules_.sure + std::max(0.0, std::log(static_cast<double>(trials) / 8));
-  if (worst.odds >= sure && worst.trials >= rules_.least_trials && worst.failed >= rules_.least_trials) {
-    opinion.said = Said::kSure;
-  } else if (seen.asked) {
+  const double sure = rules_.sure_log_odds + std::max(0.0, std::log(static_cast<double>(trials) / 8));
+  if (suspect_span.log_odds >= sure && suspect_span.trials >= rules_.min_trials &&
+      suspect_span.failed >= rules_.min_trials) {
+    opinion.stance = Stance::kSure;
+  } else if (record.poll_open) {
     const Micros width = rules_.window / std::max(1u, rules_.buckets);
-    const Micros since = std::max(oldest, seen.asked_at - width);
-    worst = Worst(now, seen, since);
+    const Micros since = std::max(oldest, record.poll_start - width);
+    suspect_span = MostSuspectSpan(now, record, since);
     Sum all;
     uint32_t most = 0;
-    double odds = 0;
-    for (const auto& [cls, ring] : seen.classes) {
+    double log_odds = 0;
+    for (const auto& [cls, ring] : record.classes) {
       const Sum sum = SumOf(ring, since);
       if (sum.trials > most) {
         most = sum.trials;
@@ -314,26 +320,26 @@
       all.trials += sum.trials;
       all.failed += sum.failed;
       Bucket whole{since, sum.trials, sum.failures};
-      odds = std::max(odds, OddsOf(whole, UsualOf(now, cls, ring)));
+      log_odds = std::max(log_odds, LogOddsOf(whole, BaselineShareOf(now, cls, ring)));
     }
-    if (all.trials == 0 || (odds > 0 && odds < rules_.odds_asked)) return {};
-    opinion.said = odds > 0 ? Said::kVote : Said::kGood;
+    if (all.trials == 0 || (log_odds > 0 && log_odds < rules_.poll_log_odds)) return {};
+    opinion.stance = log_odds > 0 ? Stance::kVote : Stance::kGoodReport;
     opinion.sum = all;
-    if (opinion.said == Said::kGood) return opinion;
+    if (opinion.stance == Stance::kGoodReport) return opinion;
   } else {
     return opinion;
   }
   // All that came since its first failure, of any class.
   opinion.sum = {};
-  opinion.sum.since = worst.since;
+  opinion.sum.since = suspect_span.since;
   opinion.cls = kSeveralClasses;
   bool first = true;
-  for (const auto& [cls, ring] : seen.classes) {
-    const Sum sum = SumOf(ring, worst.since);
+  for (const auto& [cls, ring] : record.classes) {
+    const Sum sum = SumOf(ring, suspect_span.since);
     opinion.sum.trials += sum.trials;
     opinion.sum.failed += sum.failed;
     for (size_t kind = 0; kind < kKinds; ++kind) opinion.sum.failures[kind] += sum.failures[kind];
-    if (OddsOf({worst.since, sum.trials, sum.failures}, UsualOf(now, cls, ring)) <= 0) {
+    if (LogOddsOf({suspect_span.since, sum.trials, sum.failures}, BaselineShareOf(now, cls, ring)) <= 0) {
       opinion.others += sum.trials - sum.failed;
       continue;
     }
@@ -343,53 +349,56 @@
   return opinion;
 }
 
-std::vector<Command> Evidence::Tell(Micros now) {
+std::vector<Command> Evidence::TakeCommands(Micros now) {
   std::vector<Command> commands;
   std::vector<std::string> changed = std::move(changed_);
   changed_.clear();
-  if (now >= tell_at_) {
-    tell_at_ = kNever;
-    for (const auto& [host, seen] : hosts_) {
-      if (seen.said == Said::kNothing) continue;
-      if (seen.said_until - now <= rules_.tell_again && !seen.changed) changed.push_back(host);
-      tell_at_ = std::min(tell_at_, std::max(now + kSecond, seen.said_until - rules_.tell_again));
+  if (now >= next_renewal_) {
+    next_renewal_ = kNever;
+    for (const auto& [host, record] : hosts_) {
+      if (record.stance == Stance::kNothing) continue;
+      if (record.stance_until - now <= rules_.renew_before_expiry && !record.changed) changed.push_back(host);
+      next_renewal_ =
+          std::min(next_renewal_, std::max(now + kSecond, record.stance_until - rules_.renew_before_expiry));
     }
   }
   for (const std::string& host : changed) {
     const auto at = hosts_.find(host);
     if (at == hosts_.end()) continue;
-    Seen& seen = at->second;
-    seen.changed = false;
-    if (seen.out) continue;
-    Opinion opinion = Judge(now, seen);
-    if (seen.said != Said::kNothing && now >= seen.said_until) seen.said = Said::kNothing;  // it ran out
+    HostRecord& record = at->second;
+    record.changed = false;
+    if (record.out) continue;
+    Opinion opinion = Assess(now, record);
+    if (record.stance != Stance::kNothing && now >= record.stance_until)
+      record.stance = Stance::kNothing;  // it ran out
     // What was sure stays told, until the odds are even or it runs out.
-    if (seen.said == Said::kSure && opinion.said == Said::kVote) opinion.said = Said::kSure;
-    const bool due = seen.said_until - now <= rules_.tell_again;
+    if (record.stance == Stance::kSure && opinion.stance == Stance::kVote) opinion.stance = Stance::kSure;
+    const bool due = record.stance_until - now <= rules_.renew_before_expiry;
     // In question all that is seen is news: how often the host fails decides what good words weigh.
-    const uint32_t enough = seen.said_trials < 4 ? seen.said_trials + 1 : 2 * seen.said_trials;
-    const bool more = seen.asked && opinion.sum.trials >= enough;
-    if (opinion.said == seen.said && !(opinion.said != Said::kNothing && (due || more))) continue;
+    const uint32_t enough = record.stance_trials < 4 ? record.stance_trials + 1 : 2 * record.stance_trials;
+    const bool more = record.poll_open && opinion.sum.trials >= enough;
+    if (opinion.stance == record.stance && !(opinion.stance != Stance::kNothing && (due || more))) continue;
     Command command;
-    if (opinion.said == Said::kNothing) {
+    if (opinion.stance == Stance::kNothing) {
       // Sure, and less so by now: it stands until the odds are even.
-      const bool odds = seen.said == Said::kSure && !OthersFail(now, seen) &&
-                        Worst(now, seen, now - rules_.window).odds > 0;
-      if (odds) continue;
+      const bool log_odds = record.stance == Stance::kSure && !OthersFail(now, record) &&
+                            MostSuspectSpan(now, record, now - rules_.window).log_odds > 0;
+      if (log_odds) continue;
       command.what = Command::What::kWithdraw;
       command.balancer = balancer_;
       command.host = host;
-      command.life = seen.life;
-    } else if (opinion.said == Said::kGood) {
-      command.what = Command::What::kGood;
-      command.good = {balancer_, zone_, host, seen.life, opinion.sum.trials, opinion.cls, rules_.vote_lasts};
+      command.incarnation = record.incarnation;
+    } else if (opinion.stance == Stance::kGoodReport) {
+      command.what = Command::What::kGoodReport;
+      command.good = {balancer_,           zone_, host, record.incarnation, opinion.sum.trials, opinion.cls,
+                      rules_.vote_lifetime};
     } else {
       command.what = Command::What::kVote;
       Vote& vote = command.vote;
       vote.balancer = balancer_;
       vote.zone = zone_;
       vote.host = host;
-      vote.life = seen.life;
+      vote.incarnation = record.incarnation;
       vote.window = std::min(rules_.window, std::max<Micros>(0, now - opinion.sum.since));
       vote.trials = opinion.sum.trials;
       vote.failures = opinion.sum.failed;
@@ -397,18 +406,18 @@
           static_cast<Kind>(std::ranges::max_element(opinion.sum.failures) - opinion.sum.failures.begin());
       vote.cls = opinion.cls;
       vote.others = opinion.others;
-      vote.sure = opinion.said == Said::kSure;
-      vote.lasts = rules_.vote_lasts;
+      vote.sure = opinion.stance == Stance::kSure;
+      vote.lifetime = rules_.vote_lifetime;
     }
-    seen.said = opinion.said;
-    seen.said_trials = opinion.sum.trials;
-    seen.said_until = now + rules_.vote_lasts;
-    tell_at_ = std::min(tell_at_, seen.said_until - rules_.tell_again);
+    record.stance = opinion.stance;
+    record.stance_trials = opinion.sum.trials;
+    record.stance_until = now + rules_.vote_lifetime;
+    next_renewal_ = std::min(next_renewal_, record.stance_until - rules_.renew_before_expiry);
     commands.push_back(std::move(command));
   }
   return commands;
 }
 
-Micros Evidence::next_at() const { return changed_.empty() ? tell_at_ : 0; }
+Micros Evidence::next_at() const { return changed_.empty() ? next_renewal_ : 0; }
 
 }  // namespace burlfall::ejection
--- a/src/ejection/evidence.h
+++ b/src/ejection/evidence.h
@@ -29,26 +29,26 @@
 
   // A query's end at a host. `failed` none: an answer; it may still be slow, by `took`, against the others.
   // Refused by the host's admission, cancelled, or the client left: no result, don't tell it.
-  void Result(Micros now, const std::string& host, Life life, uint32_t cls, std::optional<Kind> failed,
-              Micros took);
+  void OnResult(Micros now, const std::string& host, Incarnation incarnation, uint32_t cls,
+                std::optional<Kind> failed, Micros latency);
   // The end of a query that this balancer sent since it was told to try (InForce::TakeTry). Gives kTrial.
-  Command Trial(const std::string& host, Life life, std::optional<Kind> failed) const;
+  Command TrialCommand(const std::string& host, Incarnation incarnation, std::optional<Kind> failed) const;
 
   // From the log: the effects kAsk, kAsked, kEject, kBack are read, the others passed over.
-  void Heard(Micros now, const Effects& effects);
+  void OnEffects(Micros now, const Effects& effects);
   // From a snapshot.
-  void Begin(Micros now, const State& state);
+  void LoadState(Micros now, const State& state);
   // What the module knows, read: it lets the host sleep, so silence of results is no good word.
-  void Asleep(const std::string& host, bool asleep);
-  void Gone(const std::string& host);  // from the group
+  void SetAsleep(const std::string& host, bool asleep);
+  void RemoveHost(const std::string& host);  // from the group
 
   // What to propose now; nothing for most calls. A vote that the council didn't take is told again before its
   // end.
-  std::vector<Command> Tell(Micros now);
+  std::vector<Command> TakeCommands(Micros now);
   // Tell() may have something at that time; kNever: not before the next result or effect.
   Micros next_at() const;
 
-  bool OwnNetwork(Micros now) const;  // under suspicion by itself: most of all fails
+  bool OwnNetworkSuspect(Micros now) const;  // under suspicion by itself: most of all fails
   size_t hosts() const { return hosts_.size(); }
 
  private:
@@ -64,57 +64,58 @@
     uint32_t failed = 0;
     Micros since = 0;  // begin of its first bucket
     std::array<uint32_t, kKinds> failures{};
-    double odds = 0;  // logarithm, bad : as the others
+    double log_odds = 0;  // logarithm, bad : as the others
     void Add(const Bucket& bucket);
   };
-  enum class Said { kNothing, kVote, kSure, kGood };
-  struct Seen {
-    Life life = 0;
+  enum class Stance { kNothing, kVote, kSure, kGoodReport };
+  struct HostRecord {
+    Incarnation incarnation = 0;
     std::map<uint32_t, Ring> classes;
-    Micros used = 0;            // last result
-    Micros deaf_until = 0;      // grace
-    Micros doubtful_until = 0;  // the other hosts failed as well
-    bool asked = false;
-    Micros asked_at = 0;
+    Micros last_result_at = 0;  // last result
+    Micros ignore_until = 0;    // grace
+    Micros discard_until = 0;   // the other hosts failed as well
+    bool poll_open = false;
+    Micros poll_start = 0;
     bool out = false;
     bool asleep = false;
     bool changed = false;
-    Said said = Said::kNothing;
-    Micros said_until = 0;
-    uint32_t said_trials = 0;
+    Stance stance = Stance::kNothing;
+    Micros stance_until = 0;
+    uint32_t stance_trials = 0;
   };
-  struct OfClass {
+  struct ClassRecord {
     Ring all;
-    std::array<uint32_t, 40> took{};  // by half powers of two of milliseconds, halved now and then
-    uint32_t tooks = 0;
+    std::array<uint32_t, 40>
+        latency_histogram{};  // by half powers of two of milliseconds, halved now and then
+    uint32_t latency_samples = 0;
   };
 
-  Bucket& In(Ring& ring, Micros now) const;
+  Bucket& CurrentBucket(Ring& ring, Micros now) const;
   Sum SumOf(const Ring& ring, Micros since) const;
   template <typename Piece>
-  static void Climb(const std::vector<Piece>& pieces, Sum& best);
-  Sum Worst(Micros now, const Seen& seen, Micros since) const;
+  static void UpdateBestSpan(const std::vector<Piece>& pieces, Sum& best);
+  Sum MostSuspectSpan(Micros now, const HostRecord& record, Micros since) const;
   // Share of failures of the other hosts in this class.
-  double UsualOf(Micros now, uint32_t cls, const Ring& own_ring) const;
-  double OddsOf(const Bucket& bucket, double usual) const;
-  bool IsSlow(const OfClass& of, Micros took) const;
-  bool OthersFail(Micros now, const Seen& seen) const;
+  double BaselineShareOf(Micros now, uint32_t cls, const Ring& own_ring) const;
+  double LogOddsOf(const Bucket& bucket, double baseline) const;
+  bool IsSlow(const ClassRecord& class_record, Micros latency) const;
+  bool OthersFail(Micros now, const HostRecord& record) const;
   struct Opinion {
-    Said said = Said::kNothing;
+    Stance stance = Stance::kNothing;
     Sum sum;
     uint32_t cls = kSeveralClasses;
     uint32_t others = 0;  // good answers of the other classes
   };
-  Opinion Judge(Micros now, Seen& seen) const;
-  void Mark(const std::string& host, Seen& seen);
-  static void Clear(Seen& seen);
+  Opinion Assess(Micros now, HostRecord& record) const;
+  void MarkChanged(const std::string& host, HostRecord& record);
+  static void ClearResults(HostRecord& record);
 
   Rules rules_;
   std::string balancer_;
   std::string zone_;
-  std::map<std::string, Seen> hosts_;
-  std::map<uint32_t, OfClass> classes_;
-  Micros tell_at_ = kNever;           // something that was said is due again
+  std::map<std::string, HostRecord> hosts_;
+  std::map<uint32_t, ClassRecord> classes_;
+  Micros next_renewal_ = kNever;      // something that was said is due again
   std::vector<std::string> changed_;  // hosts to be judged at the next Tell
 };
 
--- a/src/ejection/bytes.h
+++ b/src/ejection/framing.h
@@ -1,7 +1,7 @@
 // MessagePack with a head and a checksum, read within bounds: for this room's commands and states. A frame is
 // four letters, a version, XXH3 of the body (64 bits, low byte first), and the body: one array.
-#ifndef BURLFALL_EJECTION_BYTES_H_
-#define BURLFALL_EJECTION_BYTES_H_
+#ifndef BURLFALL_EJECTION_FRAMING_H_
+#define BURLFALL_EJECTION_FRAMING_H_
 
 #include <cstdint>
 #include <optional>
@@ -17,30 +17,30 @@
 
 namespace burlfall::ejection {
 
-struct Slip {};  // the bytes are not what they must be
+struct DecodeError {};  // the bytes are not what they must be
 
 // The values of one array, in turn. Throws Slip.
-class Values {
+class ArrayReader {
  public:
-  explicit Values(const msgpack::object& from) : array_(from.via.array) {
-    if (from.type != msgpack::type::ARRAY) throw Slip{};
+  explicit ArrayReader(const msgpack::object& from) : array_(from.via.array) {
+    if (from.type != msgpack::type::ARRAY) throw DecodeError{};
   }
   const msgpack::object& Next() {
-    if (at_ >= array_.size) throw Slip{};
+    if (at_ >= array_.size) throw DecodeError{};
     return array_.ptr[at_++];
   }
-  uint64_t Number(uint64_t most = UINT64_MAX) {
+  uint64_t Number(uint64_t max = UINT64_MAX) {
     const msgpack::object& one = Next();
-    if (one.type != msgpack::type::POSITIVE_INTEGER || one.via.u64 > most) throw Slip{};
+    if (one.type != msgpack::type::POSITIVE_INTEGER || one.via.u64 > max) throw DecodeError{};
     return one.via.u64;
   }
-  uint32_t Small(uint32_t most = UINT32_MAX) { return static_cast<uint32_t>(Number(most)); }
+  uint32_t Number32(uint32_t max = UINT32_MAX) { return static_cast<uint32_t>(Number(max)); }
   // A time or span; negative ones are none of ours, but for a vote's numbers, which are judged, not refused
   // here.
-  Micros Span() {
+  Micros Duration() {
     const msgpack::object& one = Next();
     if (one.type == msgpack::type::NEGATIVE_INTEGER) return one.via.i64;
-    if (one.type != msgpack::type::POSITIVE_INTEGER || one.via.u64 > uint64_t{INT64_MAX}) throw Slip{};
+    if (one.type != msgpack::type::POSITIVE_INTEGER || one.via.u64 > uint64_t{INT64_MAX}) throw DecodeError{};
     return static_cast<Micros>(one.via.u64);
   }
   bool Flag() { return Number(1) == 1; }
@@ -48,25 +48,25 @@
     const msgpack::object& one = Next();
     // The writer makes whole numbers of 0.0 and 1.0.
     if (one.type == msgpack::type::POSITIVE_INTEGER && one.via.u64 <= 1) return one.via.u64 == 1 ? 1 : 0;
-    if (one.type != msgpack::type::FLOAT64 || !(one.via.f64 >= 0 && one.via.f64 <= 1)) throw Slip{};
+    if (one.type != msgpack::type::FLOAT64 || !(one.via.f64 >= 0 && one.via.f64 <= 1)) throw DecodeError{};
     return one.via.f64;
   }
   template <typename E>
-  E Choice(E last) {
+  E Enumerator(E last) {
     return static_cast<E>(Number(static_cast<uint64_t>(last)));
   }
-  std::string Text(size_t most = kLongestName) {
+  std::string Text(size_t max = kMaxNameBytes) {
     const msgpack::object& one = Next();
-    if (one.type != msgpack::type::STR || one.via.str.size > most) throw Slip{};
+    if (one.type != msgpack::type::STR || one.via.str.size > max) throw DecodeError{};
     std::string text(one.via.str.ptr, one.via.str.size);
     for (const char c : text) {  // it goes into logs, tables and files
-      if (static_cast<unsigned char>(c) < 0x20 || c == 0x7f) throw Slip{};
+      if (static_cast<unsigned char>(c) < 0x20 || c == 0x7f) throw DecodeError{};
     }
     return text;
   }
-  Values Array(uint32_t most) {
-    Values inner(Next());
-    if (inner.size() > most) throw Slip{};
+  ArrayReader Array(uint32_t max) {
+    ArrayReader inner(Next());
+    if (inner.size() > max) throw DecodeError{};
     return inner;
   }
   uint32_t size() const { return array_.size; }
@@ -78,7 +78,7 @@
 
 using Packer = msgpack::packer<msgpack::sbuffer>;
 
-inline void Put(Packer& to, const std::string& text) {
+inline void PackText(Packer& to, const std::string& text) {
   to.pack_str(static_cast<uint32_t>(text.size()));
   to.pack_str_body(text.data(), static_cast<uint32_t>(text.size()));
 }
@@ -91,9 +91,9 @@
 }
 
 // `take` gets the body's Values; nothing where the frame is not whole or `take` slips.
-template <typename Take>
-auto Unframe(std::string_view magic, std::string_view frame, uint32_t most_items, Take take)
-    -> std::optional<decltype(take(std::declval<Values>()))> {
+template <typename UnpackCommand>
+auto Unframe(std::string_view magic, std::string_view frame, uint32_t max_items, UnpackCommand decode)
+    -> std::optional<decltype(decode(std::declval<ArrayReader>()))> {
   if (!frame.starts_with(magic) || frame.size() < magic.size() + 8) return std::nullopt;
   uint64_t sum = 0;
   for (size_t byte = 0; byte < 8; ++byte) {
@@ -102,13 +102,13 @@
   const std::string_view body = frame.substr(magic.size() + 8);
   if (XXH3_64bits(body.data(), body.size()) != sum) return std::nullopt;
   try {
-    const msgpack::unpack_limit limit(most_items, 0, 4 * kLongestName, 0, 0, 8);
+    const msgpack::unpack_limit limit(max_items, 0, 4 * kMaxNameBytes, 0, 0, 8);
     size_t used = 0;
     const msgpack::object_handle handle =
         msgpack::unpack(body.data(), body.size(), used, nullptr, nullptr, limit);
     if (used != body.size()) return std::nullopt;
-    return take(Values(handle.get()));
-  } catch (const Slip&) {
+    return decode(ArrayReader(handle.get()));
+  } catch (const DecodeError&) {
     return std::nullopt;
   } catch (const msgpack::unpack_error&) {
     return std::nullopt;
@@ -117,4 +117,4 @@
 
 }  // namespace burlfall::ejection
 
-#endif  // BURLFALL_EJECTION_BYTES_H_
+#endif  // BURLFALL_EJECTION_FRAMING_H_
--- a/src/ejection/names.cpp
+++ b/src/ejection/names.cpp
@@ -6,7 +6,7 @@
   switch (command.what) {
     case Command::What::kVote:
       return command.vote.balancer;
-    case Command::What::kGood:
+    case Command::What::kGoodReport:
       return command.good.balancer;
     case Command::What::kOperator:
       return command.who;
@@ -23,21 +23,21 @@
       return "errors";
     case Kind::kSlow:
       return "slow";
-    case Kind::kSpoilt:
+    case Kind::kMalformed:
       return "spoilt";
   }
   return "?";
 }
 
-const char* NameOf(Operator what) {
+const char* NameOf(OperatorAction what) {
   switch (what) {
-    case Operator::kEnd:
+    case OperatorAction::kEnd:
       return "end";
-    case Operator::kForbid:
+    case OperatorAction::kForbid:
       return "forbid";
-    case Operator::kExtend:
+    case OperatorAction::kExtend:
       return "extend";
-    case Operator::kAllow:
+    case OperatorAction::kAllow:
       return "allow";
   }
   return "?";
@@ -55,15 +55,15 @@
       return "balancer unknown";
     case Refusal::kOtherZone:
       return "another zone";
-    case Refusal::kOldLife:
+    case Refusal::kOldIncarnation:
       return "another life";
-    case Refusal::kCantBe:
+    case Refusal::kInvalidNumbers:
       return "numbers that can't be";
     case Refusal::kTooMany:
       return "too many";
     case Refusal::kInGrace:
       return "in grace";
-    case Refusal::kNotTold:
+    case Refusal::kNotChosenToTry:
       return "not told to try";
     case Refusal::kNotEjected:
       return "not ejected";
@@ -85,15 +85,15 @@
       return "see that this balancer is a member and uses the host";
     case Refusal::kOtherZone:
       return "see the zone in this balancer's configuration: the council has another";
-    case Refusal::kOldLife:
+    case Refusal::kOldIncarnation:
       return "the host has been restarted, or one list is older; nothing to do";
-    case Refusal::kCantBe:
+    case Refusal::kInvalidNumbers:
       return "this balancer tells nonsense: take it out, and keep its log";
     case Refusal::kTooMany:
       return "this balancer tells too much: see its network, then its log";
     case Refusal::kInGrace:
       return "the host has just come; nothing to do";
-    case Refusal::kNotTold:
+    case Refusal::kNotChosenToTry:
       return "nothing to do, unless it comes again and again: then see that balancer's log";
     case Refusal::kNotEjected:
       return "see which hosts are ejected: burlfall council status";
@@ -103,45 +103,45 @@
   return "?";
 }
 
-const char* NameOf(Held held) {
+const char* NameOf(HoldReason held) {
   switch (held) {
-    case Held::kNone:
+    case HoldReason::kNone:
       return "none";
-    case Held::kGroupCap:
+    case HoldReason::kGroupCap:
       return "cap of the group";
-    case Held::kZoneCap:
+    case HoldReason::kZoneCap:
       return "cap of the zone";
-    case Held::kWork:
+    case HoldReason::kCapacity:
       return "the rest can't carry the work";
-    case Held::kLastOfGroup:
+    case HoldReason::kLastOfGroup:
       return "last of its group";
-    case Held::kLastOfZone:
+    case HoldReason::kLastOfZone:
       return "last of its zone";
-    case Held::kMany:
+    case HoldReason::kManySuspects:
       return "many at once";
-    case Held::kForbidden:
+    case HoldReason::kForbidden:
       return "forbidden by an operator";
   }
   return "?";
 }
 
-const char* NameOf(Over over) {
-  switch (over) {
-    case Over::kTrialGood:
+const char* NameOf(ReturnReason return_reason) {
+  switch (return_reason) {
+    case ReturnReason::kTrialGood:
       return "a good trial";
-    case Over::kNoTrial:
+    case ReturnReason::kNoTrial:
       return "nobody tried in time";
-    case Over::kOperator:
+    case ReturnReason::kOperator:
       return "an operator";
-    case Over::kByHand:
+    case ReturnReason::kByHand:
       return "out by hand";
-    case Over::kNewLife:
+    case ReturnReason::kNewIncarnation:
       return "a new life";
-    case Over::kGone:
+    case ReturnReason::kLeftGroup:
       return "gone from the group";
-    case Over::kDrains:
+    case ReturnReason::kDraining:
       return "it drains";
-    case Over::kCap:
+    case ReturnReason::kCapReduced:
       return "the group became smaller";
   }
   return "?";
--- a/src/lab/ejection_world/judge.cpp
+++ b/src/lab/ejection_world/checker.cpp
@@ -1,4 +1,4 @@
-#include "lab/ejection_world/judge.h"
+#include "lab/ejection_world/checker.h"
 
 #include <algorithm>
 
@@ -21,41 +21,43 @@
   return key.append(1, ' ').append(host);
 }
 
-size_t CapOf(double share, size_t of) {
+size_t CapFor(double share, size_t of) {
   return std::max<size_t>(1, static_cast<size_t>(share * static_cast<double>(of) + 1e-9));
 }
 
 }  // namespace
 
-void Judge::Broken(Micros at, const std::string& what) {
-  if (broken_.size() < 100) broken_.push_back(std::to_string(at / kMs) + " ms: " + what);
+void Checker::AddViolation(Micros at, const std::string& what) {
+  if (violations_.size() < 100) violations_.push_back(std::to_string(at / kMs) + " ms: " + what);
 }
 
-bool Judge::CanBe(const Said& said) const {
-  const ejection::Vote& vote = said.vote;
+bool Checker::HasValidNumbers(const SentVote& sent_votes) const {
+  const ejection::Vote& vote = sent_votes.vote;
   return vote.failures >= 1 && vote.failures <= vote.trials && vote.window >= 0 &&
-         vote.window <= rules_.window + kSecond && vote.lasts <= rules_.vote_lasts;
+         vote.window <= rules_.window + kSecond && vote.lifetime <= rules_.vote_lifetime;
 }
 
-void Judge::CheckVotes(const Event& out) {
+void Checker::CheckVotes(const Event& out) {
   // Whoever accuses many is no witness: counted over all that it said and did not take back.
   std::map<std::string, size_t> against;
-  for (const auto& [host, said] : votes_) {
+  for (const auto& [host, sent_votes] : votes_) {
     std::set<std::string> by;
-    for (const Said& one : said) {
-      if (one.at + one.vote.lasts > out.at && CanBe(one)) by.insert(one.vote.balancer);
+    for (const SentVote& one : sent_votes) {
+      if (one.at + one.vote.lifetime > out.at && HasValidNumbers(one)) by.insert(one.vote.balancer);
     }
     for (const std::string& balancer : by) ++against[balancer];
   }
   const Group& group = groups_.back().second;
   std::set<std::string> voters, zones;
-  for (const Said& one : votes_[out.host]) {
+  for (const SentVote& one : votes_[out.host]) {
     const ejection::Vote& vote = one.vote;
-    if (vote.life != out.life || one.at + vote.lasts + late_ < out.at || !CanBe(one)) continue;
+    if (vote.incarnation != out.incarnation || one.at + vote.lifetime + max_delay_ < out.at ||
+        !HasValidNumbers(one))
+      continue;
     const auto from = std::ranges::find(group.balancers, vote.balancer, &ejection::Balancer::name);
     if (from == group.balancers.end() || from->zone != vote.zone || !Uses(*from, out.host)) continue;
     const size_t used = from->hosts.empty() ? group.hosts.size() : from->hosts.size();
-    if (against[vote.balancer] >= 2 * rules_.suspect_least &&
+    if (against[vote.balancer] >= 2 * rules_.suspect_min_hosts &&
         static_cast<double>(against[vote.balancer]) > 2 * rules_.suspect_share * static_cast<double>(used)) {
       continue;
     }
@@ -69,45 +71,45 @@
   for (const ejection::Balancer& one : group.balancers) {
     if (Uses(one, out.host)) using_zones.insert(one.zone);
   }
-  if (voters.size() < rules_.voters_least) {
-    Broken(out.at, out.host + " ejected by " + std::to_string(voters.size()) + " voters");
-  } else if (zones.size() < std::min<size_t>(rules_.zones_least, using_zones.size())) {
-    Broken(out.at, out.host + " ejected by one zone alone");
+  if (voters.size() < rules_.min_voters) {
+    AddViolation(out.at, out.host + " ejected by " + std::to_string(voters.size()) + " voters");
+  } else if (zones.size() < std::min<size_t>(rules_.min_zones, using_zones.size())) {
+    AddViolation(out.at, out.host + " ejected by one zone alone");
   }
 }
 
-void Judge::CheckSeen(const Event& out) {
+void Checker::CheckMajoritySeesFailures(const Event& out) {
   // Good for most: by what the host is, and by what they themselves had from it.
   size_t users = 0, clean = 0;
   for (const ejection::Balancer& one : groups_.back().second.balancers) {
     if (!Uses(one, out.host)) continue;
     ++users;
     const auto failed = failed_.find(Pair(one.name, out.host));
-    const auto served = served_.find(Pair(one.name, out.host));
-    if (served == served_.end() || served->second + rules_.window < out.at) continue;
+    const auto served = last_served_.find(Pair(one.name, out.host));
+    if (served == last_served_.end() || served->second + rules_.window < out.at) continue;
     clean += failed == failed_.end() || failed->second + rules_.window < out.at ? 1 : 0;
   }
   size_t most = 0;
   const auto& course = truth_[out.host];
   for (size_t i = 0; i < course.size(); ++i) {
-    const bool over = i + 1 < course.size() && course[i + 1].first + rules_.window + late_ < out.at;
+    const bool over = i + 1 < course.size() && course[i + 1].first + rules_.window + max_delay_ < out.at;
     if (!over) most = std::max(most, course[i].second.size());
   }
   if (2 * most < users && 2 * clean > users) {
-    Broken(out.at,
-           out.host + " ejected, good for all but " + std::to_string(most) + " of " + std::to_string(users));
+    AddViolation(out.at, out.host + " ejected, good for all but " + std::to_string(most) + " of " +
+                             std::to_string(users));
   }
 }
 
-void Judge::CheckCap(Micros at, const std::string& balancer) {
+void Checker::CheckCap(Micros at, const std::string& balancer) {
   // A balancer may still go by a group that was, as long as word takes.
   size_t cap = 0;
   for (const auto& [since, group] : groups_)
-    cap = std::max(cap, CapOf(rules_.most_group, group.hosts.size()));
+    cap = std::max(cap, CapFor(rules_.max_group_share, group.hosts.size()));
   const auto& out = out_[balancer];
   if (out.size() > cap) {
-    Broken(at, balancer + " has " + std::to_string(out.size()) + " hosts out, past the cap of " +
-                   std::to_string(cap));
+    AddViolation(at, balancer + " has " + std::to_string(out.size()) + " hosts out, past the cap of " +
+                         std::to_string(cap));
   }
   if (groups_.size() > 1) return;                          // these two ask for a group that all agree on
   std::map<std::string, std::pair<size_t, size_t>> zones;  // hosts, out
@@ -118,28 +120,28 @@
   }
   for (const auto& [zone, counts] : zones) {
     if (counts.second > 0 && counts.second == counts.first) {
-      Broken(at, balancer + " has the last host of " + zone + " out");
-    } else if (counts.second > CapOf(rules_.most_zone, counts.first)) {
-      Broken(at, balancer + " is past the cap of " + zone);
+      AddViolation(at, balancer + " has the last host of " + zone + " out");
+    } else if (counts.second > CapFor(rules_.max_zone_share, counts.first)) {
+      AddViolation(at, balancer + " is past the cap of " + zone);
     }
   }
 }
 
-void Judge::CheckEnds(Micros at) {
+void Checker::CheckEnds(Micros at) {
   for (auto& [balancer, hosts] : out_) {
     for (auto& [host, out] : hosts) {
-      if (out.until >= at || out.told) continue;
-      out.told = true;
-      Broken(at, host + " is out at " + balancer + " past its term");
+      if (out.until >= at || out.reported) continue;
+      out.reported = true;
+      AddViolation(at, host + " is out at " + balancer + " past its term");
     }
   }
 }
 
-void Judge::Hear(const Event& event) {
-  if (event.at - checked_ >= kSecond) {
-    checked_ = event.at;
+void Checker::OnEvent(const Event& event) {
+  if (event.at - last_check_ >= kSecond) {
+    last_check_ = event.at;
     CheckEnds(event.at);
-    while (groups_.size() > 1 && groups_[1].first + late_ < event.at) {
+    while (groups_.size() > 1 && groups_[1].first + max_delay_ < event.at) {
       groups_.pop_front();
       if (groups_.size() == 1) {
         for (const auto& [balancer, hosts] : out_) CheckCap(event.at, balancer);
@@ -157,54 +159,56 @@
     case Event::What::kVote: {
       auto& votes = votes_[event.vote.host];
       votes.push_back({event.vote, event.at});
-      while (votes.front().at + 2 * rules_.vote_lasts + late_ < event.at) votes.pop_front();
+      while (votes.front().at + 2 * rules_.vote_lifetime + max_delay_ < event.at) votes.pop_front();
       break;
     }
-    case Event::What::kTakeBack:
+    case Event::What::kWithdrawVote:
       // It may have counted on its way: it is no vote any more once all have heard.
-      for (Said& said : votes_[event.host]) {
-        if (said.vote.balancer == event.balancer) {
-          said.vote.lasts = std::min(said.vote.lasts, event.at - said.at + late_);
+      for (SentVote& sent_votes : votes_[event.host]) {
+        if (sent_votes.vote.balancer == event.balancer) {
+          sent_votes.vote.lifetime =
+              std::min(sent_votes.vote.lifetime, event.at - sent_votes.at + max_delay_);
         }
       }
       break;
     case Event::What::kResult:
       if (event.good) {
-        served_[Pair(event.balancer, event.host)] = event.at;
+        last_served_[Pair(event.balancer, event.host)] = event.at;
       } else {
         last_failed_[event.host] = failed_[Pair(event.balancer, event.host)] = event.at;
       }
       break;
     case Event::What::kByHand:
-      by_hand_[event.host] = event.at + event.span + late_;
+      by_hand_[event.host] = event.at + event.span + max_delay_;
       break;
-    case Event::What::kOut: {
+    case Event::What::kEjected: {
       const bool first = ejected_.insert({event.host, event.number}).second;
       if (first) {
         CheckVotes(event);
-        CheckSeen(event);
+        CheckMajoritySeesFailures(event);
         const auto* host = Find(groups_.back().second, event.host);
-        if (groups_.size() == 1 && (host == nullptr || host->life != event.life)) {
-          Broken(event.at, event.host + " ejected in a life that it has not");
+        if (groups_.size() == 1 && (host == nullptr || host->incarnation != event.incarnation)) {
+          AddViolation(event.at, event.host + " ejected in a life that it has not");
         }
       }
       Out& out = out_[event.balancer][event.host];
       const bool again = out.number == event.number && out.since != 0;
-      if (again && last_failed_[event.host] < out.since - late_ && by_hand_[event.host] < event.at) {
-        Broken(event.at, event.host + " stays out without a bad trial");
+      if (again && last_failed_[event.host] < out.since - max_delay_ && by_hand_[event.host] < event.at) {
+        AddViolation(event.at, event.host + " stays out without a bad trial");
       }
-      const Micros term = rules_.longest_term + rules_.try_one + rules_.try_few + late_;
-      out = {event.life, event.number, event.at, std::max(event.at + term, by_hand_[event.host] + term),
-             false};
+      const Micros term =
+          rules_.max_term + rules_.single_trial_timeout + rules_.multi_trial_timeout + max_delay_;
+      out = {event.incarnation, event.number, event.at,
+             std::max(event.at + term, by_hand_[event.host] + term), false};
       CheckCap(event.at, event.balancer);
       break;
     }
-    case Event::What::kIn:
+    case Event::What::kReturned:
       out_[event.balancer].erase(event.host);
       break;
   }
 }
 
-void Judge::Finish(Micros at) { CheckEnds(at); }
+void Checker::Finish(Micros at) { CheckEnds(at); }
 
 }  // namespace burlfall::ejection_world
--- a/src/lab/ejection_world/fleet.cpp
+++ b/src/lab/ejection_world/fleet.cpp
@@ -15,31 +15,31 @@
 
 using ejection::Command;
 using ejection::Effect;
+using ejection::Incarnation;
 using ejection::Kind;
-using ejection::Life;
 
 constexpr int kFailuresToSleep = 3;
-constexpr Micros kFirstSleep = kSecond, kLongestSleep = 30 * kSecond, kHoldDown = 5 * kSecond;
-constexpr Micros kEvery = 100 * kMs;    // of owner, leader and balancers
-constexpr Micros kLogDelay = 30 * kMs;  // from a proposal to its entry
-constexpr Micros kFollows = 20 * kMs;   // from an entry to the balancers
-constexpr Micros kLate = 15 * kSecond;  // the longest that a plan makes anybody deaf
+constexpr Micros kFirstSleep = kSecond, kMaxSleep = 30 * kSecond, kHoldDown = 5 * kSecond;
+constexpr Micros kTickInterval = 100 * kMs;  // of owner, leader and balancers
+constexpr Micros kLogDelay = 30 * kMs;       // from a proposal to its entry
+constexpr Micros kApplyDelay = 20 * kMs;     // from an entry to the balancers
+constexpr Micros kMaxDelay = 15 * kSecond;   // the longest that a plan makes anybody deaf
 constexpr std::array<double, 3> kClassShare = {0.6, 0.3, 0.1};
 
 // Chance: SplitMix64.
-class Chance {
+class Random {
  public:
-  explicit Chance(uint64_t seed) : state_(seed * 0x9e3779b97f4a7c15ULL + 1) {}
-  uint64_t Draw() {
+  explicit Random(uint64_t seed) : state_(seed * 0x9e3779b97f4a7c15ULL + 1) {}
+  uint64_t Next() {
     uint64_t z = state_ += 0x9e3779b97f4a7c15ULL;
     z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ULL;
     z = (z ^ (z >> 27)) * 0x94d049bb133111ebULL;
     return z ^ (z >> 31);
   }
-  size_t Below(size_t n) { return static_cast<size_t>(Draw() % n); }
-  double Share() { return static_cast<double>(Draw() >> 11) * 0x1p-53; }
-  bool In(double share) { return Share() < share; }
-  Micros Wait(double mean) { return static_cast<Micros>(-std::log(1 - Share()) * mean) + 1; }
+  size_t Below(size_t n) { return static_cast<size_t>(Next() % n); }
+  double Share() { return static_cast<double>(Next() >> 11) * 0x1p-53; }
+  bool WithProbability(double share) { return Share() < share; }
+  Micros Exponential(double mean) { return static_cast<Micros>(-std::log(1 - Share()) * mean) + 1; }
   Micros Between(Micros from, Micros to) {
     return from + static_cast<Micros>(Below(static_cast<size_t>(to - from) + 1));
   }
@@ -48,7 +48,7 @@
   uint64_t state_;
 };
 
-struct Link {  // what a balancer's module knows of a host
+struct HostLink {  // what a balancer's module knows of a host
   int failures = 0;
   int in_flight = 0;
   bool asleep = false;
@@ -56,49 +56,49 @@
   bool trial = false;  // under way
   Micros sleep = 0;
   Micros wake_at = 0;
-  Micros lost_at = 0;
+  Micros slept_at = 0;
 };
 
-struct One {  // balancer
+struct SimBalancer {  // balancer
   std::string name;
   size_t zone = 0;
   size_t build = 0;
   Micros clock = 0;  // own clock less the lab's
   std::vector<size_t> uses;
-  std::vector<Link> links;
+  std::vector<HostLink> links;
   std::set<size_t> asleep;
-  std::vector<Life> lives;   // as its list has them
-  std::vector<uint8_t> out;  // by InForce
+  std::vector<Incarnation> incarnations;  // as its list has them
+  std::vector<uint8_t> out;               // by InForce
   std::vector<uint64_t> number;
   ejection::Evidence evidence;
-  ejection::InForce in_force;
-  size_t heard = 0;  // entries of the log
+  ejection::ActiveEjections active;
+  size_t applied_entries = 0;  // entries of the log
 };
 
-struct Site {  // host
+struct SimHost {  // host
   std::string name;
   size_t zone = 0;
-  Life life = 1;
-  bool there = true;
+  Incarnation incarnation = 1;
+  bool present = true;
   bool draining = false;
   bool by_hand = false;
-  std::vector<const Trouble*> troubles;
+  std::vector<const HostFault*> faults;
 };
 
-struct Happens {
-  enum class What { kQuery, kAnswer, kTick, kEntry, kFollow, kAct, kLives, kTruth };
+struct SimEvent {
+  enum class What { kQuery, kAnswer, kTick, kEntry, kApplyLog, kAct, kIncarnationKnown, kTruth };
   Micros at = 0;
   uint64_t order = 0;
   What what = What::kTick;
   size_t balancer = 0;
   size_t host = 0;
   uint32_t cls = 0;
-  Life life = 0;
-  Micros took = 0;
+  Incarnation incarnation = 0;
+  Micros latency = 0;
   int failed = -1;  // a Kind
   bool trial = false;
-  bool told = false;  // to try, by the council
-  bool operator<(const Happens& other) const {
+  bool vote_trace = false;  // to try, by the council
+  bool operator<(const SimEvent& other) const {
     return std::pair(at, order) > std::pair(other.at, other.order);
   }
 };
@@ -112,297 +112,306 @@
 class Fleet {
  public:
   explicit Fleet(const Plan& plan)
-      : plan_(plan), chance_(plan.seed), state_(plan.rules), twin_(plan.rules), judge_(plan.rules, kLate) {
+      : plan_(plan),
+        random_(plan.seed),
+        state_(plan.rules),
+        replica_(plan.rules),
+        checker_(plan.rules, kMaxDelay) {
     for (size_t i = 0; i < plan.hosts; ++i) {
-      sites_.push_back(
+      hosts_.push_back(
           {std::string("h").append(std::to_string(i)), i % plan.zones, 1, true, false, false, {}});
-      by_name_[sites_.back().name] = i;
+      by_name_[hosts_.back().name] = i;
     }
-    for (const Trouble& trouble : plan.troubles) sites_[trouble.host].troubles.push_back(&trouble);
+    for (const HostFault& fault : plan.faults) hosts_[fault.host].faults.push_back(&fault);
     for (size_t i = 0; i < plan.balancers; ++i) {
       const std::string name = std::string("b").append(std::to_string(i)), zone = Zone(i % plan.zones);
-      One one{name,
-              i % plan.zones,
-              (i / plan.zones) % plan.builds,
-              chance_.Between(0, 3600 * kSecond),
-              {},
-              {},
-              {},
-              {},
-              {},
-              {},
-              ejection::Evidence(plan.rules, name, zone),
-              ejection::InForce(plan.rules),
-              0};
+      SimBalancer one{name,
+                      i % plan.zones,
+                      (i / plan.zones) % plan.builds,
+                      random_.Between(0, 3600 * kSecond),
+                      {},
+                      {},
+                      {},
+                      {},
+                      {},
+                      {},
+                      ejection::Evidence(plan.rules, name, zone),
+                      ejection::ActiveEjections(plan.rules),
+                      0};
       one.links.resize(plan.hosts);
-      one.lives.assign(plan.hosts, 1);
+      one.incarnations.assign(plan.hosts, 1);
       one.out.assign(plan.hosts, 0);
       one.number.assign(plan.hosts, 0);
       for (size_t host = 0; host < plan.hosts; ++host) one.uses.push_back(host);
-      for (const auto& [balancer, host] : plan.alone) {
+      for (const auto& [balancer, host] : plan.single_host_users) {
         if (balancer == i) one.uses = {host};
       }
-      all_.push_back(std::move(one));
+      balancers_.push_back(std::move(one));
     }
   }
 
-  Figures Run() {
-    TellGroup();
-    for (size_t i = 0; i < all_.size(); ++i) NextQuery(i);
-    Add({.at = kEvery, .what = Happens::What::kTick});
-    for (size_t i = 0; i < plan_.acts.size(); ++i) {
-      Add({.at = plan_.acts[i].at, .what = Happens::What::kAct, .host = i});
+  Results Run() {
+    ProposeGroup();
+    for (size_t i = 0; i < balancers_.size(); ++i) NextQuery(i);
+    Schedule({.at = kTickInterval, .what = SimEvent::What::kTick});
+    for (size_t i = 0; i < plan_.actions.size(); ++i) {
+      Schedule({.at = plan_.actions[i].at, .what = SimEvent::What::kAct, .host = i});
     }
-    for (size_t host = 0; host < sites_.size(); ++host) {
-      Truth(host);
-      for (const Broken& broken : plan_.broken) {
-        Add({.at = broken.begin, .what = Happens::What::kTruth, .host = host});
-        Add({.at = broken.end, .what = Happens::What::kTruth, .host = host});
+    for (size_t host = 0; host < hosts_.size(); ++host) {
+      ReportTruth(host);
+      for (const NetworkOutage& broken : plan_.outages) {
+        Schedule({.at = broken.begin, .what = SimEvent::What::kTruth, .host = host});
+        Schedule({.at = broken.end, .what = SimEvent::What::kTruth, .host = host});
       }
-      for (const Trouble* trouble : sites_[host].troubles) {
-        for (Micros at = trouble->begin;
-             at<std::min(trouble->end, plan_.span); at += trouble->period> 0 ? trouble->period : kNever / 2) {
-          Add({.at = at, .what = Happens::What::kTruth, .host = host});
+      for (const HostFault* fault : hosts_[host].faults) {
+        for (Micros at = fault->begin;
+             at<std::min(fault->end, plan_.span); at += fault->period> 0 ? fault->period : kNever / 2) {
+          Schedule({.at = at, .what = SimEvent::What::kTruth, .host = host});
         }
-        if (trouble->end < plan_.span) Add({.at = trouble->end, .what = Happens::What::kTruth, .host = host});
+        if (fault->end < plan_.span)
+          Schedule({.at = fault->end, .what = SimEvent::What::kTruth, .host = host});
       }
     }
     while (!queue_.empty() && queue_.top().at <= plan_.span) {
-      const Happens next = queue_.top();
+      const SimEvent next = queue_.top();
       queue_.pop();
       now_ = next.at;
-      Do(next);
+      Handle(next);
     }
-    judge_.Finish(plan_.span);
-    figures_.broken = judge_.broken();
-    if (plan_.votes) figures_.ejections = judge_.ejections();
-    figures_.differs |= state_.Save() != twin_.Save();
-    return figures_;
+    checker_.Finish(plan_.span);
+    results_.violations = checker_.violations();
+    if (plan_.votes) results_.ejections = checker_.ejections();
+    results_.replicas_differ |= state_.Save() != replica_.Save();
+    return results_;
   }
 
  private:
   static std::string Zone(size_t zone) { return "z" + std::to_string(zone); }
-  Micros Own(const One& one) const { return now_ + one.clock; }
+  Micros OwnClock(const SimBalancer& one) const { return now_ + one.clock; }
 
-  void Add(Happens what) {
+  void Schedule(SimEvent what) {
     what.order = ++order_;
     queue_.push(what);
   }
   void NextQuery(size_t balancer) {
     const double mean = 1e6 * static_cast<double>(plan_.balancers) / plan_.rate;
-    Add({.at = now_ + chance_.Wait(mean), .what = Happens::What::kQuery, .balancer = balancer});
+    Schedule({.at = now_ + random_.Exponential(mean), .what = SimEvent::What::kQuery, .balancer = balancer});
   }
-  bool Hears(size_t balancer) const {
-    return CouncilUp() && std::ranges::none_of(plan_.deaf, [&](const auto& deaf) {
-             return deaf.first == balancer && deaf.second.begin <= now_ && now_ < deaf.second.end;
+  bool ReceivesLog(size_t balancer) const {
+    return CouncilUp() && std::ranges::none_of(plan_.partitioned, [&](const auto& partitioned) {
+             return partitioned.first == balancer && partitioned.second.begin <= now_ &&
+                    now_ < partitioned.second.end;
            });
   }
   bool CouncilUp() const {
-    return std::ranges::none_of(plan_.without_council,
+    return std::ranges::none_of(plan_.council_outages,
                                 [&](const Span& span) { return span.begin <= now_ && now_ < span.end; });
   }
 
-  static bool Meets(const Trouble& trouble, const One& one, uint32_t cls) {
-    return (trouble.zone < 0 || one.zone == static_cast<size_t>(trouble.zone)) &&
-           (trouble.build < 0 || one.build == static_cast<size_t>(trouble.build)) &&
-           (trouble.cls < 0 || cls == static_cast<uint32_t>(trouble.cls));
+  static bool Affects(const HostFault& fault, const SimBalancer& one, uint32_t cls) {
+    return (fault.zone < 0 || one.zone == static_cast<size_t>(fault.zone)) &&
+           (fault.build < 0 || one.build == static_cast<size_t>(fault.build)) &&
+           (fault.cls < 0 || cls == static_cast<uint32_t>(fault.cls));
   }
-  bool Now(const Trouble& trouble) const {
-    if (now_ < trouble.begin || now_ >= trouble.end) return false;
-    return trouble.period == 0 || (now_ - trouble.begin) / trouble.period % 2 == 0;
+  bool IsActive(const HostFault& fault) const {
+    if (now_ < fault.begin || now_ >= fault.end) return false;
+    return fault.period == 0 || (now_ - fault.begin) / fault.period % 2 == 0;
   }
 
   // Whom the host fails often now.
-  void Truth(size_t host) {
+  void ReportTruth(size_t host) {
     Event event;
     event.what = Event::What::kTruth;
     event.at = now_;
-    event.host = sites_[host].name;
-    for (const One& one : all_) {
-      const bool cut = std::ranges::any_of(plan_.broken, [&](const Broken& broken) {
+    event.host = hosts_[host].name;
+    for (const SimBalancer& one : balancers_) {
+      const bool cut_off = std::ranges::any_of(plan_.outages, [&](const NetworkOutage& broken) {
         return broken.zone == one.zone && broken.begin <= now_ && now_ < broken.end &&
-               (!broken.outside || sites_[host].zone != one.zone);
+               (!broken.outside || hosts_[host].zone != one.zone);
       });
-      if (cut) event.users.insert(one.name);
+      if (cut_off) event.users.insert(one.name);
       double share = 0;  // of the class that fares worst
       for (uint32_t cls = 0; cls < kClassShare.size(); ++cls) {
         double good = 1;
-        for (const Trouble* trouble : sites_[host].troubles) {
-          if (Now(*trouble) && Meets(*trouble, one, cls)) good *= 1 - trouble->share;
+        for (const HostFault* fault : hosts_[host].faults) {
+          if (IsActive(*fault) && Affects(*fault, one, cls)) good *= 1 - fault->share;
         }
         share = std::max(share, 1 - good);
       }
       if (share >= plan_.rules.bad_share * 0.9) event.users.insert(one.name);
     }
-    judge_.Hear(event);
+    checker_.OnEvent(event);
   }
 
   // What comes of a query that is sent now: none, or a kind, and how long it takes.
-  std::pair<int, Micros> Fate(const One& one, size_t host, uint32_t cls) {
-    for (const Broken& broken : plan_.broken) {
+  std::pair<int, Micros> Outcome(const SimBalancer& one, size_t host, uint32_t cls) {
+    for (const NetworkOutage& broken : plan_.outages) {
       if (broken.zone != one.zone || now_ < broken.begin || now_ >= broken.end) continue;
-      if (!broken.outside || sites_[host].zone != one.zone) return {int(Kind::kSilent), plan_.patience};
+      if (!broken.outside || hosts_[host].zone != one.zone) return {int(Kind::kSilent), plan_.query_timeout};
     }
-    const Micros took = chance_.Wait(static_cast<double>(plan_.took));
-    if (!sites_[host].there) return {int(Kind::kErrors), kMs};
-    for (const Trouble* trouble : sites_[host].troubles) {
-      if (!Now(*trouble) || !Meets(*trouble, one, cls) || !chance_.In(trouble->share)) continue;
-      if (trouble->kind == Kind::kSilent) return {int(Kind::kSilent), plan_.patience};
-      if (trouble->kind == Kind::kSlow) return {-1, 2 * plan_.patience + took};
-      return {int(trouble->kind), took};
+    const Micros latency = random_.Exponential(static_cast<double>(plan_.latency));
+    if (!hosts_[host].present) return {int(Kind::kErrors), kMs};
+    for (const HostFault* fault : hosts_[host].faults) {
+      if (!IsActive(*fault) || !Affects(*fault, one, cls) || !random_.WithProbability(fault->share)) continue;
+      if (fault->kind == Kind::kSilent) return {int(Kind::kSilent), plan_.query_timeout};
+      if (fault->kind == Kind::kSlow) return {-1, 2 * plan_.query_timeout + latency};
+      return {int(fault->kind), latency};
     }
-    if (chance_.In(plan_.luck)) return {int(Kind::kErrors), took};
-    return {-1, took};
+    if (random_.WithProbability(plan_.background_error_share)) return {int(Kind::kErrors), latency};
+    return {-1, latency};
   }
 
   void Query(size_t balancer) {
     NextQuery(balancer);
-    One& one = all_[balancer];
+    SimBalancer& one = balancers_[balancer];
     uint32_t cls = 0;
-    for (double draw = chance_.Share() - kClassShare[0]; draw >= 0 && cls + 1 < kClassShare.size();) {
+    for (double draw = random_.Share() - kClassShare[0]; draw >= 0 && cls + 1 < kClassShare.size();) {
       draw -= kClassShare[++cls];
     }
     // The council's word to try goes first, then a sleeper's own trial.
-    size_t host = sites_.size();
-    bool trial = false, told = false;
-    for (const size_t out : outs_) {
-      if (!one.out[out] || !one.in_force.TakeTry(sites_[out].name, one.lives[out])) continue;
+    size_t host = hosts_.size();
+    bool trial = false, vote_trace = false;
+    for (const size_t out : ever_ejected_) {
+      if (!one.out[out] || !one.active.ConsumeTrial(hosts_[out].name, one.incarnations[out])) continue;
       host = out;
-      told = true;
+      vote_trace = true;
       break;
     }
-    if (!told) {
+    if (!vote_trace) {
       for (const size_t sleeper : one.asleep) {
-        Link& link = one.links[sleeper];
-        if (link.trial || link.wake_at > now_ || !Free(one, sleeper)) continue;
+        HostLink& link = one.links[sleeper];
+        if (link.trial || link.wake_at > now_ || !IsEligible(one, sleeper)) continue;
         host = sleeper;
         trial = link.trial = true;
         break;
       }
     }
-    for (int round = 0, found = 0; !told && !trial && round < 20 && found < 2; ++round) {
-      const size_t drawn = one.uses[chance_.Below(one.uses.size())];
-      if (!Free(one, drawn) || one.links[drawn].asleep) continue;
+    for (int round = 0, found = 0; !vote_trace && !trial && round < 20 && found < 2; ++round) {
+      const size_t drawn = one.uses[random_.Below(one.uses.size())];
+      if (!IsEligible(one, drawn) || one.links[drawn].asleep) continue;
       ++found;
-      if (host == sites_.size() || one.links[drawn].in_flight < one.links[host].in_flight) host = drawn;
+      if (host == hosts_.size() || one.links[drawn].in_flight < one.links[host].in_flight) host = drawn;
     }
-    ++figures_.queries;
-    if (host == sites_.size()) {  // nobody is ready: refused
-      if (now_ >= plan_.measured_from) Lose(sites_.size());
+    ++results_.queries;
+    if (host == hosts_.size()) {  // nobody is ready: refused
+      if (now_ >= plan_.measured_from) CountLoss(hosts_.size());
       return;
     }
-    const auto [failed, took] = Fate(one, host, cls);
+    const auto [failed, latency] = Outcome(one, host, cls);
     ++one.links[host].in_flight;
-    Add({.at = now_ + took,
-         .what = Happens::What::kAnswer,
-         .balancer = balancer,
-         .host = host,
-         .cls = cls,
-         .life = one.lives[host],
-         .took = took,
-         .failed = failed,
-         .trial = trial,
-         .told = told});
-    if (now_ >= plan_.measured_from && (failed >= 0 || took >= plan_.patience)) Lose(host);
-  }
-  bool Free(const One& one, size_t host) const {
-    const Site& site = sites_[host];
-    return !one.out[host] && !site.by_hand && !site.draining && site.there;
-  }
-  void Lose(size_t host) {
-    ++figures_.lost;
-    if (now_ < plan_.measured_from + 60 * kSecond) ++figures_.lost_minute;
-    if (host >= sites_.size() || sites_[host].troubles.empty()) return;
-    ++figures_.lost_at_troubled;
-    if (now_ < plan_.measured_from + 60 * kSecond) ++figures_.lost_at_troubled_minute;
-  }
-
-  void Answer(const Happens& end) {
-    One& one = all_[end.balancer];
-    Link& link = one.links[end.host];
+    Schedule({.at = now_ + latency,
+              .what = SimEvent::What::kAnswer,
+              .balancer = balancer,
+              .host = host,
+              .cls = cls,
+              .incarnation = one.incarnations[host],
+              .latency = latency,
+              .failed = failed,
+              .trial = trial,
+              .vote_trace = vote_trace});
+    if (now_ >= plan_.measured_from && (failed >= 0 || latency >= plan_.query_timeout)) CountLoss(host);
+  }
+  bool IsEligible(const SimBalancer& one, size_t host) const {
+    const SimHost& sim_host = hosts_[host];
+    return !one.out[host] && !sim_host.by_hand && !sim_host.draining && sim_host.present;
+  }
+  void CountLoss(size_t host) {
+    ++results_.lost;
+    if (now_ < plan_.measured_from + 60 * kSecond) ++results_.lost_minute;
+    if (host >= hosts_.size() || hosts_[host].faults.empty()) return;
+    ++results_.lost_at_faulty;
+    if (now_ < plan_.measured_from + 60 * kSecond) ++results_.lost_at_faulty_minute;
+  }
+
+  void Answer(const SimEvent& end) {
+    SimBalancer& one = balancers_[end.balancer];
+    HostLink& link = one.links[end.host];
     --link.in_flight;
-    const std::string& name = sites_[end.host].name;
+    const std::string& name = hosts_[end.host].name;
     std::optional<Kind> failed;
     if (end.failed >= 0) failed = static_cast<Kind>(end.failed);
-    const bool late = end.took >= plan_.patience;
+    const bool late = end.latency >= plan_.query_timeout;
     if (plan_.votes) {
       Event event;
       event.what = Event::What::kResult;
       event.at = now_;
       event.balancer = one.name;
       event.host = name;
-      event.good = !failed && 3 * end.took < plan_.patience;  // slow against the others, before it is late
-      judge_.Hear(event);
-      if (end.told) {
-        Propose(end.balancer, one.evidence.Trial(name, end.life, late && !failed ? Kind::kSlow : failed));
+      event.good =
+          !failed && 3 * end.latency < plan_.query_timeout;  // slow against the others, before it is late
+      checker_.OnEvent(event);
+      if (end.vote_trace) {
+        Propose(end.balancer,
+                one.evidence.TrialCommand(name, end.incarnation, late && !failed ? Kind::kSlow : failed));
         return;
       }
-      one.evidence.Result(Own(one), name, end.life, end.cls, failed, end.took);
+      one.evidence.OnResult(OwnClock(one), name, end.incarnation, end.cls, failed, end.latency);
     }
     if (!failed && !late) {
       link.failures = 0;
       if (end.trial && link.asleep) {
         link.asleep = false;
         one.asleep.erase(end.host);
-        if (now_ - link.lost_at >= kHoldDown) link.sleep /= 2;
-        one.evidence.Asleep(name, false);
+        if (now_ - link.slept_at >= kHoldDown) link.sleep /= 2;
+        one.evidence.SetAsleep(name, false);
       }
     } else if ((link.asleep && end.trial) || (!link.asleep && ++link.failures >= kFailuresToSleep)) {
-      link.sleep = std::clamp(2 * link.sleep, kFirstSleep, kLongestSleep);
+      link.sleep = std::clamp(2 * link.sleep, kFirstSleep, kMaxSleep);
       link.wake_at = now_ + link.sleep;
-      link.lost_at = now_;
+      link.slept_at = now_;
       link.failures = 0;
       link.asleep = link.slept = true;
       one.asleep.insert(end.host);
-      one.evidence.Asleep(name, true);
-      Quiet();
+      one.evidence.SetAsleep(name, true);
+      UpdateQuietTime();
     }
     if (end.trial) link.trial = false;
   }
 
   // Whether the first troubled host has nothing new from anybody now.
-  void Quiet() {
-    if (figures_.quiet_after != kNever || plan_.troubles.empty() || now_ < plan_.measured_from) return;
-    const size_t host = plan_.troubles[0].host;
-    const bool quiet = std::ranges::all_of(all_, [&](const One& one) {
-      return one.out[host] != 0 || one.links[host].asleep || !Free(one, host);
+  void UpdateQuietTime() {
+    if (results_.quiet_after != kNever || plan_.faults.empty() || now_ < plan_.measured_from) return;
+    const size_t host = plan_.faults[0].host;
+    const bool quiet = std::ranges::all_of(balancers_, [&](const SimBalancer& one) {
+      return one.out[host] != 0 || one.links[host].asleep || !IsEligible(one, host);
     });
-    if (quiet) figures_.quiet_after = now_ - plan_.measured_from;
+    if (quiet) results_.quiet_after = now_ - plan_.measured_from;
   }
 
   void Propose(size_t balancer, Command command) {
     if (command.what == Command::What::kVote || command.what == Command::What::kWithdraw) {
       Event event;
       event.at = now_;
-      event.what = command.what == Command::What::kVote ? Event::What::kVote : Event::What::kTakeBack;
+      event.what = command.what == Command::What::kVote ? Event::What::kVote : Event::What::kWithdrawVote;
       event.vote = command.vote;
       event.balancer = command.balancer;
       event.host = command.host;
-      judge_.Hear(event);
+      checker_.OnEvent(event);
     }
-    if (balancer < all_.size() && !Hears(balancer)) return;  // lost on its way
-    if (balancer >= all_.size() && !CouncilUp()) return;
-    coming_.emplace_back(now_ + kLogDelay, std::move(command));
-    Add({.at = now_ + kLogDelay, .what = Happens::What::kEntry});
+    if (balancer < balancers_.size() && !ReceivesLog(balancer)) return;  // lost on its way
+    if (balancer >= balancers_.size() && !CouncilUp()) return;
+    pending_.emplace_back(now_ + kLogDelay, std::move(command));
+    Schedule({.at = now_ + kLogDelay, .what = SimEvent::What::kEntry});
   }
 
   ejection::Group Group() const {
     ejection::Group group;
-    group.used = plan_.used;
-    for (const Site& site : sites_) {
-      if (site.there)
-        group.hosts.push_back({site.name, Zone(site.zone), site.life, site.draining, site.by_hand, 1});
+    group.used_share = plan_.used_share;
+    for (const SimHost& sim_host : hosts_) {
+      if (sim_host.present)
+        group.hosts.push_back({sim_host.name, Zone(sim_host.zone), sim_host.incarnation, sim_host.draining,
+                               sim_host.by_hand, 1});
     }
-    for (const One& one : all_) {
+    for (const SimBalancer& one : balancers_) {
       ejection::Balancer balancer{one.name, Zone(one.zone), {}};
-      if (one.uses.size() < sites_.size()) {
-        for (const size_t host : one.uses) balancer.hosts.push_back(sites_[host].name);
+      if (one.uses.size() < hosts_.size()) {
+        for (const size_t host : one.uses) balancer.hosts.push_back(hosts_[host].name);
       }
       group.balancers.push_back(std::move(balancer));
     }
     return group;
   }
-  void TellGroup() {
+  void ProposeGroup() {
     Command command;
     command.what = Command::What::kHosts;
     command.group = Group();
@@ -410,178 +419,183 @@
     event.what = Event::What::kGroup;
     event.at = now_;
     event.group = command.group;
-    std::string bytes = Write(command);
-    if (bytes != group_bytes_) judge_.Hear(event);  // it is the same, told again
+    std::string bytes = EncodeCommand(command);
+    if (bytes != group_bytes_) checker_.OnEvent(event);  // it is the same, told again
     group_bytes_ = std::move(bytes);
-    group_told_ = now_;
+    group_proposed_at_ = now_;
     command.epoch = epoch_;
-    Propose(all_.size(), std::move(command));
+    Propose(balancers_.size(), std::move(command));
   }
 
-  void Entries() {
+  void AppendEntry() {
     // Of one time there is one event each; what stands first goes first.
-    const Command command = std::move(coming_.front().second);
-    coming_.pop_front();
+    const Command command = std::move(pending_.front().second);
+    pending_.pop_front();
     const Micros stamp = now_ + leader_clock_;
     Entry entry;
     entry.index = ++index_;
-    std::map<std::string, std::string> words;
-    if (plan_.tell && command.what == Command::What::kCount) {
-      for (const std::string& host : state_.InQuestion()) words[host] = Words(host);
+    std::map<std::string, std::string> reports;
+    if (plan_.trace_votes && command.what == Command::What::kCount) {
+      for (const std::string& host : state_.PolledHosts()) reports[host] = DescribeReports(host);
     }
     entry.effects = state_.Apply(index_, stamp, command);
     for (const Effect& effect : entry.effects) {
-      if (effect.what != Effect::What::kEject || !words.contains(effect.host)) continue;
-      figures_.told.push_back(std::to_string(now_ / kMs) + " ms: " + effect.host + words[effect.host]);
+      if (effect.what != Effect::What::kEject || !reports.contains(effect.host)) continue;
+      results_.vote_trace.push_back(std::to_string(now_ / kMs) + " ms: " + effect.host +
+                                    reports[effect.host]);
     }
     // The twin reads the bytes, and is saved and loaded now and then.
-    const auto read = ejection::ReadCommand(Write(command));
+    const auto read = ejection::DecodeCommand(EncodeCommand(command));
     if (!read) {
-      figures_.differs = true;
+      results_.replicas_differ = true;
     } else {
-      twin_.Apply(index_, stamp, *read);
+      replica_.Apply(index_, stamp, *read);
     }
     if (index_ % 64 == 0) {
-      const std::string saved = twin_.Save();
-      figures_.largest_state = std::max<uint64_t>(figures_.largest_state, saved.size());
+      const std::string saved = replica_.Save();
+      results_.largest_state = std::max<uint64_t>(results_.largest_state, saved.size());
       auto loaded = ejection::State::Load(saved, plan_.rules);
-      if (!loaded || loaded->Save() != saved) figures_.differs = true;
-      if (loaded) twin_ = std::move(*loaded);
-      if (saved != state_.Save()) figures_.differs = true;
+      if (!loaded || loaded->Save() != saved) results_.replicas_differ = true;
+      if (loaded) replica_ = std::move(*loaded);
+      if (saved != state_.Save()) results_.replicas_differ = true;
     }
-    ++figures_.entries;
+    ++results_.entries;
     if (now_ / kSecond != second_) {
       second_ = now_ / kSecond;
       in_second_ = 0;
     }
-    figures_.entries_most = std::max(figures_.entries_most, ++in_second_);
-    for (const Effect& effect : entry.effects) Note(effect, entry);
+    results_.max_entries_per_second = std::max(results_.max_entries_per_second, ++in_second_);
+    for (const Effect& effect : entry.effects) CountEffect(effect, entry);
     if (entry.effects.empty()) return;
     log_.push_back(std::move(entry));
-    Add({.at = now_ + kFollows, .what = Happens::What::kFollow});
+    Schedule({.at = now_ + kApplyDelay, .what = SimEvent::What::kApplyLog});
   }
-  std::string Words(const std::string& host) const {
-    std::string words;
+  std::string DescribeReports(const std::string& host) const {
+    std::string reports;
     for (const ejection::Vote& vote : state_.VotesAgainst(host)) {
-      words += " " + vote.balancer + "/" + vote.zone + (vote.sure ? "!" : "?") +
-               std::to_string(vote.failures) + ":" + std::to_string(vote.trials) + NameOf(vote.kind);
+      reports += " " + vote.balancer + "/" + vote.zone + (vote.sure ? "!" : "?") +
+                 std::to_string(vote.failures) + ":" + std::to_string(vote.trials) + NameOf(vote.kind);
     }
-    for (const ejection::Good& good : state_.GoodsFor(host)) {
-      words += " " + good.balancer + "/" + good.zone + "+" + std::to_string(good.trials);
+    for (const ejection::GoodReport& good : state_.GoodReportsFor(host)) {
+      reports += " " + good.balancer + "/" + good.zone + "+" + std::to_string(good.trials);
     }
-    return words;
+    return reports;
   }
-  void Note(const Effect& effect, Entry& entry) {
+  void CountEffect(const Effect& effect, Entry& entry) {
     switch (effect.what) {
       case Effect::What::kEject: {
         const size_t host = by_name_.at(effect.host);
         entry.numbers[effect.host] = state_.ejections().at(effect.host).index;
-        if (sites_[host].troubles.empty() && numbers_.insert({host, entry.numbers[effect.host]}).second) {
-          ++figures_.wrong;
+        if (hosts_[host].faults.empty() &&
+            wrong_ejections_.insert({host, entry.numbers[effect.host]}).second) {
+          ++results_.wrong;
         }
-        outs_.insert(host);
+        ever_ejected_.insert(host);
         break;
       }
-      case Effect::What::kPath:
-        ++figures_.paths;
+      case Effect::What::kBadFromZone:
+        ++results_.paths;
         break;
-      case Effect::What::kClass:
-        ++figures_.classes;
+      case Effect::What::kBadForClass:
+        ++results_.classes;
         break;
       case Effect::What::kSuspect:
-        ++figures_.suspects;
+        ++results_.suspects;
         break;
       case Effect::What::kIncident:
-        ++figures_.incidents;
+        ++results_.incidents;
         break;
       case Effect::What::kHeld:
-        ++figures_.held;
+        ++results_.held;
         break;
       case Effect::What::kRefused:
-        ++figures_.refused;
+        ++results_.refused;
         break;
       default:
         break;
     }
   }
 
-  void Follow() {
-    for (size_t i = 0; i < all_.size(); ++i) {
-      if (Hears(i)) CatchUp(all_[i]);
+  void ApplyLog() {
+    for (size_t i = 0; i < balancers_.size(); ++i) {
+      if (ReceivesLog(i)) CatchUp(balancers_[i]);
     }
-    Quiet();
+    UpdateQuietTime();
   }
-  void CatchUp(One& one) {
-    for (; one.heard < log_.size(); ++one.heard) {
-      const Entry& entry = log_[one.heard];
-      if (!one.in_force.Apply(entry.index, Own(one), entry.effects, one.name)) continue;
-      one.evidence.Heard(Own(one), entry.effects);
+  void CatchUp(SimBalancer& one) {
+    for (; one.applied_entries < log_.size(); ++one.applied_entries) {
+      const Entry& entry = log_[one.applied_entries];
+      if (!one.active.Apply(entry.index, OwnClock(one), entry.effects, one.name)) continue;
+      one.evidence.OnEffects(OwnClock(one), entry.effects);
       for (const Effect& effect : entry.effects) {
-        if (effect.what != Effect::What::kEject && effect.what != Effect::What::kBack) continue;
+        if (effect.what != Effect::What::kEject && effect.what != Effect::What::kReturn) continue;
         const size_t host = by_name_.at(effect.host);
         if (effect.what == Effect::What::kEject) {
           one.number[host] = entry.numbers.at(effect.host);
-          SetOut(one, host, true, effect.life);
+          SetOut(one, host, true, effect.incarnation);
         } else if (one.out[host] != 0) {
-          SetOut(one, host, false, effect.life);
+          SetOut(one, host, false, effect.incarnation);
         }
       }
     }
   }
-  void SetOut(One& one, size_t host, bool out, Life life) {
-    one.out[host] = out && one.lives[host] <= life ? 1 : 0;
+  void SetOut(SimBalancer& one, size_t host, bool out, Incarnation incarnation) {
+    one.out[host] = out && one.incarnations[host] <= incarnation ? 1 : 0;
     Event event;
-    event.what = out ? Event::What::kOut : Event::What::kIn;
+    event.what = out ? Event::What::kEjected : Event::What::kReturned;
     event.at = now_;
     event.balancer = one.name;
-    event.host = sites_[host].name;
-    event.life = life;
+    event.host = hosts_[host].name;
+    event.incarnation = incarnation;
     event.number = one.number[host];
-    judge_.Hear(event);
+    checker_.OnEvent(event);
   }
 
   void Tick() {
-    Add({.at = now_ + kEvery, .what = Happens::What::kTick});
+    Schedule({.at = now_ + kTickInterval, .what = SimEvent::What::kTick});
     if (!plan_.votes) return;
-    for (size_t i = 0; i < all_.size(); ++i) {
-      One& one = all_[i];
-      if (Hears(i)) CatchUp(one);
-      for (const std::string& host : one.in_force.Tick(Own(one))) SetOut(one, by_name_.at(host), false, 0);
-      for (Command& command : one.evidence.Tell(Own(one))) Propose(i, std::move(command));
+    for (size_t i = 0; i < balancers_.size(); ++i) {
+      SimBalancer& one = balancers_[i];
+      if (ReceivesLog(i)) CatchUp(one);
+      for (const std::string& host : one.active.DropExpired(OwnClock(one)))
+        SetOut(one, by_name_.at(host), false, 0);
+      for (Command& command : one.evidence.TakeCommands(OwnClock(one))) Propose(i, std::move(command));
     }
-    for (const Liar& liar : plan_.liars) {
-      if (liar.begin <= now_ && now_ < liar.end) Lie(liar);
+    for (const MisbehavingBalancer& balancer_fault : plan_.misbehaving) {
+      if (balancer_fault.begin <= now_ && now_ < balancer_fault.end) SendFalseVotes(balancer_fault);
     }
     if (!CouncilUp()) return;
     const Micros stamp = now_ + leader_clock_;
-    if (state_.next_at() <= stamp && state_.index() >= asked_run_out_) {
-      asked_run_out_ = index_ + coming_.size() + 1;
+    if (state_.next_at() <= stamp && state_.index() >= expire_proposed_) {
+      expire_proposed_ = index_ + pending_.size() + 1;
       Command command;
-      command.what = Command::What::kRunOut;
-      Propose(all_.size(), command);
+      command.what = Command::What::kExpire;
+      Propose(balancers_.size(), command);
     }
-    if (state_.ToCount(stamp) && state_.index() >= asked_count_) {
-      asked_count_ = index_ + coming_.size() + 1;
+    if (state_.CountDue(stamp) && state_.index() >= count_proposed_) {
+      count_proposed_ = index_ + pending_.size() + 1;
       Command command;
       command.what = Command::What::kCount;
       command.epoch = epoch_;
-      Propose(all_.size(), command);
+      Propose(balancers_.size(), command);
     }
-    if (now_ - group_told_ >= 10 * kSecond) TellGroup();
+    if (now_ - group_proposed_at_ >= 10 * kSecond) ProposeGroup();
   }
 
-  void Lie(const Liar& liar) {
-    const One& one = all_[liar.balancer];
-    const bool once = liar.how == Liar::How::kStale;
-    if (once ? now_ >= liar.begin + kEvery : now_ % (5 * kSecond) >= kEvery && liar.how != Liar::How::kFlood)
+  void SendFalseVotes(const MisbehavingBalancer& balancer_fault) {
+    const SimBalancer& one = balancers_[balancer_fault.balancer];
+    const bool once = balancer_fault.how == MisbehavingBalancer::Behaviour::kStaleVote;
+    if (once ? now_ >= balancer_fault.begin + kTickInterval
+             : now_ % (5 * kSecond) >= kTickInterval &&
+                   balancer_fault.how != MisbehavingBalancer::Behaviour::kFlood)
       return;
     const auto vote = [&](size_t host) {
       Command command;
       command.what = Command::What::kVote;
       command.vote = {one.name,
                       Zone(one.zone),
-                      sites_[host].name,
-                      sites_[host].life,
+                      hosts_[host].name,
+                      hosts_[host].incarnation,
                       3 * kSecond,
                       3,
                       3,
@@ -589,99 +603,100 @@
                       ejection::kSeveralClasses,
                       0,
                       true,
-                      plan_.rules.vote_lasts};
-      if (liar.how == Liar::How::kCantBe) command.vote.failures = 1000;
-      if (liar.how == Liar::How::kOldLife) --command.vote.life;
-      Propose(liar.balancer, command);
+                      plan_.rules.vote_lifetime};
+      if (balancer_fault.how == MisbehavingBalancer::Behaviour::kInvalidNumbers) command.vote.failures = 1000;
+      if (balancer_fault.how == MisbehavingBalancer::Behaviour::kOldIncarnation) --command.vote.incarnation;
+      Propose(balancer_fault.balancer, command);
     };
-    if (liar.how == Liar::How::kAll) {
-      for (size_t host = 0; host < sites_.size(); ++host) vote(host);
+    if (balancer_fault.how == MisbehavingBalancer::Behaviour::kVotesAgainstAll) {
+      for (size_t host = 0; host < hosts_.size(); ++host) vote(host);
     } else {
-      for (int i = 0; i < (liar.how == Liar::How::kFlood ? 10 : 1); ++i) vote(liar.host);
+      for (int i = 0; i < (balancer_fault.how == MisbehavingBalancer::Behaviour::kFlood ? 10 : 1); ++i)
+        vote(balancer_fault.host);
     }
   }
 
-  void Do(const Act& act) {
-    Site& site = sites_[act.host];
-    switch (act.what) {
-      case Act::What::kRestart:
-        ++site.life;
-        site.draining = false;
+  void Handle(const Action& action) {
+    SimHost& sim_host = hosts_[action.host];
+    switch (action.what) {
+      case Action::What::kRestart:
+        ++sim_host.incarnation;
+        sim_host.draining = false;
         // Each list has it some seconds later.
-        for (size_t i = 0; i < all_.size(); ++i) {
-          Add({.at = now_ + chance_.Between(0, 3 * kSecond),
-               .what = Happens::What::kLives,
-               .balancer = i,
-               .host = act.host,
-               .life = site.life});
+        for (size_t i = 0; i < balancers_.size(); ++i) {
+          Schedule({.at = now_ + random_.Between(0, 3 * kSecond),
+                    .what = SimEvent::What::kIncarnationKnown,
+                    .balancer = i,
+                    .host = action.host,
+                    .incarnation = sim_host.incarnation});
         }
         break;
-      case Act::What::kRemove:
-        site.there = false;
+      case Action::What::kRemove:
+        sim_host.present = false;
         break;
-      case Act::What::kDrain:
-        site.draining = true;
+      case Action::What::kDrain:
+        sim_host.draining = true;
         break;
-      case Act::What::kByHand:
-        site.by_hand = true;
+      case Action::What::kByHand:
+        sim_host.by_hand = true;
         break;
-      case Act::What::kInUse:
-        site.by_hand = site.draining = false;
+      case Action::What::kBackInUse:
+        sim_host.by_hand = sim_host.draining = false;
         break;
-      case Act::What::kOwner:
+      case Action::What::kNewOwner:
         epoch_ = index_ + 1000;
-        leader_clock_ = chance_.Between(-2 * kSecond, 2 * kSecond);  // another machine's
+        leader_clock_ = random_.Between(-2 * kSecond, 2 * kSecond);  // another machine's
         break;
-      case Act::What::kOwnerReturns: {  // one that stood still, with what it knew
+      case Action::What::kStaleOwner: {  // one that stood still, with what it knew
         Command command;
         command.what = Command::What::kCount;
         command.epoch = 1;
-        Propose(all_.size(), command);
+        Propose(balancers_.size(), command);
         return;
       }
-      case Act::What::kOperator: {
+      case Action::What::kOperator: {
         Command command;
         command.what = Command::What::kOperator;
-        command.operation = act.operation;
-        command.host = site.name;
-        command.span = act.span;
+        command.operation = action.operation;
+        command.host = sim_host.name;
+        command.span = action.span;
         command.who = "staff";
-        if (act.operation == ejection::Operator::kExtend) {
+        if (action.operation == ejection::OperatorAction::kExtend) {
           Event event;
           event.what = Event::What::kByHand;
           event.at = now_;
-          event.host = site.name;
-          event.span = act.span + plan_.rules.longest_term;
-          judge_.Hear(event);
+          event.host = sim_host.name;
+          event.span = action.span + plan_.rules.max_term;
+          checker_.OnEvent(event);
         }
-        Propose(all_.size(), command);
+        Propose(balancers_.size(), command);
         return;
       }
     }
-    TellGroup();
+    ProposeGroup();
   }
 
-  void Do(const Happens& next) {
+  void Handle(const SimEvent& next) {
     switch (next.what) {
-      case Happens::What::kQuery:
+      case SimEvent::What::kQuery:
         return Query(next.balancer);
-      case Happens::What::kAnswer:
+      case SimEvent::What::kAnswer:
         return Answer(next);
-      case Happens::What::kTick:
+      case SimEvent::What::kTick:
         return Tick();
-      case Happens::What::kEntry:
-        return Entries();
-      case Happens::What::kFollow:
-        return Follow();
-      case Happens::What::kAct:
-        return Do(plan_.acts[next.host]);
-      case Happens::What::kTruth:
-        return Truth(next.host);
-      case Happens::What::kLives: {
-        One& one = all_[next.balancer];
-        one.lives[next.host] = next.life;
-        if (one.out[next.host] != 0 && !one.in_force.Out(sites_[next.host].name, next.life)) {
-          SetOut(one, next.host, false, next.life);
+      case SimEvent::What::kEntry:
+        return AppendEntry();
+      case SimEvent::What::kApplyLog:
+        return ApplyLog();
+      case SimEvent::What::kAct:
+        return Handle(plan_.actions[next.host]);
+      case SimEvent::What::kTruth:
+        return ReportTruth(next.host);
+      case SimEvent::What::kIncarnationKnown: {
+        SimBalancer& one = balancers_[next.balancer];
+        one.incarnations[next.host] = next.incarnation;
+        if (one.out[next.host] != 0 && !one.active.IsEjected(hosts_[next.host].name, next.incarnation)) {
+          SetOut(one, next.host, false, next.incarnation);
         }
         return;
       }
@@ -689,126 +704,132 @@
   }
 
   const Plan& plan_;
-  Chance chance_;
+  Random random_;
   ejection::State state_;
-  ejection::State twin_;
-  Judge judge_;
-  Figures figures_;
+  ejection::State replica_;
+  Checker checker_;
+  Results results_;
   Micros now_ = 0;
   uint64_t order_ = 0;
   uint64_t index_ = 0;
   uint64_t epoch_ = 1;
   Micros leader_clock_ = 0;
-  Micros group_told_ = 0;
+  Micros group_proposed_at_ = 0;
   std::string group_bytes_;
-  uint64_t asked_run_out_ = 0, asked_count_ = 0;
+  uint64_t expire_proposed_ = 0, count_proposed_ = 0;
   Micros second_ = -1;
   uint64_t in_second_ = 0;
-  std::vector<One> all_;
-  std::vector<Site> sites_;
+  std::vector<SimBalancer> balancers_;
+  std::vector<SimHost> hosts_;
   std::map<std::string, size_t> by_name_;
-  std::set<size_t> outs_;  // ever ejected
-  std::set<std::pair<size_t, uint64_t>> numbers_;
-  std::deque<std::pair<Micros, Command>> coming_;
+  std::set<size_t> ever_ejected_;  // ever ejected
+  std::set<std::pair<size_t, uint64_t>> wrong_ejections_;
+  std::deque<std::pair<Micros, Command>> pending_;
   std::vector<Entry> log_;
-  std::priority_queue<Happens> queue_;
+  std::priority_queue<SimEvent> queue_;
 };
 
 }  // namespace
 
-Figures Play(const Plan& plan) { return Fleet(plan).Run(); }
+Results Simulate(const Plan& plan) { return Fleet(plan).Run(); }
 
-Plan Draw(uint64_t seed) {
-  Chance chance(seed ^ 0xe1ec7ULL);
+Plan RandomPlan(uint64_t seed) {
+  Random random(seed ^ 0xe1ec7ULL);
   Plan plan;
   plan.seed = seed;
-  plan.zones = 1 + chance.Below(4);
-  plan.hosts = plan.zones * (1 + chance.Below(8));
-  plan.balancers = 3 + chance.Below(14);
-  plan.builds = 1 + chance.Below(4);
+  plan.zones = 1 + random.Below(4);
+  plan.hosts = plan.zones * (1 + random.Below(8));
+  plan.balancers = 3 + random.Below(14);
+  plan.builds = 1 + random.Below(4);
   plan.rate =
-      static_cast<double>(plan.balancers * plan.hosts) * std::exp2(static_cast<double>(chance.Below(6)) - 3);
+      static_cast<double>(plan.balancers * plan.hosts) * std::exp2(static_cast<double>(random.Below(6)) - 3);
   plan.span = 150 * kSecond;
-  plan.luck = chance.In(0.5) ? 0.002 : 0.01;
-  plan.used = chance.In(0.8) ? 0.4 : 0.8;
-  const auto when = [&] { return chance.Between(5 * kSecond, 100 * kSecond); };
-  const auto host = [&] { return chance.Below(plan.hosts); };
+  plan.background_error_share = random.WithProbability(0.5) ? 0.002 : 0.01;
+  plan.used_share = random.WithProbability(0.8) ? 0.4 : 0.8;
+  const auto random_time = [&] { return random.Between(5 * kSecond, 100 * kSecond); };
+  const auto host = [&] { return random.Below(plan.hosts); };
   const std::array<double, 4> shares = {1, 1, 0.5, 0.33};
-  for (size_t n = chance.Below(5); n > 0; --n) {
-    Trouble trouble;
-    trouble.host = host();
-    trouble.begin = when();
-    trouble.end = trouble.begin + chance.Between(5 * kSecond, 90 * kSecond);
-    trouble.kind = static_cast<Kind>(chance.Below(ejection::kKinds));
-    trouble.share = shares[chance.Below(shares.size())];
-    switch (chance.Below(6)) {
+  for (size_t n = random.Below(5); n > 0; --n) {
+    HostFault fault;
+    fault.host = host();
+    fault.begin = random_time();
+    fault.end = fault.begin + random.Between(5 * kSecond, 90 * kSecond);
+    fault.kind = static_cast<Kind>(random.Below(ejection::kKinds));
+    fault.share = shares[random.Below(shares.size())];
+    switch (random.Below(6)) {
       case 0:
-        trouble.zone = static_cast<int>(chance.Below(plan.zones));
+        fault.zone = static_cast<int>(random.Below(plan.zones));
         break;
       case 1:
-        trouble.build = static_cast<int>(chance.Below(plan.builds));
+        fault.build = static_cast<int>(random.Below(plan.builds));
         break;
       case 2:
-        trouble.cls = static_cast<int>(chance.Below(kClassShare.size()));
+        fault.cls = static_cast<int>(random.Below(kClassShare.size()));
         break;
       case 3:
-        trouble.period = chance.Between(3 * kSecond, 40 * kSecond);
+        fault.period = random.Between(3 * kSecond, 40 * kSecond);
         break;
       default:
         break;
     }
-    plan.troubles.push_back(trouble);
+    plan.faults.push_back(fault);
   }
-  if (chance.In(0.15)) {  // more hosts than may be out, one after the other, and owners that come and go
-    const Micros begin = when();
+  if (random.WithProbability(
+          0.15)) {  // more hosts than may be out, one after the other, and owners that come and go
+    const Micros begin = random_time();
     for (size_t n = 0; n < 3; ++n) {
-      Trouble trouble;
-      trouble.host = host();
-      trouble.begin = begin + static_cast<Micros>(n) * 8 * kSecond;
-      trouble.end = kNever;
-      plan.troubles.push_back(trouble);
-      Act owner;
-      owner.what = Act::What::kOwner;
-      owner.at = trouble.begin + chance.Between(4 * kSecond, 8 * kSecond);
-      plan.acts.push_back(owner);
-    }
-  }
-  if (chance.In(0.2)) {
-    const Micros begin = when();
-    plan.broken.push_back({chance.Below(plan.zones), begin, begin + 20 * kSecond, chance.In(0.5)});
-  }
-  if (chance.In(0.4)) {  // a mistake that several make alike, as one build would
-    const auto how = static_cast<Liar::How>(chance.Below(5));
+      HostFault fault;
+      fault.host = host();
+      fault.begin = begin + static_cast<Micros>(n) * 8 * kSecond;
+      fault.end = kNever;
+      plan.faults.push_back(fault);
+      Action owner;
+      owner.what = Action::What::kNewOwner;
+      owner.at = fault.begin + random.Between(4 * kSecond, 8 * kSecond);
+      plan.actions.push_back(owner);
+    }
+  }
+  if (random.WithProbability(0.2)) {
+    const Micros begin = random_time();
+    plan.outages.push_back(
+        {random.Below(plan.zones), begin, begin + 20 * kSecond, random.WithProbability(0.5)});
+  }
+  if (random.WithProbability(0.4)) {  // a mistake that several make alike, as one build would
+    const auto how = static_cast<MisbehavingBalancer::Behaviour>(random.Below(5));
     const size_t about = host();
-    const Micros begin = when();
+    const Micros begin = random_time();
     // Fewer than a vote takes, but for those that are seen through by what they say.
-    const bool plain = how == Liar::How::kStale || how == Liar::How::kFlood;
-    const size_t many = plain ? 1 : how == Liar::How::kAll && plan.hosts < 10 ? 2 : 1 + chance.Below(5);
+    const bool plain =
+        how == MisbehavingBalancer::Behaviour::kStaleVote || how == MisbehavingBalancer::Behaviour::kFlood;
+    const size_t many = plain ? 1
+                        : how == MisbehavingBalancer::Behaviour::kVotesAgainstAll && plan.hosts < 10
+                            ? 2
+                            : 1 + random.Below(5);
     for (size_t i = 0; i < many; ++i) {
-      plan.liars.push_back(
-          {(i * 2 + chance.Below(2)) % plan.balancers, how, begin, begin + 40 * kSecond, about});
+      plan.misbehaving.push_back(
+          {(i * 2 + random.Below(2)) % plan.balancers, how, begin, begin + 40 * kSecond, about});
     }
   }
-  const auto act = [&](Act::What what) {
-    Act one;
+  const auto action = [&](Action::What what) {
+    Action one;
     one.what = what;
-    one.at = when();
-    one.host = plan.troubles.empty() || chance.In(0.3) ? host() : plan.troubles[0].host;
-    one.operation = static_cast<ejection::Operator>(chance.Below(4));
-    one.span = one.operation == ejection::Operator::kExtend ? chance.Between(0, 20 * kSecond) : 0;
-    plan.acts.push_back(one);
+    one.at = random_time();
+    one.host = plan.faults.empty() || random.WithProbability(0.3) ? host() : plan.faults[0].host;
+    one.operation = static_cast<ejection::OperatorAction>(random.Below(4));
+    one.span = one.operation == ejection::OperatorAction::kExtend ? random.Between(0, 20 * kSecond) : 0;
+    plan.actions.push_back(one);
   };
-  for (size_t n = chance.Below(4); n > 0; --n) act(static_cast<Act::What>(chance.Below(8)));
-  if (chance.In(0.4)) act(Act::What::kOwner);
-  std::ranges::stable_sort(plan.acts, {}, &Act::at);
-  if (chance.In(0.2)) {
-    const Micros begin = when();
-    plan.without_council.push_back({begin, begin + chance.Between(kSecond, 12 * kSecond)});
-  }
-  if (chance.In(0.3)) {
-    const Micros begin = when();
-    plan.deaf.push_back(
-        {chance.Below(plan.balancers), {begin, begin + chance.Between(kSecond, 12 * kSecond)}});
+  for (size_t n = random.Below(4); n > 0; --n) action(static_cast<Action::What>(random.Below(8)));
+  if (random.WithProbability(0.4)) action(Action::What::kNewOwner);
+  std::ranges::stable_sort(plan.actions, {}, &Action::at);
+  if (random.WithProbability(0.2)) {
+    const Micros begin = random_time();
+    plan.council_outages.push_back({begin, begin + random.Between(kSecond, 12 * kSecond)});
+  }
+  if (random.WithProbability(0.3)) {
+    const Micros begin = random_time();
+    plan.partitioned.push_back(
+        {random.Below(plan.balancers), {begin, begin + random.Between(kSecond, 12 * kSecond)}});
   }
   return plan;
 }
--- a/src/lab/ejection_world/fleet.h
+++ b/src/lab/ejection_world/fleet.h
@@ -13,12 +13,12 @@
 #include "ejection/rules.h"
 #include "ejection/state.h"
 #include "io/time.h"
-#include "lab/ejection_world/judge.h"
+#include "lab/ejection_world/checker.h"
 
 namespace burlfall::ejection_world {
 
 // A host does badly in a span: for all, or for those that the other fields name.
-struct Trouble {
+struct HostFault {
   size_t host = 0;
   Micros begin = 0;
   Micros end = kNever;
@@ -31,23 +31,23 @@
 };
 
 // A zone's balancers lose their network: all hosts, or those of other zones, are silent for them.
-struct Broken {
+struct NetworkOutage {
   size_t zone = 0;
   Micros begin = 0;
   Micros end = 0;
   bool outside = false;
 };
 
-struct Liar {
-  enum class How {
-    kAll,      // votes against all hosts, sure
-    kCantBe,   // votes against one host with numbers that can't be
-    kOldLife,  // votes against one host in its earlier life
-    kFlood,    // a hundred votes a second
-    kStale,    // one vote, sure and good to look at, and then silence
+struct MisbehavingBalancer {
+  enum class Behaviour {
+    kVotesAgainstAll,  // votes against all hosts, sure
+    kInvalidNumbers,   // votes against one host with numbers that can't be
+    kOldIncarnation,   // votes against one host in its earlier life
+    kFlood,            // a hundred votes a second
+    kStaleVote,        // one vote, sure and good to look at, and then silence
   };
   size_t balancer = 0;
-  How how = How::kAll;
+  Behaviour how = Behaviour::kVotesAgainstAll;
   Micros begin = 0;
   Micros end = kNever;
   size_t host = 0;
@@ -58,12 +58,12 @@
   Micros end = 0;
 };
 
-struct Act {
-  enum class What { kRestart, kRemove, kDrain, kByHand, kInUse, kOwner, kOwnerReturns, kOperator };
+struct Action {
+  enum class What { kRestart, kRemove, kDrain, kByHand, kBackInUse, kNewOwner, kStaleOwner, kOperator };
   What what = What::kRestart;
   Micros at = 0;
   size_t host = 0;
-  ejection::Operator operation = ejection::Operator::kEnd;
+  ejection::OperatorAction operation = ejection::OperatorAction::kEnd;
   Micros span = 0;
 };
 
@@ -75,46 +75,46 @@
   size_t builds = 10;
   double rate = 3600;  // queries a second of the fleet
   Micros span = 60 * kSecond;
-  double luck = 0.002;            // share of all answers that are errors anyway
-  Micros took = 50 * kMs;         // of a good answer, on average
-  Micros patience = 1 * kSecond;  // then a host is silent, and an answer is late
-  double used = 0.5;              // of the capacity
+  double background_error_share = 0.002;  // share of all answers that are errors anyway
+  Micros latency = 50 * kMs;              // of a good answer, on average
+  Micros query_timeout = 1 * kSecond;     // then a host is silent, and an answer is late
+  double used_share = 0.5;                // of the capacity
   bool votes = true;
   Micros measured_from = 0;
-  std::vector<Trouble> troubles;
-  std::vector<Broken> broken;
-  std::vector<Liar> liars;
-  std::vector<Act> acts;  // by time
-  std::vector<Span> without_council;
-  std::vector<std::pair<size_t, Span>> deaf;     // balancers that hear nothing of the log
-  std::vector<std::pair<size_t, size_t>> alone;  // balancer uses this host alone; the others all
-  bool tell = false;                             // each count that ejects, with its words, into `told`
+  std::vector<HostFault> faults;
+  std::vector<NetworkOutage> outages;
+  std::vector<MisbehavingBalancer> misbehaving;
+  std::vector<Action> actions;  // by time
+  std::vector<Span> council_outages;
+  std::vector<std::pair<size_t, Span>> partitioned;          // balancers that hear nothing of the log
+  std::vector<std::pair<size_t, size_t>> single_host_users;  // balancer uses this host alone; the others all
+  bool trace_votes = false;  // each count that ejects, with its words, into `told`
   ejection::Rules rules;
 };
 
-struct Figures {
+struct Results {
   uint64_t queries = 0;
-  uint64_t lost = 0;              // failed or late, from `measured_from` on
-  uint64_t lost_minute = 0;       // of them in the first minute
-  uint64_t lost_at_troubled = 0;  // of `lost`, at hosts in trouble
-  uint64_t lost_at_troubled_minute = 0;
+  uint64_t lost = 0;            // failed or late, from `measured_from` on
+  uint64_t lost_minute = 0;     // of them in the first minute
+  uint64_t lost_at_faulty = 0;  // of `lost`, at hosts in trouble
+  uint64_t lost_at_faulty_minute = 0;
   // Until the first troubled host had nothing new from any balancer; by sleep or by vote. kNever: not so.
   Micros quiet_after = kNever;
   uint64_t ejections = 0;
-  uint64_t wrong = 0;         // ejections of hosts without trouble
-  uint64_t entries = 0;       // in the log
-  uint64_t entries_most = 0;  // in one second
+  uint64_t wrong = 0;                   // ejections of hosts without trouble
+  uint64_t entries = 0;                 // in the log
+  uint64_t max_entries_per_second = 0;  // in one second
   uint64_t paths = 0, classes = 0, suspects = 0, incidents = 0, held = 0, refused = 0;
   uint64_t largest_state = 0;  // bytes
-  std::vector<std::string> told;
-  std::vector<std::string> broken;  // by the judge
-  bool differs = false;             // two states from one log, one of them saved and loaded on its way
+  std::vector<std::string> vote_trace;
+  std::vector<std::string> violations;  // by the judge
+  bool replicas_differ = false;         // two states from one log, one of them saved and loaded on its way
 };
 
-Figures Play(const Plan& plan);
+Results Simulate(const Plan& plan);
 
 // A small fleet in which anything may happen, drawn from a seed.
-Plan Draw(uint64_t seed);
+Plan RandomPlan(uint64_t seed);
 
 }  // namespace burlfall::ejection_world
 
--- a/tests/ejection/judge_test.cpp
+++ b/tests/ejection/checker_test.cpp
@@ -1,5 +1,5 @@
 // The judge accepts an honest history and rejects each planted one.
-#include "lab/ejection_world/judge.h"
+#include "lab/ejection_world/checker.h"
 
 #include <gtest/gtest.h>
 
@@ -13,7 +13,7 @@
     for (int i = 0; i < 10; ++i)
       event.group.hosts.push_back({std::string("h").append(std::to_string(i)), "z", 1, false, false, 1});
     for (int i = 0; i < 4; ++i) event.group.balancers.push_back({Name(i), i % 2 == 0 ? "z0" : "z1", {}});
-    judge_.Hear(event);
+    checker_.OnEvent(event);
   }
   static std::string Name(int balancer) { return std::string("b").append(std::to_string(balancer)); }
   static Event At(Micros at, Event::What what, const std::string& balancer = "",
@@ -23,51 +23,52 @@
     event.what = what;
     event.balancer = balancer;
     event.host = host;
-    event.life = 1;
+    event.incarnation = 1;
     return event;
   }
   void Truth(Micros at, int users, const std::string& host = "h0") {
     Event event = At(at, Event::What::kTruth, "", host);
     for (int i = 0; i < users; ++i) event.users.insert(Name(i));
-    judge_.Hear(event);
+    checker_.OnEvent(event);
   }
   void Result(Micros at, int balancer, bool good, const std::string& host = "h0") {
     Event event = At(at, Event::What::kResult, Name(balancer), host);
     event.good = good;
-    judge_.Hear(event);
+    checker_.OnEvent(event);
   }
-  void Vote(Micros at, int balancer, const std::string& host = "h0", ejection::Life life = 1) {
+  void Vote(Micros at, int balancer, const std::string& host = "h0", ejection::Incarnation incarnation = 1) {
     Result(at, balancer, false, host);
     Event event = At(at, Event::What::kVote);
-    event.vote = {Name(balancer), balancer % 2 == 0 ? "z0" : "z1", host, life, kSecond, 2, 2, {}, 0, 0, true,
-                  30 * kSecond};
-    judge_.Hear(event);
+    event.vote = {
+        Name(balancer), balancer % 2 == 0 ? "z0" : "z1", host, incarnation, kSecond, 2, 2, {}, 0, 0, true,
+        30 * kSecond};
+    checker_.OnEvent(event);
   }
-  void Out(Micros at, const std::string& host = "h0", uint64_t number = 1) {
+  void EjectEverywhere(Micros at, const std::string& host = "h0", uint64_t number = 1) {
     for (int i = 0; i < 4; ++i) {
-      Event event = At(at, Event::What::kOut, Name(i), host);
+      Event event = At(at, Event::What::kEjected, Name(i), host);
       event.number = number;
-      judge_.Hear(event);
+      checker_.OnEvent(event);
     }
   }
-  void In(Micros at, const std::string& host = "h0") {
-    for (int i = 0; i < 4; ++i) judge_.Hear(At(at, Event::What::kIn, Name(i), host));
+  void ReturnEverywhere(Micros at, const std::string& host = "h0") {
+    for (int i = 0; i < 4; ++i) checker_.OnEvent(At(at, Event::What::kReturned, Name(i), host));
   }
-  void Good(const std::string& host = "h0", uint64_t number = 1, Micros at = 5 * kSecond) {
+  void JustifiedEjection(const std::string& host = "h0", uint64_t number = 1, Micros at = 5 * kSecond) {
     Truth(at, 4, host);
     for (int i = 0; i < 3; ++i) Vote(at + kSecond, i, host);
-    Out(at + 4 * kSecond, host, number);
+    EjectEverywhere(at + 4 * kSecond, host, number);
   }
   ejection::Rules rules_;
-  Judge judge_{rules_, kSecond};
+  Checker checker_{rules_, kSecond};
 };
 
 TEST_F(Histories, HonestOneIsAccepted) {
-  Good();
-  In(14 * kSecond);
-  judge_.Finish(100 * kSecond);
-  EXPECT_TRUE(judge_.broken().empty());
-  EXPECT_EQ(judge_.ejections(), 1u);
+  JustifiedEjection();
+  ReturnEverywhere(14 * kSecond);
+  checker_.Finish(100 * kSecond);
+  EXPECT_TRUE(checker_.violations().empty());
+  EXPECT_EQ(checker_.ejections(), 1u);
 }
 
 TEST_F(Histories, WithoutItsVotes) {
@@ -76,30 +77,30 @@
   Vote(2 * kSecond, 1);
   Vote(3 * kSecond, 1);           // twice is once
   Vote(3 * kSecond, 2, "h0", 0);  // of another life
-  Out(4 * kSecond);
-  EXPECT_FALSE(judge_.broken().empty());
+  EjectEverywhere(4 * kSecond);
+  EXPECT_FALSE(checker_.violations().empty());
 }
 
 TEST_F(Histories, OfOneZoneAlone) {
   Event group = At(kSecond, Event::What::kGroup);
   group.group.hosts = {{"h0", "z", 1, false, false, 1}, {"h1", "z", 1, false, false, 1}};
   for (int i = 0; i < 4; ++i) group.group.balancers.push_back({Name(i), i < 3 ? "z0" : "z1", {}});
-  judge_.Hear(group);
+  checker_.OnEvent(group);
   Truth(kSecond, 4);
   for (int i = 0; i < 3; ++i) {
     Result(2 * kSecond, i, false);
     Event event = At(2 * kSecond, Event::What::kVote);
     event.vote = {Name(i), "z0", "h0", 1, kSecond, 2, 2, {}, 0, 0, true, 30 * kSecond};
-    judge_.Hear(event);
+    checker_.OnEvent(event);
   }
-  Out(4 * kSecond);
-  EXPECT_FALSE(judge_.broken().empty());
+  EjectEverywhere(4 * kSecond);
+  EXPECT_FALSE(checker_.violations().empty());
 }
 
 TEST_F(Histories, PastTheCap) {
-  Good();
-  Good("h1", 2, 6 * kSecond);  // ten hosts: one may be out; by whichever owner
-  EXPECT_FALSE(judge_.broken().empty());
+  JustifiedEjection();
+  JustifiedEjection("h1", 2, 6 * kSecond);  // ten hosts: one may be out; by whichever owner
+  EXPECT_FALSE(checker_.violations().empty());
 }
 
 TEST_F(Histories, ThatMostSeeGood) {
@@ -107,36 +108,36 @@
   for (int i = 0; i < 4; ++i) Result(kSecond, i, true);
   for (int i = 0; i < 3; ++i) Vote(50 * kSecond, i);
   // They saw failures; from outside nearly all of them had, so it is no host that most see good.
-  Out(51 * kSecond);
-  EXPECT_TRUE(judge_.broken().empty());
+  EjectEverywhere(51 * kSecond);
+  EXPECT_TRUE(checker_.violations().empty());
   Truth(60 * kSecond, 1, "h5");
   for (int i = 1; i < 4; ++i) Result(60 * kSecond, i, true, "h5");
   Vote(61 * kSecond, 0, "h5");
-  In(62 * kSecond);
-  Out(62 * kSecond, "h5", 2);
-  EXPECT_FALSE(judge_.broken().empty());
+  ReturnEverywhere(62 * kSecond);
+  EjectEverywhere(62 * kSecond, "h5", 2);
+  EXPECT_FALSE(checker_.violations().empty());
 }
 
 TEST_F(Histories, ThatNeverEnds) {
-  Good();
-  judge_.Finish(100 * kSecond);
-  EXPECT_FALSE(judge_.broken().empty());
+  JustifiedEjection();
+  checker_.Finish(100 * kSecond);
+  EXPECT_FALSE(checker_.violations().empty());
 }
 
 TEST_F(Histories, ThatGoesOnWithoutABadTrial) {
-  Good();
-  Out(20 * kSecond);
-  EXPECT_FALSE(judge_.broken().empty());
+  JustifiedEjection();
+  EjectEverywhere(20 * kSecond);
+  EXPECT_FALSE(checker_.violations().empty());
 }
 
 TEST_F(Histories, TheLastOfItsZone) {
   Event group = At(kSecond, Event::What::kGroup);
   group.group.hosts = {{"h0", "alone", 1, false, false, 1}, {"h1", "z", 1, false, false, 1}};
   for (int i = 0; i < 4; ++i) group.group.balancers.push_back({Name(i), i % 2 == 0 ? "z0" : "z1", {}});
-  judge_.Hear(group);
-  judge_.Hear(At(4 * kSecond, Event::What::kResult));
-  Good();
-  EXPECT_FALSE(judge_.broken().empty());
+  checker_.OnEvent(group);
+  checker_.OnEvent(At(4 * kSecond, Event::What::kResult));
+  JustifiedEjection();
+  EXPECT_FALSE(checker_.violations().empty());
 }
 
 }  // namespace
--- a/tests/ejection/wire_test.cpp
+++ b/tests/ejection/command_codec_test.cpp
@@ -13,24 +13,24 @@
     command.good = {"b", "z", "h", 7, 3, 2, kSecond};
     command.balancer = "b";
     command.host = "h";
-    command.life = 7;
+    command.incarnation = 7;
     command.was_good = true;
-    command.operation = Operator::kExtend;
+    command.operation = OperatorAction::kExtend;
     command.span = kSecond;
     command.who = "staff";
     command.reason = "at night";
     command.epoch = 77;
     command.group = {{{"h", "z", 7, true, false, 3}}, {{"b", "z", {"h"}}}, 0.25};
-    const std::string bytes = Write(command);
-    const auto read = ReadCommand(bytes);
+    const std::string bytes = EncodeCommand(command);
+    const auto read = DecodeCommand(bytes);
     ASSERT_TRUE(read.has_value()) << int{what};
     EXPECT_EQ(read->what, command.what);
-    EXPECT_EQ(Write(*read), bytes);
+    EXPECT_EQ(EncodeCommand(*read), bytes);
     for (size_t i = 0; i < bytes.size(); ++i) {
       std::string other = bytes;
       other[i] = static_cast<char>(other[i] ^ 1);
-      EXPECT_FALSE(ReadCommand(other).has_value());
-      EXPECT_FALSE(ReadCommand(bytes.substr(0, i)).has_value());
+      EXPECT_FALSE(DecodeCommand(other).has_value());
+      EXPECT_FALSE(DecodeCommand(bytes.substr(0, i)).has_value());
     }
   }
 }
@@ -38,10 +38,10 @@
 TEST(Wire, NamesAreBounded) {
   Command command;
   command.what = Command::What::kTrial;
-  command.balancer = std::string(kLongestName + 1, 'b');
-  EXPECT_FALSE(ReadCommand(Write(command)).has_value());
+  command.balancer = std::string(kMaxNameBytes + 1, 'b');
+  EXPECT_FALSE(DecodeCommand(EncodeCommand(command)).has_value());
   command.balancer = "a\nb";
-  EXPECT_FALSE(ReadCommand(Write(command)).has_value());
+  EXPECT_FALSE(DecodeCommand(EncodeCommand(command)).has_value());
 }
 
 TEST(Wire, EachRefusalSaysWhatToDo) {
--- a/tests/ejection/state_test.cpp
+++ b/tests/ejection/state_test.cpp
@@ -20,93 +20,93 @@
     }
     for (int i = 0; i < 8; ++i)
       group_.balancers.push_back({std::string("b").append(std::to_string(i)), i % 2 == 0 ? "z0" : "z1", {}});
-    group_.used = 0.5;
-    Hosts();
+    group_.used_share = 0.5;
+    ApplyGroup();
   }
-  Effects Do(const Command& command, Micros after = 100 * kMs) {
+  Effects ApplyNext(const Command& command, Micros after = 100 * kMs) {
     at_ += after;
     last_ = state_.Apply(++index_, at_, command);
     return last_;
   }
-  Effects Hosts() {
+  Effects ApplyGroup() {
     Command command;
     command.what = Command::What::kHosts;
     command.epoch = epoch_;
     command.group = group_;
-    return Do(command);
+    return ApplyNext(command);
   }
   Effects Count(Micros after = kSecond) {
     Command command;
     command.what = Command::What::kCount;
     command.epoch = epoch_;
-    return Do(command, after);
+    return ApplyNext(command, after);
   }
-  Effects RunOut(Micros after) { return Do({}, after); }
+  Effects Expire(Micros after) { return ApplyNext({}, after); }
   Vote VoteOf(int balancer, int host) {
     Vote vote;
     vote.balancer = std::string("b").append(std::to_string(balancer));
     vote.zone = balancer % 2 == 0 ? "z0" : "z1";
     vote.host = std::string("h").append(std::to_string(host));
-    vote.life = 5;
+    vote.incarnation = 5;
     vote.window = 2 * kSecond;
     vote.trials = vote.failures = 3;
     vote.sure = true;
-    vote.lasts = 30 * kSecond;
+    vote.lifetime = 30 * kSecond;
     return vote;
   }
-  Effects Say(const Vote& vote) {
+  Effects SendVote(const Vote& vote) {
     Command command;
     command.what = Command::What::kVote;
     command.vote = vote;
-    return Do(command, kMs);
+    return ApplyNext(command, kMs);
   }
-  Effects SayGood(int balancer, int host, uint32_t trials = 5, uint32_t cls = kSeveralClasses) {
+  Effects SendGoodReport(int balancer, int host, uint32_t trials = 5, uint32_t cls = kSeveralClasses) {
     Command command;
-    command.what = Command::What::kGood;
+    command.what = Command::What::kGoodReport;
     const Vote vote = VoteOf(balancer, host);
-    command.good = {vote.balancer, vote.zone, vote.host, vote.life, trials, cls, vote.lasts};
-    return Do(command, kMs);
+    command.good = {vote.balancer, vote.zone, vote.host, vote.incarnation, trials, cls, vote.lifetime};
+    return ApplyNext(command, kMs);
   }
-  void Votes(std::initializer_list<int> balancers, int host = 0) {
-    for (const int balancer : balancers) Say(VoteOf(balancer, host));
+  void SendVotes(std::initializer_list<int> balancers, int host = 0) {
+    for (const int balancer : balancers) SendVote(VoteOf(balancer, host));
   }
-  Effects Trial(const std::string& balancer, bool good, int host = 0, Micros after = kMs) {
+  Effects SendTrial(const std::string& balancer, bool good, int host = 0, Micros after = kMs) {
     Command command;
     command.what = Command::What::kTrial;
     command.balancer = balancer;
     command.host = std::string("h").append(std::to_string(host));
-    command.life = 5;
+    command.incarnation = 5;
     command.was_good = good;
-    return Do(command, after);
+    return ApplyNext(command, after);
   }
-  Effects Staff(Operator what, int host = 0, Micros span = 0) {
+  Effects OperatorCommand(OperatorAction what, int host = 0, Micros span = 0) {
     Command command;
     command.what = Command::What::kOperator;
     command.operation = what;
     command.host = std::string("h").append(std::to_string(host));
     command.span = span;
     command.who = "staff";
-    return Do(command, kMs);
+    return ApplyNext(command, kMs);
   }
   void Eject(int host = 0) {
-    Votes({0, 1, 2}, host);
+    SendVotes({0, 1, 2}, host);
     Count();
-    ASSERT_TRUE(Out(host));
+    ASSERT_TRUE(IsEjected(host));
   }
-  bool Out(int host = 0) const {
+  bool IsEjected(int host = 0) const {
     const auto at = state_.ejections().find(std::string("h").append(std::to_string(host)));
     return at != state_.ejections().end() && at->second.out();
   }
-  const Effect* Find(What what) const {
+  const Effect* FindEffect(What what) const {
     const auto at = std::ranges::find(last_, what, &Effect::what);
     return at == last_.end() ? nullptr : &*at;
   }
   Refusal Refused() const {
-    return Find(What::kRefused) == nullptr ? Refusal::kNone : Find(What::kRefused)->refusal;
+    return FindEffect(What::kRefused) == nullptr ? Refusal::kNone : FindEffect(What::kRefused)->refusal;
   }
-  std::string Trier() {  // after the term
-    RunOut(state_.ejections().at("h0").until - at_);
-    return Find(What::kTry) == nullptr ? "" : Find(What::kTry)->who.at(0);
+  std::string ChosenTrier() {  // after the term
+    Expire(state_.ejections().at("h0").until - at_);
+    return FindEffect(What::kRunTrial) == nullptr ? "" : FindEffect(What::kRunTrial)->who.at(0);
   }
 
   Rules rules_;
@@ -118,49 +118,49 @@
 };
 
 TEST_F(Council, ThreeVotersOfTwoZonesEject) {
-  Votes({0, 1});
+  SendVotes({0, 1});
   Count();
-  EXPECT_FALSE(Out());
-  Votes({2});
+  EXPECT_FALSE(IsEjected());
+  SendVotes({2});
   Count(kMs);
-  ASSERT_NE(Find(What::kEject), nullptr);
-  EXPECT_EQ(Find(What::kEject)->who, (std::vector<std::string>{"b0", "b1", "b2"}));
-  EXPECT_EQ(Find(What::kEject)->term, rules_.first_term);
+  ASSERT_NE(FindEffect(What::kEject), nullptr);
+  EXPECT_EQ(FindEffect(What::kEject)->who, (std::vector<std::string>{"b0", "b1", "b2"}));
+  EXPECT_EQ(FindEffect(What::kEject)->term, rules_.first_term);
 }
 
 TEST_F(Council, OneBalancerCountsOnce) {
-  for (int i = 0; i < 5; ++i) Votes({0, 1});
+  for (int i = 0; i < 5; ++i) SendVotes({0, 1});
   Count();
-  EXPECT_FALSE(Out());
+  EXPECT_FALSE(IsEjected());
 }
 
 TEST_F(Council, OneZoneAloneIsAPath) {
-  Votes({0, 2, 4, 6});
+  SendVotes({0, 2, 4, 6});
   Count();
-  EXPECT_FALSE(Out());
-  ASSERT_NE(Find(What::kPath), nullptr);
-  EXPECT_EQ(Find(What::kPath)->zone, "z0");
+  EXPECT_FALSE(IsEjected());
+  ASSERT_NE(FindEffect(What::kBadFromZone), nullptr);
+  EXPECT_EQ(FindEffect(What::kBadFromZone)->zone, "z0");
   Count();
-  EXPECT_EQ(Find(What::kPath), nullptr);  // told once
+  EXPECT_EQ(FindEffect(What::kBadFromZone), nullptr);  // told once
 }
 
 TEST_F(Council, OneZoneIsEnoughWhereOnlyOneUsesTheHost) {
   for (Balancer& balancer : group_.balancers) {
     if (balancer.zone == "z1") balancer.hosts = {"h1"};
   }
-  Hosts();
-  Votes({0, 2, 4});
+  ApplyGroup();
+  SendVotes({0, 2, 4});
   Count();
-  EXPECT_TRUE(Out());
+  EXPECT_TRUE(IsEjected());
 }
 
 TEST_F(Council, GoodWordsOutweigh) {
-  Votes({0, 1, 2});
-  for (const int good : {3, 4, 5}) SayGood(good, 0);
+  SendVotes({0, 1, 2});
+  for (const int good : {3, 4, 5}) SendGoodReport(good, 0);
   Count();
-  EXPECT_FALSE(Out());
+  EXPECT_FALSE(IsEjected());
   Count(5 * kSecond);
-  EXPECT_FALSE(Out());
+  EXPECT_FALSE(IsEjected());
 }
 
 TEST_F(Council, FewGoodAnswersAreNoWordWhereAThirdFails) {
@@ -168,54 +168,54 @@
     Vote vote = VoteOf(balancer, 0);
     vote.trials = 30;
     vote.failures = 10;
-    Say(vote);
+    SendVote(vote);
   }
-  for (const int good : {4, 5, 6, 7}) SayGood(good, 0, 1);
+  for (const int good : {4, 5, 6, 7}) SendGoodReport(good, 0, 1);
   Count();
-  EXPECT_TRUE(Out());
+  EXPECT_TRUE(IsEjected());
 }
 
 TEST_F(Council, VotesRunOutAndAreWithdrawn) {
-  Votes({0, 1});
-  Votes({0, 1, 2});
+  SendVotes({0, 1});
+  SendVotes({0, 1, 2});
   Command withdraw;
   withdraw.what = Command::What::kWithdraw;
   withdraw.balancer = "b1";
   withdraw.host = "h0";
-  Do(withdraw);
+  ApplyNext(withdraw);
   EXPECT_EQ(state_.VotesAgainst("h0").size(), 2u);
   Count();
-  EXPECT_FALSE(Out());
-  Votes({1});
-  RunOut(31 * kSecond);
+  EXPECT_FALSE(IsEjected());
+  SendVotes({1});
+  Expire(31 * kSecond);
   EXPECT_TRUE(state_.VotesAgainst("h0").empty());
-  Votes({2});
+  SendVotes({2});
   Count();
-  EXPECT_FALSE(Out());
+  EXPECT_FALSE(IsEjected());
 }
 
 TEST_F(Council, NumbersThatCantBeAreRefused) {
   const auto refused = [&](const std::function<void(Vote&)>& change) {
     Vote vote = VoteOf(0, 0);
     change(vote);
-    Say(vote);
+    SendVote(vote);
     return Refused();
   };
-  EXPECT_EQ(refused([](Vote& v) { v.failures = 4; }), Refusal::kCantBe);
-  EXPECT_EQ(refused([](Vote& v) { v.window = -kSecond; }), Refusal::kCantBe);
-  EXPECT_EQ(refused([](Vote& v) { v.window = 3600 * kSecond; }), Refusal::kCantBe);
-  EXPECT_EQ(refused([](Vote& v) { v.trials = v.failures = 1000000; }), Refusal::kCantBe);
-  EXPECT_EQ(refused([](Vote& v) { v.lasts = 3600 * kSecond; }), Refusal::kCantBe);
+  EXPECT_EQ(refused([](Vote& v) { v.failures = 4; }), Refusal::kInvalidNumbers);
+  EXPECT_EQ(refused([](Vote& v) { v.window = -kSecond; }), Refusal::kInvalidNumbers);
+  EXPECT_EQ(refused([](Vote& v) { v.window = 3600 * kSecond; }), Refusal::kInvalidNumbers);
+  EXPECT_EQ(refused([](Vote& v) { v.trials = v.failures = 1000000; }), Refusal::kInvalidNumbers);
+  EXPECT_EQ(refused([](Vote& v) { v.lifetime = 3600 * kSecond; }), Refusal::kInvalidNumbers);
   EXPECT_EQ(refused([](Vote& v) { v.zone = "z1"; }), Refusal::kOtherZone);
   EXPECT_EQ(refused([](Vote& v) { v.balancer = "nobody"; }), Refusal::kUnknownBalancer);
   EXPECT_EQ(refused([](Vote& v) { v.host = "nobody"; }), Refusal::kUnknownHost);
-  EXPECT_EQ(refused([](Vote& v) { v.life = 4; }), Refusal::kOldLife);
+  EXPECT_EQ(refused([](Vote& v) { v.incarnation = 4; }), Refusal::kOldIncarnation);
 }
 
 TEST_F(Council, FloodIsBoundedAndMakesASuspect) {
   size_t told = 0;
   for (int i = 0; i < 2000; ++i) {
-    Say(VoteOf(0, i % 2));
+    SendVote(VoteOf(0, i % 2));
     told += last_.empty() ? 0 : 1;
   }
   EXPECT_TRUE(state_.suspects().contains("b0"));
@@ -224,143 +224,143 @@
 }
 
 TEST_F(Council, SuspectsVotesDontCount) {
-  for (int host = 0; host < 10; ++host) Votes({0, 1, 2}, host);
+  for (int host = 0; host < 10; ++host) SendVotes({0, 1, 2}, host);
   EXPECT_EQ(state_.suspects().size(), 3u);
   Count();
-  for (int host = 0; host < 10; ++host) EXPECT_FALSE(Out(host));
+  for (int host = 0; host < 10; ++host) EXPECT_FALSE(IsEjected(host));
 }
 
 TEST_F(Council, ManyAtOnceAreAnIncident) {
-  Votes({0, 1, 2}, 0);
-  Votes({3, 4, 5}, 1);
-  Votes({6, 7, 0}, 2);
+  SendVotes({0, 1, 2}, 0);
+  SendVotes({3, 4, 5}, 1);
+  SendVotes({6, 7, 0}, 2);
   Count();
-  EXPECT_FALSE(Out(0) || Out(1) || Out(2));
-  ASSERT_NE(Find(What::kIncident), nullptr);
-  EXPECT_EQ(Find(What::kIncident)->hosts.size(), 3u);
+  EXPECT_FALSE(IsEjected(0) || IsEjected(1) || IsEjected(2));
+  ASSERT_NE(FindEffect(What::kIncident), nullptr);
+  EXPECT_EQ(FindEffect(What::kIncident)->hosts.size(), 3u);
   EXPECT_TRUE(state_.incident());
-  RunOut(31 * kSecond);
-  RunOut(11 * kSecond);
-  EXPECT_NE(Find(What::kIncidentOver), nullptr);
+  Expire(31 * kSecond);
+  Expire(11 * kSecond);
+  EXPECT_NE(FindEffect(What::kIncidentOver), nullptr);
 }
 
 TEST_F(Council, CapHoldsAcrossOwners) {
   Eject(0);
   ++epoch_;
-  Votes({3, 4, 5}, 1);
+  SendVotes({3, 4, 5}, 1);
   Count();
-  EXPECT_FALSE(Out(1));
-  ASSERT_NE(Find(What::kHeld), nullptr);
+  EXPECT_FALSE(IsEjected(1));
+  ASSERT_NE(FindEffect(What::kHeld), nullptr);
 }
 
 TEST_F(Council, OlderOwnerIsFenced) {
   epoch_ = 9;
-  Hosts();
-  Votes({0, 1, 2});
+  ApplyGroup();
+  SendVotes({0, 1, 2});
   epoch_ = 8;
   Count();
   EXPECT_EQ(Refused(), Refusal::kFenced);
-  EXPECT_FALSE(Out());
+  EXPECT_FALSE(IsEjected());
 }
 
 TEST_F(Council, LastOfItsZoneAndWorkOfTheRest) {
   group_.hosts[0].zone = "z2";
-  Hosts();
-  Votes({0, 1, 2});
+  ApplyGroup();
+  SendVotes({0, 1, 2});
   Count();
-  ASSERT_NE(Find(What::kHeld), nullptr);
-  EXPECT_EQ(Find(What::kHeld)->held, Held::kLastOfZone);
-  group_.used = 0.85;
-  Hosts();
-  Votes({3, 4, 5}, 1);
-  RunOut(31 * kSecond);
-  Votes({3, 4, 5}, 1);
+  ASSERT_NE(FindEffect(What::kHeld), nullptr);
+  EXPECT_EQ(FindEffect(What::kHeld)->held, HoldReason::kLastOfZone);
+  group_.used_share = 0.85;
+  ApplyGroup();
+  SendVotes({3, 4, 5}, 1);
+  Expire(31 * kSecond);
+  SendVotes({3, 4, 5}, 1);
   Count();
-  ASSERT_NE(Find(What::kHeld), nullptr);
-  EXPECT_EQ(Find(What::kHeld)->held, Held::kWork);
+  ASSERT_NE(FindEffect(What::kHeld), nullptr);
+  EXPECT_EQ(FindEffect(What::kHeld)->held, HoldReason::kCapacity);
 }
 
 TEST_F(Council, NewLifeIsNotEjected) {
-  Votes({0, 1, 2});
-  group_.hosts[0].life = 6;
-  Hosts();  // restarted in mid-vote
+  SendVotes({0, 1, 2});
+  group_.hosts[0].incarnation = 6;
+  ApplyGroup();  // restarted in mid-vote
   Count();
-  EXPECT_FALSE(Out());
+  EXPECT_FALSE(IsEjected());
   EXPECT_TRUE(state_.VotesAgainst("h0").empty());
   Vote vote = VoteOf(3, 0);
-  vote.life = 6;
-  Say(vote);
+  vote.incarnation = 6;
+  SendVote(vote);
   EXPECT_EQ(Refused(), Refusal::kInGrace);
   Eject(1);
-  group_.hosts[1].life = 6;
-  Hosts();
-  ASSERT_NE(Find(What::kBack), nullptr);
-  EXPECT_EQ(Find(What::kBack)->over, Over::kNewLife);
+  group_.hosts[1].incarnation = 6;
+  ApplyGroup();
+  ASSERT_NE(FindEffect(What::kReturn), nullptr);
+  EXPECT_EQ(FindEffect(What::kReturn)->return_reason, ReturnReason::kNewIncarnation);
 }
 
 TEST_F(Council, OneGoodTrialBringsItBackAndShrinksTheTerm) {
   Eject();
-  const std::string first = Trier();
-  EXPECT_EQ(Find(What::kTry)->who.size(), 1u);
-  Trial("b9", true);
-  EXPECT_EQ(Refused(), Refusal::kNotTold);
-  Trial(first, false);
-  EXPECT_EQ(Find(What::kEject)->term, 2 * rules_.first_term);
-  Trial(Trier(), true);
-  ASSERT_NE(Find(What::kBack), nullptr);
+  const std::string first = ChosenTrier();
+  EXPECT_EQ(FindEffect(What::kRunTrial)->who.size(), 1u);
+  SendTrial("b9", true);
+  EXPECT_EQ(Refused(), Refusal::kNotChosenToTry);
+  SendTrial(first, false);
+  EXPECT_EQ(FindEffect(What::kEject)->term, 2 * rules_.first_term);
+  SendTrial(ChosenTrier(), true);
+  ASSERT_NE(FindEffect(What::kReturn), nullptr);
   EXPECT_EQ(state_.ejections().at("h0").term, rules_.first_term);
-  Say(VoteOf(0, 0));
+  SendVote(VoteOf(0, 0));
   EXPECT_EQ(Refused(), Refusal::kInGrace);
   // Bad again soon: what the good one shrank counts for nothing.
-  RunOut(rules_.grace);
-  Votes({0, 1, 2});
+  Expire(rules_.grace);
+  SendVotes({0, 1, 2});
   Count(kSecond);
-  EXPECT_EQ(Find(What::kEject)->term, 4 * rules_.first_term);
+  EXPECT_EQ(FindEffect(What::kEject)->term, 4 * rules_.first_term);
 }
 
 TEST_F(Council, SilentTriersAreFollowedByAFewAndThenItIsOver) {
   Eject();
-  Trier();
-  RunOut(rules_.try_one);
-  ASSERT_NE(Find(What::kTry), nullptr);
-  EXPECT_GT(Find(What::kTry)->who.size(), 3u);
-  RunOut(rules_.try_few);
-  ASSERT_NE(Find(What::kBack), nullptr);
-  EXPECT_EQ(Find(What::kBack)->over, Over::kNoTrial);
+  ChosenTrier();
+  Expire(rules_.single_trial_timeout);
+  ASSERT_NE(FindEffect(What::kRunTrial), nullptr);
+  EXPECT_GT(FindEffect(What::kRunTrial)->who.size(), 3u);
+  Expire(rules_.multi_trial_timeout);
+  ASSERT_NE(FindEffect(What::kReturn), nullptr);
+  EXPECT_EQ(FindEffect(What::kReturn)->return_reason, ReturnReason::kNoTrial);
 }
 
 TEST_F(Council, OperatorsWordGoesFirst) {
   Eject();
-  Staff(Operator::kExtend, 0, 60 * kSecond);
-  EXPECT_GE(Find(What::kEject)->term, 60 * kSecond);
-  Staff(Operator::kForbid);
-  EXPECT_EQ(Find(What::kBack)->over, Over::kOperator);
-  RunOut(rules_.grace);
-  Votes({0, 1, 2});
+  OperatorCommand(OperatorAction::kExtend, 0, 60 * kSecond);
+  EXPECT_GE(FindEffect(What::kEject)->term, 60 * kSecond);
+  OperatorCommand(OperatorAction::kForbid);
+  EXPECT_EQ(FindEffect(What::kReturn)->return_reason, ReturnReason::kOperator);
+  Expire(rules_.grace);
+  SendVotes({0, 1, 2});
   Count();
-  EXPECT_FALSE(Out());
-  Staff(Operator::kAllow);
+  EXPECT_FALSE(IsEjected());
+  OperatorCommand(OperatorAction::kAllow);
   Count();
-  EXPECT_TRUE(Out());
-  Staff(Operator::kEnd);
-  EXPECT_FALSE(Out());
-  Staff(Operator::kExtend, 0, 100 * 3600 * kSecond);
+  EXPECT_TRUE(IsEjected());
+  OperatorCommand(OperatorAction::kEnd);
+  EXPECT_FALSE(IsEjected());
+  OperatorCommand(OperatorAction::kExtend, 0, 100 * 3600 * kSecond);
   EXPECT_EQ(Refused(), Refusal::kTooLong);
 }
 
 TEST_F(Council, ByHandEndsItAndADrainingOneIsNotTried) {
   Eject();
   group_.hosts[0].by_hand = true;
-  Hosts();
-  EXPECT_EQ(Find(What::kBack)->over, Over::kByHand);
-  Votes({0, 1, 2}, 1);
+  ApplyGroup();
+  EXPECT_EQ(FindEffect(What::kReturn)->return_reason, ReturnReason::kByHand);
+  SendVotes({0, 1, 2}, 1);
   Count();
   group_.hosts[1].draining = true;
-  Hosts();
-  EXPECT_TRUE(Out(1));
-  RunOut(rules_.first_term);
-  ASSERT_NE(Find(What::kBack), nullptr);
-  EXPECT_EQ(Find(What::kBack)->over, Over::kDrains);
+  ApplyGroup();
+  EXPECT_TRUE(IsEjected(1));
+  Expire(rules_.first_term);
+  ASSERT_NE(FindEffect(What::kReturn), nullptr);
+  EXPECT_EQ(FindEffect(What::kReturn)->return_reason, ReturnReason::kDraining);
 }
 
 TEST_F(Council, BadForOneClassAlone) {
@@ -368,12 +368,12 @@
     Vote vote = VoteOf(balancer, 0);
     vote.cls = 4;
     vote.others = 5;  // good answers of its other classes
-    Say(vote);
+    SendVote(vote);
   }
   Count();
-  EXPECT_FALSE(Out());
-  ASSERT_NE(Find(What::kClass), nullptr);
-  EXPECT_EQ(Find(What::kClass)->cls, 4u);
+  EXPECT_FALSE(IsEjected());
+  ASSERT_NE(FindEffect(What::kBadForClass), nullptr);
+  EXPECT_EQ(FindEffect(What::kBadForClass)->cls, 4u);
 }
 
 TEST_F(Council, EarlierEntriesAndStampsChangeNothing) {
@@ -387,9 +387,9 @@
 
 TEST_F(Council, SavedAndLoadedIsTheSame) {
   Eject();
-  Votes({0, 1}, 3);
-  SayGood(4, 3);
-  Staff(Operator::kForbid, 5);
+  SendVotes({0, 1}, 3);
+  SendGoodReport(4, 3);
+  OperatorCommand(OperatorAction::kForbid, 5);
   const std::string saved = state_.Save();
   const auto loaded = State::Load(saved, rules_);
   ASSERT_TRUE(loaded.has_value());
--- a/tests/ejection/world_test.cpp
+++ b/tests/ejection/world_test.cpp
@@ -11,7 +11,7 @@
 namespace burlfall::ejection_world {
 namespace {
 
-using Planted = ejection::Rules::Planted;
+using InjectedFaults = ejection::Rules::InjectedFaults;
 
 uint64_t Seeds() {
   const char* many = std::getenv("EJECTION_SEEDS");
@@ -21,16 +21,16 @@
 TEST(World, NoSeedBreaksTheInvariant) {
   uint64_t ejections = 0, paths = 0, suspects = 0, incidents = 0, refused = 0, held = 0, classes = 0;
   for (uint64_t seed = 1; seed <= Seeds(); ++seed) {
-    const Figures figures = Play(Draw(seed));
-    for (const std::string& broken : figures.broken) ADD_FAILURE() << "seed " << seed << ": " << broken;
-    EXPECT_FALSE(figures.differs) << "seed " << seed;
-    ejections += figures.ejections;
-    paths += figures.paths;
-    suspects += figures.suspects;
-    incidents += figures.incidents;
-    refused += figures.refused;
-    held += figures.held;
-    classes += figures.classes;
+    const Results results = Simulate(RandomPlan(seed));
+    for (const std::string& broken : results.violations) ADD_FAILURE() << "seed " << seed << ": " << broken;
+    EXPECT_FALSE(results.replicas_differ) << "seed " << seed;
+    ejections += results.ejections;
+    paths += results.paths;
+    suspects += results.suspects;
+    incidents += results.incidents;
+    refused += results.refused;
+    held += results.held;
+    classes += results.classes;
   }
   // A world in which nothing happens would pass as well.
   EXPECT_GT(ejections, Seeds() / 4);
@@ -45,7 +45,7 @@
 struct Fault {
   const char* name;
   uint64_t seeds;  // within which it is found
-  std::function<void(Planted&)> plant;
+  std::function<void(InjectedFaults&)> inject;
 };
 void PrintTo(const Fault& fault, std::ostream* to) { *to << fault.name; }
 
@@ -54,12 +54,12 @@
 TEST_P(Faults, AreFound) {
   const uint64_t seeds = std::getenv("EJECTION_SEEDS") != nullptr ? Seeds() : GetParam().seeds;
   for (uint64_t seed = 1; seed <= seeds; ++seed) {
-    Plan plan = Draw(seed);
-    GetParam().plant(plan.rules.planted);
-    const Figures figures = Play(plan);
-    if (figures.broken.empty()) continue;
+    Plan plan = RandomPlan(seed);
+    GetParam().inject(plan.rules.injected);
+    const Results results = Simulate(plan);
+    if (results.violations.empty()) continue;
     RecordProperty("found_at", static_cast<int>(seed));
-    std::printf("%s: seed %d, %s\n", GetParam().name, static_cast<int>(seed), figures.broken[0].c_str());
+    std::printf("%s: seed %d, %s\n", GetParam().name, static_cast<int>(seed), results.violations[0].c_str());
     return;
   }
   FAIL() << "not found in " << seeds << " seeds";
@@ -67,16 +67,17 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Planted, Faults,
-    testing::Values(Fault{"CountsTwice", 200, [](Planted& p) { p.counts_twice = true; }},
-                    Fault{"OldLife", 200, [](Planted& p) { p.old_life = true; }},
-                    Fault{"SuspectsCount", 200, [](Planted& p) { p.suspects_count = true; }},
-                    Fault{"ZonesIgnored", 200, [](Planted& p) { p.zones_ignored = true; }},
-                    Fault{"GoodsIgnored", 200, [](Planted& p) { p.goods_ignored = true; }},
-                    Fault{"CapForgotten", 200, [](Planted& p) { p.cap_forgotten = true; }},
-                    Fault{"CapIgnored", 200, [](Planted& p) { p.cap_ignored = true; }},
-                    Fault{"NeverEnds", 200, [](Planted& p) { p.never_ends = true; }},
-                    Fault{"LastHost", 200, [](Planted& p) { p.last_host = true; }},
-                    Fault{"NumbersBelieved", 200, [](Planted& p) { p.numbers_believed = true; }}),
+    testing::Values(Fault{"CountsTwice", 200, [](InjectedFaults& p) { p.counts_twice = true; }},
+                    Fault{"OldLife", 200, [](InjectedFaults& p) { p.old_incarnation = true; }},
+                    Fault{"SuspectsCount", 200, [](InjectedFaults& p) { p.suspects_count = true; }},
+                    Fault{"ZonesIgnored", 200, [](InjectedFaults& p) { p.zones_ignored = true; }},
+                    Fault{"GoodsIgnored", 200, [](InjectedFaults& p) { p.good_reports_ignored = true; }},
+                    Fault{"CapForgotten", 200, [](InjectedFaults& p) { p.cap_reset_by_new_owner = true; }},
+                    Fault{"CapIgnored", 200, [](InjectedFaults& p) { p.cap_ignored = true; }},
+                    Fault{"NeverEnds", 200, [](InjectedFaults& p) { p.terms_never_end = true; }},
+                    Fault{"LastHost", 200, [](InjectedFaults& p) { p.last_host_ejected = true; }},
+                    Fault{"NumbersBelieved", 200,
+                          [](InjectedFaults& p) { p.invalid_numbers_accepted = true; }}),
     [](const auto& about) { return about.param.name; });
 
 }  // namespace
--- a/tests/ejection/worth_test.cpp
+++ b/tests/ejection/worth_test.cpp
@@ -36,20 +36,20 @@
   if (std::getenv("EJECTION_WORTH") == nullptr) GTEST_SKIP() << "EJECTION_WORTH=1 prints the table";
   struct Row {
     const char* name;
-    std::vector<Trouble> troubles;
-    std::vector<Broken> broken;
-    std::vector<Liar> liars;
-    std::vector<Act> acts;
+    std::vector<HostFault> faults;
+    std::vector<NetworkOutage> outages;
+    std::vector<MisbehavingBalancer> misbehaving;
+    std::vector<Action> actions;
   };
   const auto host = [](Kind kind, double share) {
-    return Trouble{.host = 7, .begin = kOnset, .kind = kind, .share = share};
+    return HostFault{.host = 7, .begin = kOnset, .kind = kind, .share = share};
   };
   std::vector<Row> rows;
   rows.push_back({"silent", {host(Kind::kSilent, 1)}, {}, {}, {}});
   rows.push_back({"errors, all", {host(Kind::kErrors, 1)}, {}, {}, {}});
   rows.push_back({"errors, 30%", {host(Kind::kErrors, 0.3)}, {}, {}, {}});
   rows.push_back({"slow, all", {host(Kind::kSlow, 1)}, {}, {}, {}});
-  Trouble one = host(Kind::kErrors, 1);
+  HostFault one = host(Kind::kErrors, 1);
   one.cls = 1;
   rows.push_back({"one class (30% of queries)", {one}, {}, {}, {}});
   one = host(Kind::kErrors, 1);
@@ -61,7 +61,7 @@
   one = host(Kind::kErrors, 1);
   one.period = 30 * kSecond;
   rows.push_back({"30 s bad, 30 s good", {one}, {}, {}, {}});
-  std::vector<Trouble> all;
+  std::vector<HostFault> all;
   for (size_t i = 0; i < 200; ++i) {
     all.push_back({.host = i, .begin = kOnset, .end = kOnset + 60 * kSecond});
   }
@@ -70,7 +70,7 @@
                   {{.host = 7, .begin = kOnset, .end = kOnset + 2 * kSecond}},
                   {},
                   {},
-                  {{.what = Act::What::kRestart, .at = kOnset + 2 * kSecond, .host = 7}}});
+                  {{.what = Action::What::kRestart, .at = kOnset + 2 * kSecond, .host = 7}}});
   rows.push_back({"all good; one votes against all", {}, {}, {{.balancer = 5, .begin = kOnset}}, {}});
   rows.push_back(
       {"all good; a zone's network broken", {}, {{0, kOnset, kOnset + 600 * kSecond, false}}, {}, {}});
@@ -85,36 +85,37 @@
   const std::string only = std::getenv("EJECTION_WORTH");  // 1: all rows; else the one of that name
   for (const Row& row : rows) {
     if (only != "1" && only != row.name) continue;
-    Figures sum[2];
+    Results sum[2];
     Micros quiet[2] = {0, 0};
     for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
       for (int votes = 0; votes < 2; ++votes) {
         Plan plan = Full(seed, votes == 1);
-        plan.troubles = row.troubles;
-        plan.broken = row.broken;
-        plan.acts = row.acts;
-        if (votes == 1) plan.liars = row.liars;
-        const Figures figures = Play(plan);
-        for (const std::string& broken : figures.broken) ADD_FAILURE() << row.name << ": " << broken;
-        EXPECT_FALSE(figures.differs) << row.name;
-        const bool at_host = row.troubles.size() == 1;
-        sum[votes].lost_minute += at_host ? figures.lost_at_troubled_minute : figures.lost_minute;
-        sum[votes].lost += at_host ? figures.lost_at_troubled : figures.lost;
-        sum[votes].ejections += figures.ejections;
-        sum[votes].wrong += figures.wrong;
-        sum[votes].entries += figures.entries;
-        sum[votes].entries_most = std::max(sum[votes].entries_most, figures.entries_most);
-        sum[votes].incidents += figures.incidents;
-        quiet[votes] = figures.quiet_after == kNever || quiet[votes] == kNever
+        plan.faults = row.faults;
+        plan.outages = row.outages;
+        plan.actions = row.actions;
+        if (votes == 1) plan.misbehaving = row.misbehaving;
+        const Results results = Simulate(plan);
+        for (const std::string& broken : results.violations) ADD_FAILURE() << row.name << ": " << broken;
+        EXPECT_FALSE(results.replicas_differ) << row.name;
+        const bool at_host = row.faults.size() == 1;
+        sum[votes].lost_minute += at_host ? results.lost_at_faulty_minute : results.lost_minute;
+        sum[votes].lost += at_host ? results.lost_at_faulty : results.lost;
+        sum[votes].ejections += results.ejections;
+        sum[votes].wrong += results.wrong;
+        sum[votes].entries += results.entries;
+        sum[votes].max_entries_per_second =
+            std::max(sum[votes].max_entries_per_second, results.max_entries_per_second);
+        sum[votes].incidents += results.incidents;
+        quiet[votes] = results.quiet_after == kNever || quiet[votes] == kNever
                            ? kNever
-                           : std::max(quiet[votes], figures.quiet_after);
+                           : std::max(quiet[votes], results.quiet_after);
       }
     }
     std::printf("| %s | %lu | %lu | %lu | %lu | %s | %s | %.1f | %lu | %.1f, %lu |\n", row.name,
                 sum[0].lost_minute / kSeeds, sum[1].lost_minute / kSeeds, sum[0].lost / kSeeds,
                 sum[1].lost / kSeeds, Seconds(quiet[0]).c_str(), Seconds(quiet[1]).c_str(),
                 static_cast<double>(sum[1].ejections) / kSeeds, sum[1].wrong,
-                static_cast<double>(sum[1].entries) / kSeeds / 640, sum[1].entries_most);
+                static_cast<double>(sum[1].entries) / kSeeds / 640, sum[1].max_entries_per_second);
     std::fflush(stdout);
   }
 }
@@ -131,14 +132,14 @@
 
 TEST(Worth, AFifthOfTheLossesWhereAHostFailsAlways) {
   for (const Kind kind : {Kind::kSilent, Kind::kErrors, Kind::kSlow}) {
-    Figures with, without;
+    Results with, without;
     for (int votes = 0; votes < 2; ++votes) {
       Plan plan = Small(3, votes == 1);
-      plan.troubles = {{.host = 7, .begin = kOnset, .kind = kind}};
-      (votes == 1 ? with : without) = Play(plan);
+      plan.faults = {{.host = 7, .begin = kOnset, .kind = kind}};
+      (votes == 1 ? with : without) = Simulate(plan);
     }
-    EXPECT_TRUE(with.broken.empty());
-    EXPECT_LT(5 * with.lost_at_troubled, without.lost_at_troubled) << NameOf(kind);
+    EXPECT_TRUE(with.violations.empty());
+    EXPECT_LT(5 * with.lost_at_faulty, without.lost_at_faulty) << NameOf(kind);
     EXPECT_EQ(with.wrong, 0u);
   }
 }
@@ -146,10 +147,10 @@
 TEST(Worth, GoodHostsStayWhereAZonesNetworkIsBroken) {
   for (const bool outside : {false, true}) {
     Plan plan = Small(4, true);
-    plan.broken = {{0, kOnset, kOnset + 40 * kSecond, outside}};
-    const Figures with = Play(plan);
+    plan.outages = {{0, kOnset, kOnset + 40 * kSecond, outside}};
+    const Results with = Simulate(plan);
     EXPECT_EQ(with.ejections, 0u);
-    EXPECT_TRUE(with.broken.empty());
+    EXPECT_TRUE(with.violations.empty());
   }
 }
 
