--- a/src/ejection/active_ejections.cpp
+++ b/src/ejection/active_ejections.cpp
@@ -1,3 +1,4 @@
+// ActiveEjections: the ejections that one balancer applies.
 #include <algorithm>
 
 #include "ejection/state.h"
@@ -38,9 +39,9 @@
   for (const auto& [host, ejection] : state.ejections()) {
     if (!ejection.out()) continue;
     const Micros left = std::max<Micros>(0, ejection.until - state.at());
-    const bool flood_reported = std::ranges::find(ejection.triers, self) != ejection.triers.end();
+    const bool chosen = std::ranges::find(ejection.triers, self) != ejection.triers.end();
     out_[host] = {ejection.incarnation, now + left + rules_.single_trial_timeout + rules_.multi_trial_timeout,
-                  flood_reported && ejection.phase != Ejection::Phase::kOut};
+                  chosen && ejection.phase != Ejection::Phase::kOut};
   }
   return true;
 }
--- a/src/ejection/command_codec.cpp
+++ b/src/ejection/command_codec.cpp
@@ -1,4 +1,4 @@
-// Commands as bytes.
+// Encodes and decodes the commands of the replicated log.
 #include "ejection/framing.h"
 #include "ejection/state.h"
 
--- a/src/ejection/evidence.cpp
+++ b/src/ejection/evidence.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 constexpr size_t kMaxTrackedClasses = 64;
-constexpr uint32_t kMinLatencySamples = 50;          // answers of a class before any is called slow
-constexpr uint32_t kHalveLatencySamplesAt = 4000;    // so that older times fade
-constexpr Micros kOwnNetworkLookback = 5 * kSecond;  // looked back at for it
-constexpr uint32_t kMinOwnNetworkResults = 8;        // results in it
+constexpr uint32_t kMinLatencySamples = 50;          // of a class, before an answer can count as slow
+constexpr uint32_t kHalveLatencySamplesAt = 4000;    // so that older latencies lose weight
+constexpr Micros kOwnNetworkLookback = 5 * kSecond;  // span of the results that are examined for it
+constexpr uint32_t kMinOwnNetworkResults = 8;        // with fewer, the span is extended
 
 size_t LatencyBucketOf(Micros latency) {
   const double half_octaves = 2 * std::log2(std::max<double>(1, static_cast<double>(latency) / kMs));
@@ -48,14 +48,13 @@
 }
 
 double Evidence::LogOddsOf(const Bucket& bucket, double baseline) const {
-  // Where the others fail too, only what fails much more often is this host's fault.
+  // If the other hosts fail too, only a much higher share of failures counts against this host.
   const double bad = std::clamp(std::max(rules_.bad_share, 2 * baseline), baseline, 0.999);
   const double failed = bucket.Failed();
   return failed * std::log(bad / baseline) +
          (static_cast<double>(bucket.trials) - failed) * std::log((1 - bad) / (1 - baseline));
 }
 
-// What speaks most for "bad" of all spans that end with the last piece, into `best` where it is more.
 template <typename Piece>
 void Evidence::UpdateBestSpan(const std::vector<Piece>& pieces, Sum& best) {
   Sum sum;
@@ -98,7 +97,7 @@
                         std::optional<Kind> failed, Micros latency) {
   auto at = hosts_.find(host);
   if (at == hosts_.end()) {
-    if (hosts_.size() >= rules_.max_hosts) {  // the one that was used last makes room
+    if (hosts_.size() >= rules_.max_hosts) {  // evict the host unused for longest, preferably not ejected
       const auto oldest = std::ranges::min_element(hosts_, {}, [](const auto& one) {
         return std::make_pair(one.second.out, one.second.last_result_at);
       });
@@ -108,7 +107,7 @@
     at->second.incarnation = incarnation;
   }
   HostRecord& record = at->second;
-  if (incarnation < record.incarnation) return;  // of an earlier life
+  if (incarnation < record.incarnation) return;  // a result of an earlier incarnation
   if (incarnation > record.incarnation) {
     record = {};
     record.incarnation = incarnation;
@@ -126,10 +125,10 @@
     ++class_record.latency_histogram[LatencyBucketOf(latency)];
     ++class_record.latency_samples;
   }
-  if (record.out) return;  // in flight since before; what is told of trials goes another way
+  if (record.out) return;  // sent before the ejection; trials are reported by TrialCommand()
   if (now < record.ignore_until) return;
   if (!failed && record.asleep && (record.stance == Stance::kVote || record.stance == Stance::kSure)) {
-    record.classes.clear();  // its own trial was good
+    record.classes.clear();  // the decision module's own trial succeeded
   }
   uint32_t kept = cls;
   if (record.classes.size() >= rules_.max_classes && !record.classes.contains(cls)) {
@@ -139,7 +138,7 @@
     ++bucket->trials;
     if (failed) ++bucket->failures[static_cast<size_t>(*failed)];
   }
-  // Good answers of a host that nobody asks about change nothing that was said.
+  // Good answers of a host that is not polled and has no report of this balancer need no new assessment.
   if (failed || record.poll_open || record.stance != Stance::kNothing) MarkChanged(host, record);
 }
 
@@ -159,7 +158,7 @@
     if (effect.what == Effect::What::kRefused) {
       const auto at = hosts_.find(effect.host);
       if (at != hosts_.end() && effect.who == std::vector<std::string>{balancer_}) {
-        at->second.stance = Stance::kNothing;  // told anew with the next result
+        at->second.stance = Stance::kNothing;  // reported again with the next result
       }
       continue;
     }
@@ -231,7 +230,7 @@
 
 bool Evidence::OwnNetworkSuspect(Micros now) const { return OthersFail(now, HostRecord{}); }
 
-// Of the last results but this host's: those of some seconds, or of more where a balancer has few.
+// Examines the recent results of all other hosts: of a few seconds, or of a longer span if they are few.
 bool Evidence::OthersFail(Micros now, const HostRecord& record) const {
   const auto of_others = [&](Micros back) {
     uint64_t trials = 0, failed = 0;
@@ -248,7 +247,7 @@
     return std::pair(trials, failed);
   };
   const auto [at_once, failed_at_once] = of_others(2 * kSecond);
-  if (at_once >= 3 && 2 * failed_at_once >= at_once) return true;  // it has just begun
+  if (at_once >= 3 && 2 * failed_at_once >= at_once) return true;  // a failure that has just begun
   for (Micros back = kOwnNetworkLookback;; back = std::min(2 * back, rules_.window)) {
     const auto [trials, failed] = of_others(back);
     if (trials < kMinOwnNetworkResults && back < rules_.window) continue;
@@ -267,7 +266,8 @@
   return std::clamp(failed / static_cast<double>(all.trials - own.trials), rules_.min_baseline_share, 0.5);
 }
 
-// Of each class by itself, and of all together: a host may fail one, or each now and then.
+// Examines each class alone and all classes together, since a host may always fail one class, or
+// sometimes fail each.
 Evidence::Sum Evidence::MostSuspectSpan(Micros now, const HostRecord& record, Micros since) const {
   struct Piece {
     const Bucket* bucket;
@@ -292,14 +292,14 @@
 Evidence::Opinion Evidence::Assess(Micros now, HostRecord& record) const {
   Opinion opinion;
   if (OthersFail(now, record)) {
-    record.discard_until = now;  // what failed until now says nothing later, either
+    record.discard_until = now;  // failures up to now are not used later, either
     return opinion;
   }
   const Micros oldest = std::max(now - rules_.window, record.discard_until);
   uint64_t trials = 0;
   for (const auto& [cls, ring] : record.classes) trials += SumOf(ring, oldest).trials;
   Sum suspect_span = MostSuspectSpan(now, record, oldest);
-  // With many results there are many spans to be unlucky in.
+  // More results contain more spans that look bad by chance, so the threshold rises.
   const double sure = rules_.sure_log_odds + std::max(0.0, std::log(static_cast<double>(trials) / 8));
   if (suspect_span.log_odds >= sure && suspect_span.trials >= rules_.min_trials &&
       suspect_span.failed >= rules_.min_trials) {
@@ -329,7 +329,7 @@
   } else {
     return opinion;
   }
-  // All that came since its first failure, of any class.
+  // The vote covers all results since the first failure of the span, of every class.
   opinion.sum = {};
   opinion.sum.since = suspect_span.since;
   opinion.cls = kSeveralClasses;
@@ -370,17 +370,17 @@
     if (record.out) continue;
     Opinion opinion = Assess(now, record);
     if (record.stance != Stance::kNothing && now >= record.stance_until)
-      record.stance = Stance::kNothing;  // it ran out
-    // What was sure stays told, until the odds are even or it runs out.
+      record.stance = Stance::kNothing;  // it has expired
+    // A sure vote stays sure until the odds are even or it expires.
     if (record.stance == Stance::kSure && opinion.stance == Stance::kVote) opinion.stance = Stance::kSure;
     const bool due = record.stance_until - now <= rules_.renew_before_expiry;
-    // In question all that is seen is news: how often the host fails decides what good words weigh.
+    // During a poll, more results are reported again: the share of failures sets the weight of good reports.
     const uint32_t enough = record.stance_trials < 4 ? record.stance_trials + 1 : 2 * record.stance_trials;
     const bool more = record.poll_open && opinion.sum.trials >= enough;
     if (opinion.stance == record.stance && !(opinion.stance != Stance::kNothing && (due || more))) continue;
     Command command;
     if (opinion.stance == Stance::kNothing) {
-      // Sure, and less so by now: it stands until the odds are even.
+      // The evidence of a sure vote has become weaker: the vote is kept until the odds are even.
       const bool log_odds = record.stance == Stance::kSure && !OthersFail(now, record) &&
                             MostSuspectSpan(now, record, now - rules_.window).log_odds > 0;
       if (log_odds) continue;
--- a/src/ejection/evidence.h
+++ b/src/ejection/evidence.h
@@ -1,11 +1,12 @@
-// What one balancer's own queries say of its hosts, and what it tells the council of it: votes, good words,
-// and their withdrawal. It reads results and changes nothing of the decision module. Time goes in on the
-// balancer's own clock.
+// Evidence that one balancer collects about hosts from its own queries, and the reports it sends to the
+// council: votes, good reports and their withdrawal. It only reads results and does not influence the
+// decision module. All times are on the balancer's own clock.
 //
-// Unasked, it votes only where it is sure: at least `least_trials` since the first failure, and the odds of
-// "fails at bad_share or more" against "fails as the others of its group and class" past `sure`. In question
-// (two balancers were sure), each tells at once what it has seen since: failed at all, or good. That way the
-// log is quiet, and balancers with little traffic count.
+// Without a poll, a balancer votes only if it is sure: at least `min_trials` results since the first failure,
+// and the log odds of "fails at bad_share or more" against "fails as often as the other hosts of its group
+// and class" reach `sure_log_odds`. During a poll (a balancer was sure), each balancer reports at once what
+// it has seen: failures, or only good answers. So the log stays small and balancers with little traffic still
+// take part.
 #ifndef BURLFALL_EJECTION_EVIDENCE_H_
 #define BURLFALL_EJECTION_EVIDENCE_H_
 
@@ -27,28 +28,32 @@
   Evidence(Rules rules, std::string balancer, std::string zone)
       : rules_(rules), balancer_(std::move(balancer)), zone_(std::move(zone)) {}
 
-  // A query's end at a host. `failed` none: an answer; it may still be slow, by `took`, against the others.
-  // Refused by the host's admission, cancelled, or the client left: no result, don't tell it.
+  // Records the end of a query at a host. Without `failed` the host answered; the answer may still count as
+  // slow, by its `latency` compared with other answers of the class. A query that the host's admission
+  // refused, that was cancelled or whose client has left is no result and must not be recorded.
   void OnResult(Micros now, const std::string& host, Incarnation incarnation, uint32_t cls,
                 std::optional<Kind> failed, Micros latency);
-  // The end of a query that this balancer sent since it was told to try (InForce::TakeTry). Gives kTrial.
+  // Returns the kTrial command for the end of a trial query (see ActiveEjections::ConsumeTrial).
   Command TrialCommand(const std::string& host, Incarnation incarnation, std::optional<Kind> failed) const;
 
-  // From the log: the effects kAsk, kAsked, kEject, kBack are read, the others passed over.
+  // Applies the effects of a log entry: kPollOpened, kPollClosed, kEject, kReturn and kRefused. Others are
+  // ignored.
   void OnEffects(Micros now, const Effects& effects);
-  // From a snapshot.
+  // Takes the polls and ejections from a snapshot.
   void LoadState(Micros now, const State& state);
-  // What the module knows, read: it lets the host sleep, so silence of results is no good word.
+  // Records whether the decision module lets the host sleep, that is, sends it only trial queries. The lack
+  // of results of a sleeping host is then not taken for good.
   void SetAsleep(const std::string& host, bool asleep);
-  void RemoveHost(const std::string& host);  // from the group
+  void RemoveHost(const std::string& host);  // that has left the group
 
-  // What to propose now; nothing for most calls. A vote that the council didn't take is told again before its
-  // end.
+  // Returns the commands to propose now, usually none. A report that still applies is sent again before it
+  // expires, so one that the council did not receive is repeated.
   std::vector<Command> TakeCommands(Micros now);
-  // Tell() may have something at that time; kNever: not before the next result or effect.
+  // Time from which TakeCommands() may return something; kNever: not before the next result or effect.
   Micros next_at() const;
 
-  bool OwnNetworkSuspect(Micros now) const;  // under suspicion by itself: most of all fails
+  // Whether so many results fail that the balancer suspects its own network.
+  bool OwnNetworkSuspect(Micros now) const;
   size_t hosts() const { return hosts_.size(); }
 
  private:
@@ -62,18 +67,19 @@
   struct Sum {
     uint32_t trials = 0;
     uint32_t failed = 0;
-    Micros since = 0;  // begin of its first bucket
+    Micros since = 0;  // begin of the first bucket
     std::array<uint32_t, kKinds> failures{};
-    double log_odds = 0;  // logarithm, bad : as the others
+    double log_odds = 0;  // natural logarithm of the odds "bad" : "as the others"
     void Add(const Bucket& bucket);
   };
+  // What the balancer has last reported about a host.
   enum class Stance { kNothing, kVote, kSure, kGoodReport };
   struct HostRecord {
     Incarnation incarnation = 0;
     std::map<uint32_t, Ring> classes;
-    Micros last_result_at = 0;  // last result
-    Micros ignore_until = 0;    // grace
-    Micros discard_until = 0;   // the other hosts failed as well
+    Micros last_result_at = 0;
+    Micros ignore_until = 0;   // results until then are not recorded (grace)
+    Micros discard_until = 0;  // results until then are not used, as other hosts failed too
     bool poll_open = false;
     Micros poll_start = 0;
     bool out = false;
@@ -85,20 +91,24 @@
   };
   struct ClassRecord {
     Ring all;
-    std::array<uint32_t, 40>
-        latency_histogram{};  // by half powers of two of milliseconds, halved now and then
+    // Each slot spans a factor of the square root of 2, from 1 ms on. Counts are halved at times.
+    std::array<uint32_t, 40> latency_histogram{};
     uint32_t latency_samples = 0;
   };
 
   Bucket& CurrentBucket(Ring& ring, Micros now) const;
   Sum SumOf(const Ring& ring, Micros since) const;
+  // Replaces `best` by the span that ends with the last piece and has the highest log odds, if those are
+  // higher.
   template <typename Piece>
   static void UpdateBestSpan(const std::vector<Piece>& pieces, Sum& best);
+  // The span of results since `since` with the highest log odds, of one class or of all classes together.
   Sum MostSuspectSpan(Micros now, const HostRecord& record, Micros since) const;
-  // Share of failures of the other hosts in this class.
+  // Share of failures of the other hosts in this class, at least min_baseline_share.
   double BaselineShareOf(Micros now, uint32_t cls, const Ring& own_ring) const;
   double LogOddsOf(const Bucket& bucket, double baseline) const;
   bool IsSlow(const ClassRecord& class_record, Micros latency) const;
+  // Whether too many results of the other hosts fail as well, so that the balancer's own network is suspect.
   bool OthersFail(Micros now, const HostRecord& record) const;
   struct Opinion {
     Stance stance = Stance::kNothing;
@@ -115,8 +125,8 @@
   std::string zone_;
   std::map<std::string, HostRecord> hosts_;
   std::map<uint32_t, ClassRecord> classes_;
-  Micros next_renewal_ = kNever;      // something that was said is due again
-  std::vector<std::string> changed_;  // hosts to be judged at the next Tell
+  Micros next_renewal_ = kNever;      // a report is due to be sent again
+  std::vector<std::string> changed_;  // hosts to be assessed at the next TakeCommands()
 };
 
 }  // namespace burlfall::ejection
--- a/src/ejection/framing.h
+++ b/src/ejection/framing.h
@@ -1,5 +1,6 @@
-// MessagePack with a head and a checksum, read within bounds: for this room's commands and states. A frame is
-// four letters, a version, XXH3 of the body (64 bits, low byte first), and the body: one array.
+// Encoding of commands and states: MessagePack with a header and a checksum, decoded with bounds checks. A
+// frame is a magic of three letters and a version byte, the XXH3 checksum of the body (64 bits,
+// little-endian), and the body, which is one MessagePack array.
 #ifndef BURLFALL_EJECTION_FRAMING_H_
 #define BURLFALL_EJECTION_FRAMING_H_
 
@@ -17,9 +18,9 @@
 
 namespace burlfall::ejection {
 
-struct DecodeError {};  // the bytes are not what they must be
+struct DecodeError {};  // thrown on a wrong type, a value out of range or a missing value
 
-// The values of one array, in turn. Throws Slip.
+// Reads the values of one array in order. Throws DecodeError.
 class ArrayReader {
  public:
   explicit ArrayReader(const msgpack::object& from) : array_(from.via.array) {
@@ -35,8 +36,8 @@
     return one.via.u64;
   }
   uint32_t Number32(uint32_t max = UINT32_MAX) { return static_cast<uint32_t>(Number(max)); }
-  // A time or span; negative ones are none of ours, but for a vote's numbers, which are judged, not refused
-  // here.
+  // A time or duration. Negative ones occur only in the numbers of a vote, which are validated later and not
+  // refused here.
   Micros Duration() {
     const msgpack::object& one = Next();
     if (one.type == msgpack::type::NEGATIVE_INTEGER) return one.via.i64;
@@ -46,7 +47,7 @@
   bool Flag() { return Number(1) == 1; }
   double Share() {
     const msgpack::object& one = Next();
-    // The writer makes whole numbers of 0.0 and 1.0.
+    // The encoder writes 0.0 and 1.0 as integers.
     if (one.type == msgpack::type::POSITIVE_INTEGER && one.via.u64 <= 1) return one.via.u64 == 1 ? 1 : 0;
     if (one.type != msgpack::type::FLOAT64 || !(one.via.f64 >= 0 && one.via.f64 <= 1)) throw DecodeError{};
     return one.via.f64;
@@ -59,7 +60,7 @@
     const msgpack::object& one = Next();
     if (one.type != msgpack::type::STR || one.via.str.size > max) throw DecodeError{};
     std::string text(one.via.str.ptr, one.via.str.size);
-    for (const char c : text) {  // it goes into logs, tables and files
+    for (const char c : text) {  // no control characters: the text goes into logs, tables and files
       if (static_cast<unsigned char>(c) < 0x20 || c == 0x7f) throw DecodeError{};
     }
     return text;
@@ -90,7 +91,8 @@
   return frame.append(body.data(), body.size());
 }
 
-// `take` gets the body's Values; nothing where the frame is not whole or `take` slips.
+// Checks the frame and passes the values of its body to `decode`. Returns nothing if the frame is incomplete
+// or damaged, or if `decode` throws DecodeError.
 template <typename UnpackCommand>
 auto Unframe(std::string_view magic, std::string_view frame, uint32_t max_items, UnpackCommand decode)
     -> std::optional<decltype(decode(std::declval<ArrayReader>()))> {
--- a/src/ejection/names.cpp
+++ b/src/ejection/names.cpp
@@ -1,3 +1,4 @@
+// Names of the enumerators, as they appear in logs and in the operators' tools.
 #include "ejection/state.h"
 
 namespace burlfall::ejection {
--- a/src/ejection/state.cpp
+++ b/src/ejection/state.cpp
@@ -12,7 +12,7 @@
 
 using What = Effect::What;
 
-Effect About(What what, const std::string& host, Incarnation incarnation = 0) {
+Effect MakeEffect(What what, const std::string& host, Incarnation incarnation = 0) {
   Effect effect;
   effect.what = what;
   effect.host = host;
@@ -20,20 +20,21 @@
   return effect;
 }
 
-Effect Refused(const std::string& who, const std::string& host, Refusal refusal) {
-  Effect effect = About(What::kRefused, host);
+Effect RefusedEffect(const std::string& who, const std::string& host, Refusal refusal) {
+  Effect effect = MakeEffect(What::kRefused, host);
   effect.who = {who};
   effect.refusal = refusal;
   return effect;
 }
 
-bool PastCap(HoldReason held) {
+bool IsCapReason(HoldReason held) {
   return held == HoldReason::kGroupCap || held == HoldReason::kZoneCap || held == HoldReason::kCapacity ||
          held == HoldReason::kManySuspects;
 }
 
-// Where this share of a host's answers fails, how much `trials` good ones speak against that. By
-// multiplication alone, so that each member's processor finds the same.
+// Returns the probability that a host that fails this share of its queries fails at least one of `trials`
+// queries: the weight of that many good answers as evidence against the votes. Uses multiplication only,
+// which gives the same result on the processor of each member.
 double ContradictionWeight(uint32_t trials, double share) {
   double chance = 1;
   for (uint32_t i = 0; i < std::min<uint32_t>(trials, 64); ++i) chance *= 1 - share;
@@ -92,12 +93,12 @@
       }
       break;
   }
-  if (refusal == Refusal::kTooMany) {  // told once in a span: the flood is not answered by another
+  if (refusal == Refusal::kTooMany) {  // reported once per window, so that a flood causes no second one
     const auto known = balancers_.find(by);
     if (known != balancers_.end() && std::exchange(known->second.flood_reported, true))
       refusal = Refusal::kNone;
   }
-  if (refusal != Refusal::kNone) effects.push_back(Refused(by, about, refusal));
+  if (refusal != Refusal::kNone) effects.push_back(RefusedEffect(by, about, refusal));
   UpdateSuspects(effects);
   OpenPolls(effects);
   return effects;
@@ -152,7 +153,7 @@
   if (refusal != Refusal::kNone) return refusal;
   KnownBalancer& balancer = balancers_.at(vote.balancer);
   if (vote.zone != balancer.zone) return Refusal::kOtherZone;
-  // Beyond these bounds a number is no evidence, whoever tells it.
+  // Numbers outside of these bounds are impossible, whichever balancer reports them.
   const bool is_valid = vote.failures >= 1 && vote.failures <= vote.trials && vote.window >= 0 &&
                         vote.window <= rules_.window + kSecond && vote.lifetime > 0 &&
                         vote.lifetime <= rules_.vote_lifetime &&
@@ -161,7 +162,7 @@
   if (!is_valid && !rules_.injected.invalid_numbers_accepted) return Refusal::kInvalidNumbers;
   if (InGrace(vote.host)) return Refusal::kInGrace;
   const auto record = ejections_.find(vote.host);
-  if (record != ejections_.end() && record->second.out()) return Refusal::kNone;  // late; nothing to add
+  if (record != ejections_.end() && record->second.out()) return Refusal::kNone;  // already ejected
   Case& one = cases_[vote.host];
   const auto old = one.votes.find(vote.balancer);
   if (old == one.votes.end() && balancer.hosts_voted_against >= rules_.max_votes_per_balancer)
@@ -183,7 +184,7 @@
                         good.trials <= (rules_.window / kSecond + 2) * rules_.max_results_per_second;
   if (!is_valid && !rules_.injected.invalid_numbers_accepted) return Refusal::kInvalidNumbers;
   const auto at_case = cases_.find(good.host);
-  if (at_case == cases_.end() || !at_case->second.poll_open) return Refusal::kNone;  // nobody asks any more
+  if (at_case == cases_.end() || !at_case->second.poll_open) return Refusal::kNone;  // the poll is closed
   DropReport(at_case->second, good.balancer);
   Report report;
   report.vote.balancer = good.balancer;
@@ -199,7 +200,8 @@
   return Refusal::kNone;
 }
 
-void State::DropReport(Case& one, std::string key) {  // a copy: it may be the word's own
+// Takes `key` by value, since the argument may be the key of the erased report.
+void State::DropReport(Case& one, std::string key) {
   const auto vote = one.votes.find(key);
   if (vote != one.votes.end()) {
     const auto balancer = balancers_.find(vote->second.vote.balancer);
@@ -213,7 +215,7 @@
 void State::CloseCase(const std::string& host, Effects& effects) {
   const auto at_case = cases_.find(host);
   if (at_case == cases_.end()) return;
-  if (at_case->second.poll_open) effects.push_back(About(What::kPollClosed, host));
+  if (at_case->second.poll_open) effects.push_back(MakeEffect(What::kPollClosed, host));
   while (!at_case->second.votes.empty()) DropReport(at_case->second, at_case->second.votes.begin()->first);
   cases_.erase(at_case);
 }
@@ -227,7 +229,7 @@
   if (ejection.phase == Ejection::Phase::kOut || trier == ejection.triers.end())
     return Refusal::kNotChosenToTry;
   if (command.was_good) {
-    // Only shrinks; and not at all in the hold-down.
+    // A good trial shortens the next term, except during the hold-down.
     if (at_ - ejection.lost_at >= rules_.hold_down) {
       ejection.term = std::max(rules_.first_term, ejection.term / 2);
     }
@@ -235,12 +237,12 @@
     return Refusal::kNone;
   }
   ejection.triers.erase(trier);
-  if (!ejection.triers.empty()) return Refusal::kNone;  // another one's may be good
+  if (!ejection.triers.empty()) return Refusal::kNone;  // another balancer's trial may still be good
   ejection.term = ejection.last_term = std::min(2 * ejection.last_term, rules_.max_term);
   ejection.phase = Ejection::Phase::kOut;
   ejection.lost_at = at_;
   ejection.until = at_ + ejection.last_term;
-  Effect effect = About(What::kEject, command.host, ejection.incarnation);
+  Effect effect = MakeEffect(What::kEject, command.host, ejection.incarnation);
   effect.term = ejection.last_term;
   effect.kind = ejection.kind;
   effect.who = ejection.voters;
@@ -267,13 +269,14 @@
     case OperatorAction::kExtend: {
       if (!out) return Refusal::kNotEjected;
       Ejection& ejection = at->second;
-      // From now at the latest: each call may add so much, and none makes a term without an end.
+      // Extends the term, or starts at the present time if it is over. The bound keeps repeated calls from
+      // making the term endless.
       const Micros until = std::max(ejection.until, at_) + command.span;
       if (until - at_ > rules_.max_extension + rules_.max_term) return Refusal::kTooLong;
       ejection.phase = Ejection::Phase::kOut;
       ejection.triers.clear();
       ejection.until = until;
-      Effect effect = About(What::kEject, command.host, ejection.incarnation);
+      Effect effect = MakeEffect(What::kEject, command.host, ejection.incarnation);
       effect.term = until - at_;
       effect.kind = ejection.kind;
       effect.who = {command.who};
@@ -294,11 +297,11 @@
     if (now.size() >= rules_.max_hosts) break;
     KnownHost known{host, at_};
     const auto before = hosts_.find(host.name);
-    if (!group_known_) known.appeared = at_ - rules_.grace;  // the first list: they were there before
+    if (!group_known_) known.appeared = at_ - rules_.grace;  // the hosts of the first list are not new
     if (before != hosts_.end()) {
       const Incarnation incarnation = before->second.host.incarnation;
-      known.host.incarnation =
-          std::max(incarnation, host.incarnation);  // an owner with an older list takes no life back
+      // An owner with an older list must not undo a restart.
+      known.host.incarnation = std::max(incarnation, host.incarnation);
       if (known.host.incarnation == incarnation) known.appeared = before->second.appeared;
     }
     now.emplace(host.name, std::move(known));
@@ -339,7 +342,7 @@
     known.hosts = {balancer.hosts.begin(), balancer.hosts.end()};
     balancers.emplace(balancer.name, std::move(known));
   }
-  // The words of those that are gone, or in another zone, or use the host no more.
+  // Drop the reports of balancers that have left, changed their zone or no longer use the host.
   for (auto& [host, one] : cases_) {
     std::vector<std::string> drop;
     const auto stays = [&, &on = host](const Report& report) {
@@ -354,13 +357,13 @@
     }
     for (const std::string& key : drop) {
       DropReport(one, key);
-      const auto at = balancers.find(key);  // DropWord counts in the old ones
+      const auto at = balancers.find(key);  // DropReport() has updated only the old list
       if (at != balancers.end() && at->second.hosts_voted_against > 0) --at->second.hosts_voted_against;
     }
   }
   balancers_ = std::move(balancers);
   count_pending_ = true;
-  // Where the group, or what the rest can carry, became smaller, the last ejected come back first.
+  // If the group has shrunk or the rest can carry less, the hosts ejected last return first.
   std::vector<std::pair<uint64_t, std::string>> out;
   for (const auto& [name, ejection] : ejections_) {
     if (ejection.out()) out.emplace_back(ejection.index, name);
@@ -382,7 +385,7 @@
       if (report.until <= at_) drop.push_back(key);
     }
     for (const std::string& key : drop) DropReport(one, key);
-    // Nobody is sure any more: what the others said was only an answer.
+    // No sure vote is left. The other reports were only answers to the poll.
     if (SureVotesOf(one) == 0 && at_ >= one.poll_min_end) close.push_back(host);
   }
   for (const std::string& host : close) CloseCase(host, effects);
@@ -418,14 +421,14 @@
   std::erase_if(forbidden_, [&](const auto& one) { return one.second.until <= at_; });
 
   const bool held =
-      std::ranges::any_of(cases_, [](const auto& one) { return PastCap(one.second.reported_hold); });
+      std::ranges::any_of(cases_, [](const auto& one) { return IsCapReason(one.second.reported_hold); });
   if (held || !incident_) {
     calm_since_ = kNever;
   } else if (calm_since_ == kNever) {
     calm_since_ = at_;
   } else if (at_ - calm_since_ >= rules_.incident_calm_time) {
     incident_ = false;
-    effects.push_back(About(What::kIncidentOver, ""));
+    effects.push_back(MakeEffect(What::kIncidentOver, ""));
   }
 }
 
@@ -434,12 +437,12 @@
   for (const auto& [name, balancer] : balancers_) {
     if (Uses(balancer, host) && !suspects_.contains(name)) all.push_back(name);
   }
-  // In turn, from a place that differs between ejections: no draw, and alike at each member.
+  // Round robin from a start that depends on the ejection: the same at each member, no randomness.
   for (size_t i = 0; i < std::min(most, all.size()); ++i) {
     const std::string& name = all[(ejection.index * 7919 + ejection.tries++) % all.size()];
     if (std::ranges::find(ejection.triers, name) == ejection.triers.end()) ejection.triers.push_back(name);
   }
-  Effect effect = About(What::kRunTrial, host, ejection.incarnation);
+  Effect effect = MakeEffect(What::kRunTrial, host, ejection.incarnation);
   effect.who = ejection.triers;
   effects.push_back(std::move(effect));
 }
@@ -454,15 +457,16 @@
   return std::max<size_t>(1, static_cast<size_t>(share + 1e-9));
 }
 
-// A balancer that finds many hosts bad: more likely its own network. Its votes stand, and don't count.
+// If a balancer votes against many hosts, its own network is the more likely cause. Its votes are
+// kept but not counted.
 void State::UpdateSuspects(Effects& effects) {
   for (const auto& [name, balancer] : balancers_) {
     const size_t used = balancer.hosts.empty() ? hosts_.size() : balancer.hosts.size();
     const bool many = balancer.hosts_voted_against >= rules_.suspect_min_hosts &&
                       balancer.hosts_voted_against > rules_.suspect_share * static_cast<double>(used);
-    const bool is = many || balancer.flood_reported;  // or tells more than one that is sound ever could
+    const bool is = many || balancer.flood_reported;  // or sends more entries than a correct balancer
     if (is == suspects_.contains(name)) continue;
-    Effect effect = About(is ? What::kSuspect : What::kSuspectCleared, "");
+    Effect effect = MakeEffect(is ? What::kSuspect : What::kSuspectCleared, "");
     effect.who = {name};
     effects.push_back(std::move(effect));
     if (is) {
@@ -489,7 +493,7 @@
     if (sure < rules_.sure_votes_to_poll) continue;
     one.poll_open = true;
     one.poll_start = one.poll_min_end = at_;
-    Effect effect = About(What::kPollOpened, host, hosts_.at(host).host.incarnation);
+    Effect effect = MakeEffect(What::kPollOpened, host, hosts_.at(host).host.incarnation);
     effect.term = std::min(back, rules_.poll_lookback);
     effects.push_back(std::move(effect));
     count_pending_ = true;
@@ -501,12 +505,12 @@
   double failed = 0, trials = 0;
   const auto record = ejections_.find(host);
   if (record != ejections_.end() && at_ - record->second.since <= rules_.relapse_within) {
-    trials = 8;  // known from the time before
+    trials = 8;  // the share of failures before its return counts as this many results
     failed = trials * record->second.share;
   }
   std::array<uint32_t, kKinds> kinds{};
   bool first = true;
-  std::map<std::string, double> balance;  // of each zone: votes, less good words
+  std::map<std::string, double> balance;  // by zone: votes minus the weight of good reports
   for (const auto& [key, report] : one.votes) {
     const Vote& vote = report.vote;
     if (suspects_.contains(vote.balancer) && !rules_.injected.suspects_count) continue;
@@ -514,21 +518,21 @@
     count.sure += vote.sure ? 1 : 0;
     count.others += vote.others >= rules_.min_trials ? 1 : 0;
     balance[vote.zone] += 1;
-    // Each began with a failure, by choice; only what followed tells how often it fails.
+    // Each vote starts at a failure by selection, so only the results after it show how often it fails.
     failed += static_cast<double>(std::min(vote.failures, vote.trials)) - 1;
     trials += static_cast<double>(vote.trials) - 1;
     ++kinds[static_cast<size_t>(vote.kind)];
     count.cls = first || count.cls == vote.cls ? vote.cls : kSeveralClasses;
     first = false;
   }
-  // The upper side of what it may be: where little is known, good words speak against the votes in full.
+  // An upper estimate: with few results, good reports have their full weight against the votes.
   const double likely = (failed + 1) / (trials + 1) + 0.5 / std::sqrt(trials + 1);
   count.share = std::clamp(likely, rules_.bad_share, 1.0);
   count.raw_share = trials > 0 ? std::clamp(failed / trials, rules_.bad_share, 1.0) : 1;
   count.kind = static_cast<Kind>(std::ranges::max_element(kinds) - kinds.begin());
   for (const auto& [key, report] : one.good_reports) {
-    // A few good answers from a host that fails a third of the time are no word against those who saw it
-    // fail.
+    // A few good answers of a host that fails a third of its queries hardly contradict the failures that
+    // others saw.
     const double weight = ContradictionWeight(report.vote.trials, count.share);
     count.good_weight += weight;
     if (!rules_.injected.good_reports_ignored) balance[report.vote.zone] -= weight;
@@ -550,7 +554,7 @@
       !rules_.injected.zones_ignored) {
     if (count.zones.size() != 1 || one.reported_zone == *count.zones.begin()) return false;
     one.reported_zone = *count.zones.begin();
-    Effect effect = About(What::kBadFromZone, host, hosts_.at(host).host.incarnation);
+    Effect effect = MakeEffect(What::kBadFromZone, host, hosts_.at(host).host.incarnation);
     effect.zone = one.reported_zone;
     effect.who = count.voters;
     effects.push_back(std::move(effect));
@@ -559,20 +563,22 @@
   const auto voters = static_cast<double>(count.voters.size());
   if (count.cls != kSeveralClasses && count.others > voters / 2 && !rules_.injected.good_reports_ignored) {
     if (std::exchange(one.reported_class, true)) return false;
-    Effect effect = About(What::kBadForClass, host, hosts_.at(host).host.incarnation);
+    Effect effect = MakeEffect(What::kBadForClass, host, hosts_.at(host).host.incarnation);
     effect.cls = count.cls;
     effect.who = count.voters;
     effects.push_back(std::move(effect));
     return false;
   }
   if (rules_.injected.good_reports_ignored) return true;
-  // All fails for some, and nothing for others: not the host as a whole, perhaps. The rest is heard as well.
+  // If all queries fail for some balancers and none for others, perhaps only part of the paths to the host
+  // fail. Wait for the reports of the other balancers.
   const bool mixed = 4 * count.good_weight >= voters && count.raw_share >= 0.8;
   if (mixed && at_ < one.poll_start + rules_.poll_wait_if_mixed) return false;
   return voters > count.good_weight;
 }
 
-// More hosts accused than may be out, and not by one zone alone: no host's own fault.
+// Whether more hosts are suspected than may be ejected, and not by the balancers of one zone only. The cause
+// is then not a single host.
 bool State::ManyHostsSuspected() const {
   std::map<std::string, std::set<std::string>> by_zone;
   std::set<std::string> all;
@@ -599,7 +605,7 @@
   return 2 * second > GroupCap();
 }
 
-// Why `host` may not be out beside those that are.
+// Why `host` may not be ejected in addition to the present ejections, or kNone.
 HoldReason State::HoldReasonFor(const std::string& host) const {
   const KnownHost& about = hosts_.at(host);
   const auto is_out = [&](const std::string& name) {
@@ -644,7 +650,7 @@
   for (auto& [host, one] : cases_) {
     if (!one.poll_open) continue;
     const Host& known = hosts_.at(host).host;
-    if (known.draining || known.by_hand) continue;  // nothing new goes there anyway
+    if (known.draining || known.by_hand) continue;  // it gets no new queries anyway
     if (at_ < one.poll_start + rules_.poll_wait) {
       count_pending_ = true;
       continue;
@@ -660,7 +666,7 @@
     to_eject.emplace_back(host, std::move(count));
   }
   for (const std::string& host : to_close) CloseCase(host, effects);
-  // Those with the most votes first.
+  // Hosts with the most votes are ejected first.
   std::ranges::stable_sort(
       to_eject, [](const auto& a, const auto& b) { return a.second.voters.size() > b.second.voters.size(); });
   std::vector<std::string> past_cap;
@@ -672,15 +678,15 @@
       Eject(host, count, effects);
       continue;
     }
-    if (PastCap(held)) past_cap.push_back(host);
+    if (IsCapReason(held)) past_cap.push_back(host);
     if (std::exchange(cases_[host].reported_hold, held) == held) continue;
-    Effect effect = About(What::kHeld, host, hosts_.at(host).host.incarnation);
+    Effect effect = MakeEffect(What::kHeld, host, hosts_.at(host).host.incarnation);
     effect.held = held;
     effect.who = count.voters;
     effects.push_back(std::move(effect));
   }
   if (past_cap.empty() || std::exchange(incident_, true)) return;
-  Effect effect = About(What::kIncident, "");
+  Effect effect = MakeEffect(What::kIncident, "");
   effect.hosts = std::move(past_cap);
   effects.push_back(std::move(effect));
 }
@@ -692,7 +698,7 @@
     ejection = {};
     ejection.last_term = rules_.first_term;
   } else {
-    // Soon after its return: that one good answer was luck, and what it shrank is not lost.
+    // Soon after its return, the good trial is taken for chance and the term from before is doubled.
     const bool soon = at_ - ejection.since <= rules_.relapse_within;
     ejection.last_term =
         std::clamp(2 * (soon ? ejection.last_term : ejection.term), rules_.first_term, rules_.max_term);
@@ -708,7 +714,7 @@
   ejection.share = count.raw_share;
   ejection.voters = count.voters;
   ejection.triers.clear();
-  Effect effect = About(What::kEject, host, incarnation);
+  Effect effect = MakeEffect(What::kEject, host, incarnation);
   effect.term = ejection.last_term;
   effect.kind = count.kind;
   effect.who = count.voters;
@@ -722,18 +728,18 @@
   ejection.since = at_;
   ejection.until = kNever;
   ejection.triers.clear();
-  Effect effect = About(What::kReturn, host, ejection.incarnation);
+  Effect effect = MakeEffect(What::kReturn, host, ejection.incarnation);
   effect.return_reason = return_reason;
   effects.push_back(std::move(effect));
   CloseCase(host, effects);
   count_pending_ = true;
   if (return_reason != ReturnReason::kTrialGood && return_reason != ReturnReason::kNoTrial) return;
-  // One answer was good. Whether the next ones are, all tell at once, without waiting for two that are sure.
+  // Only one answer was good. A poll makes all balancers report the next ones without a sure vote.
   Case& one = cases_[host];
   one.poll_open = true;
   one.poll_start = at_ + rules_.grace;
   one.poll_min_end = one.poll_start + rules_.relapse_poll_time;
-  effects.push_back(About(What::kPollOpened, host, ejection.incarnation));
+  effects.push_back(MakeEffect(What::kPollOpened, host, ejection.incarnation));
 }
 
 Micros State::next_at() const {
@@ -760,7 +766,7 @@
   return std::ranges::any_of(cases_, [&](const auto& one) {
     const Micros poll_start = one.second.poll_start;
     if (!one.second.poll_open || at < poll_start + rules_.poll_wait) return false;
-    // Once more when the long listening ends, also where nothing was told in between.
+    // Count once more when poll_wait_if_mixed ends, even if no report has arrived since.
     return count_pending_ || (counted_at_ < poll_start + rules_.poll_wait_if_mixed &&
                               at >= poll_start + rules_.poll_wait_if_mixed);
   });
--- a/src/ejection/state.h
+++ b/src/ejection/state.h
@@ -1,11 +1,11 @@
-// The votes of the fleet, the ejections in force and their terms: one state in the council's log, computed
-// alike at each member from the entries and from their stamped times (council time, which never goes back).
-// No I/O, no clock, no chance.
+// Ejection by vote as a replicated state machine: the votes, the ejections and their terms. Each member
+// applies the same log entries with their stamped times (council time, which never goes back) and computes
+// the same state. No I/O, no clock and no randomness.
 //
-// Votes change nothing by themselves. The owner of the count proposes kCount (and kHosts, the group as it
-// sees it), each with its epoch; an older epoch than one that was seen is refused. So without a council or an
-// owner nothing new is ejected. Terms end by the stamps: kRunOut, proposed by the leader when next_at() has
-// come.
+// A vote alone changes nothing. The owner of the count proposes kCount, and kHosts with its view of the
+// group, both with its epoch; an epoch older than one already seen is refused (fencing). Without a council or
+// an owner no further host is therefore ejected. Terms end by the entries' stamps: the leader proposes
+// kExpire once next_at() is reached.
 #ifndef BURLFALL_EJECTION_STATE_H_
 #define BURLFALL_EJECTION_STATE_H_
 
@@ -22,31 +22,31 @@
 
 namespace burlfall::ejection {
 
-constexpr uint32_t kSeveralClasses = 0xffff;  // where more than one fails
+constexpr uint32_t kSeveralClasses = 0xffff;  // stands for "more than one class"
 
-// A balancer's word that a host is bad, from its own queries alone.
+// A balancer's report that a host is bad, from its own queries only.
 struct Vote {
   std::string balancer;
   std::string zone;  // of the balancer
   std::string host;
-  Incarnation incarnation = 0;  // of the host
-  Micros window = 0;            // span from the first failure to the telling, on the balancer's clock
-  uint32_t trials = 0;          // from that failure on, it included
-  uint32_t failures = 0;
-  Kind kind = Kind::kErrors;       // most of them
-  uint32_t cls = kSeveralClasses;  // that fails
-  uint32_t others = 0;             // good answers in other classes meanwhile, where cls is one
-  bool sure = false;               // by itself; the others only answer a question
-  Micros lifetime = 0;             // from its entry on; the rules' vote_lasts at most
+  Incarnation incarnation = 0;     // of the host
+  Micros window = 0;               // from the first failure to the vote, on the balancer's clock
+  uint32_t trials = 0;             // results since the first failure, including it
+  uint32_t failures = 0;           // among the trials
+  Kind kind = Kind::kErrors;       // the most frequent kind of failure
+  uint32_t cls = kSeveralClasses;  // the class that fails
+  uint32_t others = 0;             // good answers in the other classes, if `cls` is one class
+  bool sure = false;               // the evidence is enough without a poll; otherwise the vote answers a poll
+  Micros lifetime = 0;             // from its log entry; at most Rules::vote_lifetime
 };
 
-// A balancer's word that a host in question is good.
+// A balancer's report that a polled host is good.
 struct GoodReport {
   std::string balancer;
   std::string zone;
   std::string host;
   Incarnation incarnation = 0;
-  uint32_t trials = 0;  // since the question, none of them a failure
+  uint32_t trials = 0;  // results since the poll started, none of them a failure
   uint32_t cls = kSeveralClasses;
   Micros lifetime = 0;
 };
@@ -56,33 +56,39 @@
   std::string zone;
   Incarnation incarnation = 0;
   bool draining = false;
-  bool by_hand = false;   // out by an operator's list
-  uint32_t capacity = 1;  // in any unit, the same for the group
+  bool by_hand = false;   // taken out of service manually by an operator
+  uint32_t capacity = 1;  // in any unit that is the same for the whole group
 };
 
 struct Balancer {
   std::string name;
   std::string zone;
-  std::vector<std::string> hosts;  // that it uses; empty: all of the group
+  std::vector<std::string> hosts;  // that it uses; empty: all hosts of the group
 };
 
 // The host group as the owner of the count sees it.
 struct Group {
   std::vector<Host> hosts;
   std::vector<Balancer> balancers;
-  double used_share = 0;  // of the group's capacity, 0 to 1: the work that there is
+  double used_share = 0;  // present load as a share of the group's capacity, 0 to 1
 };
 
-enum class OperatorAction : uint8_t { kEnd, kForbid, kExtend, kAllow };
+enum class OperatorAction : uint8_t {
+  kEnd,     // return the host now
+  kForbid,  // do not eject the host
+  kExtend,  // prolong the term
+  kAllow    // withdraw kForbid
+};
 const char* NameOf(OperatorAction what);
 
+// One log entry. Which fields are set depends on `what`.
 struct Command {
   enum class What : uint8_t {
     kVote,        // vote
-    kWithdraw,    // balancer, host, life: its vote or its good word
+    kWithdraw,    // balancer, host, incarnation: withdraws its vote or good report
     kGoodReport,  // good
-    kExpire,      // nothing: time has come
-    kTrial,       // balancer, host, life, was_good: of one that was told to try
+    kExpire,      // no fields: only advances council time
+    kTrial,       // balancer, host, incarnation, was_good: result of a trial that the balancer was chosen for
     kOperator,    // operation, host, span, who, reason
     kHosts,       // epoch, group
     kCount,       // epoch: count the votes now
@@ -95,75 +101,81 @@
   Incarnation incarnation = 0;
   bool was_good = false;
   OperatorAction operation = OperatorAction::kEnd;
-  Micros span = 0;  // kExtend: from the end of the term; kForbid: 0 until kAllow
-  std::string who;  // an operator's name
+  Micros span = 0;  // kExtend: added to the end of the term; kForbid: duration, 0 until kAllow
+  std::string who;  // name of the operator
   std::string reason;
   uint64_t epoch = 0;
   Group group;
 };
-// Whose word it is: the carrier lets a balancer propose its own alone. Empty: the owner's or the leader's.
+// Name of the balancer or operator that a command comes from. The transport lets a balancer propose only
+// commands of its own. Empty for the commands of the owner and the leader.
 const std::string& SenderOf(const Command& command);
-constexpr size_t kMaxCommandBytes = 8 << 20;  // bytes
+constexpr size_t kMaxCommandBytes = 8 << 20;
 std::string EncodeCommand(const Command& command);
-// Nothing where the bytes are not a command, or damaged, or past a bound.
+// Returns nothing if the bytes are no command, are damaged or exceed a bound.
 std::optional<Command> DecodeCommand(std::string_view bytes);
 
-// Why something was refused. What an operator can do is in AdviceOf().
+// Why a command was refused. AdviceOf() says what an operator can do about it.
 enum class Refusal : uint8_t {
   kNone,
-  kFenced,  // an older epoch of the count
-  kUnknownHost,
-  kUnknownBalancer,  // that doesn't use the host, or is not in the group
-  kOtherZone,        // a vote with a zone that is not its balancer's
-  kOldIncarnation,   // of the host
-  kInvalidNumbers,   // its numbers
-  kTooMany,          // entries or votes of one balancer
-  kInGrace,
-  kNotChosenToTry,  // a trial by a balancer that wasn't told to try
+  kFenced,           // an older epoch of the count
+  kUnknownHost,      // the host is not in the group
+  kUnknownBalancer,  // the balancer is not in the group or does not use the host
+  kOtherZone,        // the zone in the report is not the balancer's zone
+  kOldIncarnation,   // the report is about another incarnation of the host
+  kInvalidNumbers,   // impossible counts or times
+  kTooMany,          // too many entries or votes of one balancer
+  kInGrace,          // the host has just appeared or returned
+  kNotChosenToTry,   // a trial result from a balancer that was not chosen for the trial
   kNotEjected,
-  kTooLong,  // an operator's span
+  kTooLong,  // an operator's span exceeds the limit
 };
 const char* NameOf(Refusal refusal);
 const char* AdviceOf(Refusal refusal);
 
-// Why a host that has its votes is not ejected.
+// Why a host that has enough votes is not ejected.
 enum class HoldReason : uint8_t {
   kNone,
   kGroupCap,
   kZoneCap,
-  kCapacity,
+  kCapacity,  // the remaining hosts could not carry the load
   kLastOfGroup,
   kLastOfZone,
-  kManySuspects,
-  kForbidden
+  kManySuspects,  // more hosts are suspected at one time than may be ejected
+  kForbidden      // by an operator
 };
 const char* NameOf(HoldReason held);
 
+// Why an ejection ended.
 enum class ReturnReason : uint8_t {
   kTrialGood,
-  kNoTrial,  // nobody tried in time
+  kNoTrial,  // no balancer tried the host in time
   kOperator,
-  kByHand,  // it is out by the operators' list now
-  kNewIncarnation,
-  kLeftGroup,   // from the group
-  kDraining,    // its term ended while it drains
-  kCapReduced,  // the group became smaller, or its work more
+  kByHand,          // an operator has taken the host out of service manually
+  kNewIncarnation,  // the host was restarted
+  kLeftGroup,
+  kDraining,    // its term ended while it was draining
+  kCapReduced,  // the group became smaller or its load higher
 };
 const char* NameOf(ReturnReason return_reason);
 
+// What applying a log entry brought about. Which fields are set depends on `what`.
 struct Effect {
   enum class What : uint8_t {
-    kPollOpened,   // host, life, term: in question; who has seen it in the last `term` says what it saw
-    kPollClosed,   // host, life: the question is closed
-    kEject,        // host, life, term, kind, voters: nothing new goes there; also when the term begins again
-    kRunTrial,     // host, life, who: these send it one real query each, and tell kTrial
-    kReturn,       // host, life, over
-    kBadFromZone,  // host, zone: bad from this zone alone; told once while it is so
-    kBadForClass,  // host, cls: bad for this class alone; likewise
-    kSuspect,      // who[0]: its votes don't count
-    kSuspectCleared,  // who[0]: they do again
-    kHeld,            // host, held: it has its votes, and is not ejected; told once for each reason
-    kIncident,        // hosts: many at once, none is ejected; to open at `freeze`
+    // host, incarnation, term: a poll about the host began. Each balancer with results of it from the last
+    // `term`
+    // reports them.
+    kPollOpened,
+    kPollClosed,  // host, incarnation
+    kEject,  // host, incarnation, term, kind, who (voters): send no further queries; also for each new term
+    kRunTrial,  // host, incarnation, who: each of these sends one real query to the host and proposes kTrial
+    kReturn,    // host, incarnation, return_reason
+    kBadFromZone,     // host, zone, who: bad only from this zone; reported once while this lasts
+    kBadForClass,     // host, cls, who: bad only for this class; reported once while this lasts
+    kSuspect,         // who[0]: its votes are not counted
+    kSuspectCleared,  // who[0]: its votes are counted again
+    kHeld,            // host, held, who: enough votes, but not ejected; reported once for each reason
+    kIncident,        // hosts: held back by the caps; an incident is to be opened at the change freeze
     kIncidentOver,
     kRefused,  // who[0], host, refusal
   };
@@ -174,7 +186,7 @@
   Kind kind = Kind::kErrors;
   uint32_t cls = kSeveralClasses;
   std::string zone;
-  std::vector<std::string> who;    // balancers: voters, those to try, the suspect, the refused
+  std::vector<std::string> who;    // balancers: voters, chosen for the trial, suspect or refused
   std::vector<std::string> hosts;  // of an incident
   ReturnReason return_reason = ReturnReason::kTrialGood;
   HoldReason held = HoldReason::kNone;
@@ -182,53 +194,57 @@
 };
 using Effects = std::vector<Effect>;
 
-// One host's ejection, or what is remembered of its last one.
+// A host's ejection, or the record of its last one, which decides the next term.
 struct Ejection {
   enum class Phase : uint8_t { kReturned, kOut, kSingleTrial, kMultiTrial };
   Phase phase = Phase::kReturned;
   Incarnation incarnation = 0;
-  uint64_t index = 0;    // of the entry that began it: its number
-  Micros since = 0;      // council time of the ejection, or of the return
-  Micros until = 0;      // of the phase
-  Micros term = 0;       // for the next relapse to double: what was served, or less after a good trial
-  Micros last_term = 0;  // the last term
-  Micros lost_at = 0;    // by vote or by a bad trial
-  uint32_t tries = 0;    // told since the ejection
+  uint64_t index = 0;    // of the log entry that ejected the host; identifies the ejection
+  Micros since = 0;      // council time of the ejection or of the return
+  Micros until = 0;      // end of the phase
+  Micros term = 0;       // that a later ejection doubles: the last term, or less after a good trial
+  Micros last_term = 0;  // length of the last term
+  Micros lost_at = 0;    // last ejection by vote or last bad trial
+  uint32_t tries = 0;    // balancers chosen for trials since the ejection
   Kind kind = Kind::kErrors;
-  double share = 1;  // of failures, as the votes had it
+  double share = 1;  // of failures, according to the votes
   std::vector<std::string> voters;
-  std::vector<std::string> triers;
+  std::vector<std::string> triers;  // balancers chosen for the present trial
   bool out() const { return phase != Phase::kReturned; }
 };
 
+// The replicated state.
 class State {
  public:
   explicit State(Rules rules) : rules_(rules) {}
 
-  // `index` of the entry in the log, `at` its stamp. A lower index than the last is passed over, a lower
-  // stamp counts as the last.
+  // Applies the log entry `index` with the time stamp `at`. An entry up to the last applied index is ignored.
+  // A stamp before the last one counts as the last one.
   Effects Apply(uint64_t index, Micros at, const Command& command);
 
-  // Council time at which the leader proposes kRunOut, and the owner kCount, if nothing else comes before.
-  // kNever: nothing waits for time.
+  // Council time at which the leader proposes kExpire and the owner kCount if no other entry comes first.
+  // kNever: the state does not wait for a time.
   Micros next_at() const;
-  // There is something to count since the last kCount, or a question whose time to listen ends by `at`.
+  // Whether a count would find something new at `at`: reports changed since the last kCount, or the longer
+  // wait of a poll has ended.
   bool CountDue(Micros at) const;
 
+  // Encodes the state, without the rules, for a snapshot.
   std::string Save() const;
-  // Nothing where the bytes are not a state's, damaged, or past a bound. The rules are not in it.
+  // Returns nothing if the bytes are no state, are damaged or exceed a bound.
   static std::optional<State> Load(std::string_view bytes, const Rules& rules);
 
   uint64_t index() const { return index_; }
-  uint64_t epoch() const { return epoch_; }  // highest seen of the count
+  uint64_t epoch() const { return epoch_; }  // highest epoch of the count that was seen
   Micros at() const { return at_; }
   bool incident() const { return incident_; }
-  // By host: those out, and those that were and whose term is remembered.
+  // By host: present ejections, and past ones whose term is still remembered.
   const std::map<std::string, Ejection>& ejections() const { return ejections_; }
   const std::set<std::string>& suspects() const { return suspects_; }
   std::vector<std::string> PolledHosts() const;
-  std::vector<Vote> VotesAgainst(const std::string& host) const;          // standing
-  std::vector<GoodReport> GoodReportsFor(const std::string& host) const;  // standing
+  std::vector<Vote> VotesAgainst(const std::string& host) const;          // not expired
+  std::vector<GoodReport> GoodReportsFor(const std::string& host) const;  // not expired
+  // A host that an operator has protected from ejection.
   struct Forbidden {
     std::string who;
     std::string reason;
@@ -244,34 +260,36 @@
   };
   struct KnownBalancer {
     std::string zone;
-    std::set<std::string> hosts;  // empty: all
-    uint32_t entries = 0;         // in the span that began at `since`
+    std::set<std::string> hosts;  // that it uses; empty: all
+    uint32_t entries = 0;         // in the window that began at `since`
     Micros since = 0;
-    uint32_t hosts_voted_against = 0;  // hosts: its votes that stand
-    bool flood_reported = false;       // that it is refused for its number of entries
+    uint32_t hosts_voted_against = 0;  // by votes that have not expired
+    bool flood_reported = false;       // kTooMany was reported in this window
   };
-  struct Report {  // a vote or a good word
-    Vote vote;     // for a good word: who, trials, class; failures 0
+  struct Report {  // a vote or a good report
+    Vote vote;     // for a good report only the sender, trials and class are set
     Micros until = 0;
   };
-  struct Case {                           // of a host, while there are votes
-    std::map<std::string, Report> votes;  // by balancer
-    std::map<std::string, Report> good_reports;
+  // The reports about one host.
+  struct Case {
+    std::map<std::string, Report> votes;         // by balancer
+    std::map<std::string, Report> good_reports;  // by balancer
     bool poll_open = false;
     Micros poll_start = 0;
-    Micros poll_min_end = 0;  // at least, though nobody is sure
+    Micros poll_min_end = 0;  // until then the case stays open even without a sure vote
     std::string reported_zone;
     bool reported_class = false;
     HoldReason reported_hold = HoldReason::kNone;
   };
-  struct Tally {  // of one case
+  // The result of counting one case.
+  struct Tally {
     std::vector<std::string> voters;
-    std::set<std::string> zones;  // in which votes outweigh good words
-    double good_weight = 0;       // each by how much it speaks against the votes
-    double others = 0;            // those for whom other classes are good
-    uint32_t sure = 0;            // of the voters
-    double share = 1;             // of failures after each voter's first
-    double raw_share = 1;         // without a doubt added
+    std::set<std::string> zones;  // in which the votes outweigh the good reports
+    double good_weight = 0;       // good reports, each weighted by how far it contradicts the votes
+    double others = 0;            // balancers for which other classes work
+    uint32_t sure = 0;            // sure votes
+    double share = 1;      // upper estimate of the share of failures, without each voter's first failure
+    double raw_share = 1;  // the same without the margin for uncertainty
     Kind kind = Kind::kErrors;
     uint32_t cls = kSeveralClasses;
   };
@@ -306,13 +324,13 @@
   uint64_t index_ = 0;
   uint64_t epoch_ = 0;
   Micros at_ = 0;
-  uint64_t owner_index_ = 0;    // at which its epoch was first seen
-  bool count_pending_ = false;  // something to count
+  uint64_t owner_index_ = 0;    // entry at which epoch_ was first seen
+  bool count_pending_ = false;  // reports changed since the last count
   Micros counted_at_ = 0;
   bool incident_ = false;
   Micros calm_since_ = kNever;
   double used_share_ = 0;
-  bool group_known_ = false;  // a group was told
+  bool group_known_ = false;  // a kHosts entry has been applied
   std::map<std::string, KnownHost> hosts_;
   std::map<std::string, KnownBalancer> balancers_;
   std::map<std::string, Case> cases_;
@@ -321,25 +339,27 @@
   std::set<std::string> suspects_;
 };
 
-// What is in force at one balancer: the hosts that get nothing new beside those out by hand. It follows the
-// log's effects, never goes back in it, and counts terms on the balancer's own clock, so that each ejection
-// ends also where no council is heard any more.
+// The ejections that one balancer applies, in addition to the hosts taken out of service manually. Follows
+// the effects of the log in order and measures terms on the balancer's own clock, so that each ejection ends
+// even if the balancer loses contact with the council.
 class ActiveEjections {
  public:
   explicit ActiveEjections(Rules rules) : rules_(rules) {}
 
-  // Effects of the entry at `index`, `now` on the balancer's clock. False: that entry, or a later one, was
-  // applied before; nothing is changed.
+  // Applies the effects of the log entry `index`; `now` is on the balancer's clock. Returns false, and
+  // changes nothing, if this or a later entry has already been applied.
   bool Apply(uint64_t index, Micros now, const Effects& effects, const std::string& self);
-  // From a snapshot: its ejections, with what is left of their terms by council time. False likewise.
+  // Takes the ejections from a snapshot, with the rest of their terms by council time. Returns false as
+  // above.
   bool LoadState(Micros now, const State& state, const std::string& self);
-  // Those whose time is over are taken off, on this clock alone. Tells which.
+  // Removes and returns the hosts whose time is over on the balancer's clock.
   std::vector<std::string> DropExpired(Micros now);
+  // Time of the next expiry, or kNever.
   Micros next_at() const;
 
-  // Nothing new goes to `host` in this life; a newer one is not ejected.
+  // Whether the host gets no further queries in this incarnation. A newer incarnation is not ejected.
   bool IsEjected(const std::string& host, Incarnation incarnation) const;
-  // This balancer was told to try it: one real query may go there. The next is refused until told anew.
+  // Returns true once after this balancer was chosen to try the host: one real query may then be sent to it.
   bool ConsumeTrial(const std::string& host, Incarnation incarnation);
   bool MayTry(const std::string& host, Incarnation incarnation) const;
   std::map<std::string, Incarnation> hosts() const;
@@ -348,7 +368,7 @@
  private:
   struct Entry {
     Incarnation incarnation = 0;
-    Micros until = 0;  // own clock: the term and the time for trials
+    Micros until = 0;  // on the balancer's clock: end of the term and of the time for trials
     bool trial_allowed = false;
   };
   Rules rules_;
--- a/src/ejection/state_codec.cpp
+++ b/src/ejection/state_codec.cpp
@@ -1,4 +1,4 @@
-// A state as bytes, for snapshots.
+// Encodes and decodes the replicated state for snapshots.
 #include "ejection/framing.h"
 #include "ejection/state.h"
 
