--- a/src/lab/ejection_world/checker.cpp
+++ b/src/lab/ejection_world/checker.cpp
@@ -31,14 +31,14 @@
   if (violations_.size() < 100) violations_.push_back(std::to_string(at / kMs) + " ms: " + what);
 }
 
-bool Checker::HasValidNumbers(const SentVote& sent_votes) const {
-  const ejection::Vote& vote = sent_votes.vote;
+bool Checker::HasValidNumbers(const SentVote& sent) const {
+  const ejection::Vote& vote = sent.vote;
   return vote.failures >= 1 && vote.failures <= vote.trials && vote.window >= 0 &&
          vote.window <= rules_.window + kSecond && vote.lifetime <= rules_.vote_lifetime;
 }
 
 void Checker::CheckVotes(const Event& out) {
-  // Whoever accuses many is no witness: counted over all that it said and did not take back.
+  // A balancer that votes against many hosts does not count. Votes that it has not withdrawn are considered.
   std::map<std::string, size_t> against;
   for (const auto& [host, sent_votes] : votes_) {
     std::set<std::string> by;
@@ -61,7 +61,7 @@
         static_cast<double>(against[vote.balancer]) > 2 * rules_.suspect_share * static_cast<double>(used)) {
       continue;
     }
-    // It must have seen a failure itself.
+    // The voter must have seen a failure itself.
     const auto seen = failed_.find(Pair(vote.balancer, out.host));
     if (seen == failed_.end() || seen->second + rules_.window + kSecond < one.at) continue;
     voters.insert(vote.balancer);
@@ -79,7 +79,7 @@
 }
 
 void Checker::CheckMajoritySeesFailures(const Event& out) {
-  // Good for most: by what the host is, and by what they themselves had from it.
+  // A violation if the host works for most balancers, by its simulated faults and by their own results.
   size_t users = 0, clean = 0;
   for (const ejection::Balancer& one : groups_.back().second.balancers) {
     if (!Uses(one, out.host)) continue;
@@ -102,7 +102,7 @@
 }
 
 void Checker::CheckCap(Micros at, const std::string& balancer) {
-  // A balancer may still go by a group that was, as long as word takes.
+  // Within the maximum delay, a balancer may still use an earlier group.
   size_t cap = 0;
   for (const auto& [since, group] : groups_)
     cap = std::max(cap, CapFor(rules_.max_group_share, group.hosts.size()));
@@ -111,8 +111,8 @@
     AddViolation(at, balancer + " has " + std::to_string(out.size()) + " hosts out, past the cap of " +
                          std::to_string(cap));
   }
-  if (groups_.size() > 1) return;                          // these two ask for a group that all agree on
-  std::map<std::string, std::pair<size_t, size_t>> zones;  // hosts, out
+  if (groups_.size() > 1) return;  // the checks by zone need one group that all agree on
+  std::map<std::string, std::pair<size_t, size_t>> zones;  // number of hosts, number ejected
   const Group& group = groups_.back().second;
   for (const ejection::Host& host : group.hosts) {
     ++zones[host.zone].first;
@@ -163,11 +163,10 @@
       break;
     }
     case Event::What::kWithdrawVote:
-      // It may have counted on its way: it is no vote any more once all have heard.
-      for (SentVote& sent_votes : votes_[event.host]) {
-        if (sent_votes.vote.balancer == event.balancer) {
-          sent_votes.vote.lifetime =
-              std::min(sent_votes.vote.lifetime, event.at - sent_votes.at + max_delay_);
+      // The vote may still be counted until the withdrawal has reached all members.
+      for (SentVote& sent : votes_[event.host]) {
+        if (sent.vote.balancer == event.balancer) {
+          sent.vote.lifetime = std::min(sent.vote.lifetime, event.at - sent.at + max_delay_);
         }
       }
       break;
--- a/src/lab/ejection_world/checker.h
+++ b/src/lab/ejection_world/checker.h
@@ -1,7 +1,8 @@
-// Reads a history of ejections from outside (what balancers sent, what hosts answered, what was in force
-// where, which hosts and balancers there were) and says which of invariant 5's parts it breaks: no ejection
-// without its votes; never past the cap, at any balancer, whoever owns the count; no host that most see good;
-// each ejection ends. It knows the rules' figures and nothing of how the council counts.
+// Checks a history of ejections from outside, from what balancers sent, what hosts answered, which ejections
+// each balancer applied and which hosts and balancers existed, and reports violations of invariant 5: no
+// ejection without its votes; never more than the cap, at any balancer, whichever owner counts; no ejection
+// of a host that works for most balancers; each ejection ends. It knows the values of the rules, but not how
+// the council counts.
 #ifndef BURLFALL_LAB_EJECTION_WORLD_CHECKER_H_
 #define BURLFALL_LAB_EJECTION_WORLD_CHECKER_H_
 
@@ -19,19 +20,21 @@
 
 namespace burlfall::ejection_world {
 
+// One step of the history. Which fields are set depends on `what`.
 struct Event {
   enum class What {
-    kGroup,         // group: as the balancers and hosts are from now on
-    kTruth,         // host, users: those whom it fails often from now on, by what it is and does
-    kVote,          // vote: sent
-    kWithdrawVote,  // balancer, host: its vote
+    kGroup,         // group: the balancers and hosts from now on
+    kTruth,         // host, users: the balancers that it fails often from now on, by its simulated faults
+    kVote,          // vote: a balancer sent it
+    kWithdrawVote,  // balancer, host: the balancer withdrew its vote
     kResult,        // balancer, host, good
-    kEjected,       // balancer, host, life, number: nothing new goes there from it; again for each new term
-    kReturned,      // balancer, host: it does again
-    kByHand,        // host, span: an operator extended its term
+    kEjected,  // balancer, host, incarnation, number: the balancer sends no new queries there; again for each
+               // term
+    kReturned,  // balancer, host: the balancer sends queries there again
+    kByHand,    // host, span: an operator extended the term
   };
   What what = What::kGroup;
-  Micros at = 0;  // the lab's own time, which nobody else knows
+  Micros at = 0;  // simulation time, not the clock of any balancer
   std::string balancer;
   std::string host;
   ejection::Incarnation incarnation = 0;
@@ -43,13 +46,14 @@
   ejection::Group group;
 };
 
+// Receives the events in order of time and collects violations.
 class Checker {
  public:
-  // `late`: how late anything may come at a balancer, or be told by it.
+  // `max_delay`: the longest time that any message to or from a balancer may take.
   Checker(ejection::Rules rules, Micros max_delay) : rules_(rules), max_delay_(max_delay) {}
   void OnEvent(const Event& event);
   void Finish(Micros at);
-  // What was broken, each with its time; at most a hundred are kept.
+  // The violations with their times; at most a hundred are stored.
   const std::vector<std::string>& violations() const { return violations_; }
   uint64_t ejections() const { return ejected_.size(); }
 
@@ -57,8 +61,8 @@
   struct Out {
     ejection::Incarnation incarnation = 0;
     uint64_t number = 0;
-    Micros since = 0;  // of this term
-    Micros until = 0;  // at the latest
+    Micros since = 0;  // begin of this term
+    Micros until = 0;  // latest permitted end
     bool reported = false;
   };
   struct SentVote {
@@ -70,17 +74,17 @@
   void CheckMajoritySeesFailures(const Event& out);
   void CheckCap(Micros at, const std::string& balancer);
   void CheckEnds(Micros at);
-  bool HasValidNumbers(const SentVote& sent_votes) const;
+  bool HasValidNumbers(const SentVote& sent) const;
 
   ejection::Rules rules_;
   Micros max_delay_;
   std::vector<std::string> violations_;
-  std::deque<std::pair<Micros, ejection::Group>>
-      groups_;                                         // the newest last; those that may still be believed
+  // The newest last. Earlier ones are kept while a balancer may still use them.
+  std::deque<std::pair<Micros, ejection::Group>> groups_;
   std::map<std::string, std::deque<SentVote>> votes_;  // by host
   std::map<std::string, std::deque<std::pair<Micros, std::set<std::string>>>> truth_;
-  std::unordered_map<std::string, Micros> failed_;         // by balancer and host, its last
-  std::unordered_map<std::string, Micros> last_served_;    // its last good answer
+  std::unordered_map<std::string, Micros> failed_;         // by balancer and host: its last failure
+  std::unordered_map<std::string, Micros> last_served_;    // by balancer and host: its last good answer
   std::map<std::string, Micros> last_failed_;              // by host
   std::map<std::string, std::map<std::string, Out>> out_;  // by balancer, host
   std::map<std::string, Micros> by_hand_;
--- a/src/lab/ejection_world/fleet.cpp
+++ b/src/lab/ejection_world/fleet.cpp
@@ -21,12 +21,13 @@
 constexpr int kFailuresToSleep = 3;
 constexpr Micros kFirstSleep = kSecond, kMaxSleep = 30 * kSecond, kHoldDown = 5 * kSecond;
 constexpr Micros kTickInterval = 100 * kMs;  // of owner, leader and balancers
-constexpr Micros kLogDelay = 30 * kMs;       // from a proposal to its entry
-constexpr Micros kApplyDelay = 20 * kMs;     // from an entry to the balancers
-constexpr Micros kMaxDelay = 15 * kSecond;   // the longest that a plan makes anybody deaf
+constexpr Micros kLogDelay = 30 * kMs;       // from a proposal to its log entry
+constexpr Micros kApplyDelay = 20 * kMs;     // from a log entry to the balancers
+// The longest time that a plan keeps log entries from a balancer, with a margin.
+constexpr Micros kMaxDelay = 15 * kSecond;
 constexpr std::array<double, 3> kClassShare = {0.6, 0.3, 0.1};
 
-// Chance: SplitMix64.
+// Random numbers: SplitMix64.
 class Random {
  public:
   explicit Random(uint64_t seed) : state_(seed * 0x9e3779b97f4a7c15ULL + 1) {}
@@ -48,34 +49,34 @@
   uint64_t state_;
 };
 
-struct HostLink {  // what a balancer's module knows of a host
+struct HostLink {  // what a balancer's model of the decision module knows about a host
   int failures = 0;
   int in_flight = 0;
   bool asleep = false;
-  bool slept = false;  // ever
-  bool trial = false;  // under way
+  bool slept = false;  // at any time
+  bool trial = false;  // in progress
   Micros sleep = 0;
   Micros wake_at = 0;
   Micros slept_at = 0;
 };
 
-struct SimBalancer {  // balancer
+struct SimBalancer {
   std::string name;
   size_t zone = 0;
   size_t build = 0;
-  Micros clock = 0;  // own clock less the lab's
+  Micros clock = 0;  // offset of its clock from the simulation's
   std::vector<size_t> uses;
   std::vector<HostLink> links;
   std::set<size_t> asleep;
-  std::vector<Incarnation> incarnations;  // as its list has them
-  std::vector<uint8_t> out;               // by InForce
+  std::vector<Incarnation> incarnations;  // according to its host list
+  std::vector<uint8_t> out;               // according to ActiveEjections
   std::vector<uint64_t> number;
   ejection::Evidence evidence;
   ejection::ActiveEjections active;
-  size_t applied_entries = 0;  // entries of the log
+  size_t applied_entries = 0;  // number of log entries applied
 };
 
-struct SimHost {  // host
+struct SimHost {
   std::string name;
   size_t zone = 0;
   Incarnation incarnation = 1;
@@ -95,9 +96,9 @@
   uint32_t cls = 0;
   Incarnation incarnation = 0;
   Micros latency = 0;
-  int failed = -1;  // a Kind
+  int failed = -1;  // a Kind; -1: the host answered
   bool trial = false;
-  bool vote_trace = false;  // to try, by the council
+  bool council_trial = false;  // a trial that the council chose this balancer for
   bool operator<(const SimEvent& other) const {
     return std::pair(at, order) > std::pair(other.at, other.order);
   }
@@ -106,7 +107,7 @@
 struct Entry {
   uint64_t index = 0;
   ejection::Effects effects;
-  std::map<std::string, uint64_t> numbers;  // of the ejections in them
+  std::map<std::string, uint64_t> numbers;  // by host: the number of its ejection in `effects`
 };
 
 class Fleet {
@@ -125,28 +126,28 @@
     for (const HostFault& fault : plan.faults) hosts_[fault.host].faults.push_back(&fault);
     for (size_t i = 0; i < plan.balancers; ++i) {
       const std::string name = std::string("b").append(std::to_string(i)), zone = Zone(i % plan.zones);
-      SimBalancer one{name,
-                      i % plan.zones,
-                      (i / plan.zones) % plan.builds,
-                      random_.Between(0, 3600 * kSecond),
-                      {},
-                      {},
-                      {},
-                      {},
-                      {},
-                      {},
-                      ejection::Evidence(plan.rules, name, zone),
-                      ejection::ActiveEjections(plan.rules),
-                      0};
-      one.links.resize(plan.hosts);
-      one.incarnations.assign(plan.hosts, 1);
-      one.out.assign(plan.hosts, 0);
-      one.number.assign(plan.hosts, 0);
-      for (size_t host = 0; host < plan.hosts; ++host) one.uses.push_back(host);
+      SimBalancer sim_balancer{name,
+                               i % plan.zones,
+                               (i / plan.zones) % plan.builds,
+                               random_.Between(0, 3600 * kSecond),
+                               {},
+                               {},
+                               {},
+                               {},
+                               {},
+                               {},
+                               ejection::Evidence(plan.rules, name, zone),
+                               ejection::ActiveEjections(plan.rules),
+                               0};
+      sim_balancer.links.resize(plan.hosts);
+      sim_balancer.incarnations.assign(plan.hosts, 1);
+      sim_balancer.out.assign(plan.hosts, 0);
+      sim_balancer.number.assign(plan.hosts, 0);
+      for (size_t host = 0; host < plan.hosts; ++host) sim_balancer.uses.push_back(host);
       for (const auto& [balancer, host] : plan.single_host_users) {
-        if (balancer == i) one.uses = {host};
+        if (balancer == i) sim_balancer.uses = {host};
       }
-      balancers_.push_back(std::move(one));
+      balancers_.push_back(std::move(sim_balancer));
     }
   }
 
@@ -159,9 +160,9 @@
     }
     for (size_t host = 0; host < hosts_.size(); ++host) {
       ReportTruth(host);
-      for (const NetworkOutage& broken : plan_.outages) {
-        Schedule({.at = broken.begin, .what = SimEvent::What::kTruth, .host = host});
-        Schedule({.at = broken.end, .what = SimEvent::What::kTruth, .host = host});
+      for (const NetworkOutage& outage : plan_.outages) {
+        Schedule({.at = outage.begin, .what = SimEvent::What::kTruth, .host = host});
+        Schedule({.at = outage.end, .what = SimEvent::What::kTruth, .host = host});
       }
       for (const HostFault* fault : hosts_[host].faults) {
         for (Micros at = fault->begin;
@@ -187,10 +188,10 @@
 
  private:
   static std::string Zone(size_t zone) { return "z" + std::to_string(zone); }
-  Micros OwnClock(const SimBalancer& one) const { return now_ + one.clock; }
+  Micros OwnClock(const SimBalancer& sim_balancer) const { return now_ + sim_balancer.clock; }
 
   void Schedule(SimEvent what) {
-    what.order = ++order_;
+    what.order = ++next_order_;
     queue_.push(what);
   }
   void NextQuery(size_t balancer) {
@@ -208,9 +209,9 @@
                                 [&](const Span& span) { return span.begin <= now_ && now_ < span.end; });
   }
 
-  static bool Affects(const HostFault& fault, const SimBalancer& one, uint32_t cls) {
-    return (fault.zone < 0 || one.zone == static_cast<size_t>(fault.zone)) &&
-           (fault.build < 0 || one.build == static_cast<size_t>(fault.build)) &&
+  static bool Affects(const HostFault& fault, const SimBalancer& sim_balancer, uint32_t cls) {
+    return (fault.zone < 0 || sim_balancer.zone == static_cast<size_t>(fault.zone)) &&
+           (fault.build < 0 || sim_balancer.build == static_cast<size_t>(fault.build)) &&
            (fault.cls < 0 || cls == static_cast<uint32_t>(fault.cls));
   }
   bool IsActive(const HostFault& fault) const {
@@ -218,41 +219,43 @@
     return fault.period == 0 || (now_ - fault.begin) / fault.period % 2 == 0;
   }
 
-  // Whom the host fails often now.
+  // Tells the checker which balancers the host fails often from now on.
   void ReportTruth(size_t host) {
     Event event;
     event.what = Event::What::kTruth;
     event.at = now_;
     event.host = hosts_[host].name;
-    for (const SimBalancer& one : balancers_) {
-      const bool cut_off = std::ranges::any_of(plan_.outages, [&](const NetworkOutage& broken) {
-        return broken.zone == one.zone && broken.begin <= now_ && now_ < broken.end &&
-               (!broken.outside || hosts_[host].zone != one.zone);
+    for (const SimBalancer& sim_balancer : balancers_) {
+      const bool cut_off = std::ranges::any_of(plan_.outages, [&](const NetworkOutage& outage) {
+        return outage.zone == sim_balancer.zone && outage.begin <= now_ && now_ < outage.end &&
+               (!outage.outside || hosts_[host].zone != sim_balancer.zone);
       });
-      if (cut_off) event.users.insert(one.name);
-      double share = 0;  // of the class that fares worst
+      if (cut_off) event.users.insert(sim_balancer.name);
+      double share = 0;  // of the class with the most failures
       for (uint32_t cls = 0; cls < kClassShare.size(); ++cls) {
         double good = 1;
         for (const HostFault* fault : hosts_[host].faults) {
-          if (IsActive(*fault) && Affects(*fault, one, cls)) good *= 1 - fault->share;
+          if (IsActive(*fault) && Affects(*fault, sim_balancer, cls)) good *= 1 - fault->share;
         }
         share = std::max(share, 1 - good);
       }
-      if (share >= plan_.rules.bad_share * 0.9) event.users.insert(one.name);
+      if (share >= plan_.rules.bad_share * 0.9) event.users.insert(sim_balancer.name);
     }
     checker_.OnEvent(event);
   }
 
-  // What comes of a query that is sent now: none, or a kind, and how long it takes.
-  std::pair<int, Micros> Outcome(const SimBalancer& one, size_t host, uint32_t cls) {
-    for (const NetworkOutage& broken : plan_.outages) {
-      if (broken.zone != one.zone || now_ < broken.begin || now_ >= broken.end) continue;
-      if (!broken.outside || hosts_[host].zone != one.zone) return {int(Kind::kSilent), plan_.query_timeout};
+  // Decides the outcome of a query sent now: a Kind, or -1 for an answer, and the latency.
+  std::pair<int, Micros> Outcome(const SimBalancer& sim_balancer, size_t host, uint32_t cls) {
+    for (const NetworkOutage& outage : plan_.outages) {
+      if (outage.zone != sim_balancer.zone || now_ < outage.begin || now_ >= outage.end) continue;
+      if (!outage.outside || hosts_[host].zone != sim_balancer.zone)
+        return {int(Kind::kSilent), plan_.query_timeout};
     }
     const Micros latency = random_.Exponential(static_cast<double>(plan_.latency));
     if (!hosts_[host].present) return {int(Kind::kErrors), kMs};
     for (const HostFault* fault : hosts_[host].faults) {
-      if (!IsActive(*fault) || !Affects(*fault, one, cls) || !random_.WithProbability(fault->share)) continue;
+      if (!IsActive(*fault) || !Affects(*fault, sim_balancer, cls) || !random_.WithProbability(fault->share))
+        continue;
       if (fault->kind == Kind::kSilent) return {int(Kind::kSilent), plan_.query_timeout};
       if (fault->kind == Kind::kSlow) return {-1, 2 * plan_.query_timeout + latency};
       return {int(fault->kind), latency};
@@ -263,57 +266,60 @@
 
   void Query(size_t balancer) {
     NextQuery(balancer);
-    SimBalancer& one = balancers_[balancer];
+    SimBalancer& sim_balancer = balancers_[balancer];
     uint32_t cls = 0;
     for (double draw = random_.Share() - kClassShare[0]; draw >= 0 && cls + 1 < kClassShare.size();) {
       draw -= kClassShare[++cls];
     }
-    // The council's word to try goes first, then a sleeper's own trial.
+    // A trial for the council comes first, then the balancer's own trial of a sleeping host.
     size_t host = hosts_.size();
-    bool trial = false, vote_trace = false;
+    bool trial = false, council_trial = false;
     for (const size_t out : ever_ejected_) {
-      if (!one.out[out] || !one.active.ConsumeTrial(hosts_[out].name, one.incarnations[out])) continue;
+      if (!sim_balancer.out[out] ||
+          !sim_balancer.active.ConsumeTrial(hosts_[out].name, sim_balancer.incarnations[out]))
+        continue;
       host = out;
-      vote_trace = true;
+      council_trial = true;
       break;
     }
-    if (!vote_trace) {
-      for (const size_t sleeper : one.asleep) {
-        HostLink& link = one.links[sleeper];
-        if (link.trial || link.wake_at > now_ || !IsEligible(one, sleeper)) continue;
-        host = sleeper;
+    if (!council_trial) {
+      for (const size_t sleeping : sim_balancer.asleep) {
+        HostLink& link = sim_balancer.links[sleeping];
+        if (link.trial || link.wake_at > now_ || !IsEligible(sim_balancer, sleeping)) continue;
+        host = sleeping;
         trial = link.trial = true;
         break;
       }
     }
-    for (int round = 0, found = 0; !vote_trace && !trial && round < 20 && found < 2; ++round) {
-      const size_t drawn = one.uses[random_.Below(one.uses.size())];
-      if (!IsEligible(one, drawn) || one.links[drawn].asleep) continue;
+    for (int round = 0, found = 0; !council_trial && !trial && round < 20 && found < 2; ++round) {
+      const size_t drawn = sim_balancer.uses[random_.Below(sim_balancer.uses.size())];
+      if (!IsEligible(sim_balancer, drawn) || sim_balancer.links[drawn].asleep) continue;
       ++found;
-      if (host == hosts_.size() || one.links[drawn].in_flight < one.links[host].in_flight) host = drawn;
+      if (host == hosts_.size() || sim_balancer.links[drawn].in_flight < sim_balancer.links[host].in_flight)
+        host = drawn;
     }
     ++results_.queries;
-    if (host == hosts_.size()) {  // nobody is ready: refused
+    if (host == hosts_.size()) {  // no host is available: refused
       if (now_ >= plan_.measured_from) CountLoss(hosts_.size());
       return;
     }
-    const auto [failed, latency] = Outcome(one, host, cls);
-    ++one.links[host].in_flight;
+    const auto [failed, latency] = Outcome(sim_balancer, host, cls);
+    ++sim_balancer.links[host].in_flight;
     Schedule({.at = now_ + latency,
               .what = SimEvent::What::kAnswer,
               .balancer = balancer,
               .host = host,
               .cls = cls,
-              .incarnation = one.incarnations[host],
+              .incarnation = sim_balancer.incarnations[host],
               .latency = latency,
               .failed = failed,
               .trial = trial,
-              .vote_trace = vote_trace});
+              .council_trial = council_trial});
     if (now_ >= plan_.measured_from && (failed >= 0 || latency >= plan_.query_timeout)) CountLoss(host);
   }
-  bool IsEligible(const SimBalancer& one, size_t host) const {
+  bool IsEligible(const SimBalancer& sim_balancer, size_t host) const {
     const SimHost& sim_host = hosts_[host];
-    return !one.out[host] && !sim_host.by_hand && !sim_host.draining && sim_host.present;
+    return !sim_balancer.out[host] && !sim_host.by_hand && !sim_host.draining && sim_host.present;
   }
   void CountLoss(size_t host) {
     ++results_.lost;
@@ -324,8 +330,8 @@
   }
 
   void Answer(const SimEvent& end) {
-    SimBalancer& one = balancers_[end.balancer];
-    HostLink& link = one.links[end.host];
+    SimBalancer& sim_balancer = balancers_[end.balancer];
+    HostLink& link = sim_balancer.links[end.host];
     --link.in_flight;
     const std::string& name = hosts_[end.host].name;
     std::optional<Kind> failed;
@@ -335,25 +341,26 @@
       Event event;
       event.what = Event::What::kResult;
       event.at = now_;
-      event.balancer = one.name;
+      event.balancer = sim_balancer.name;
       event.host = name;
       event.good =
-          !failed && 3 * end.latency < plan_.query_timeout;  // slow against the others, before it is late
+          !failed && 3 * end.latency < plan_.query_timeout;  // an answer may count as slow before it is late
       checker_.OnEvent(event);
-      if (end.vote_trace) {
-        Propose(end.balancer,
-                one.evidence.TrialCommand(name, end.incarnation, late && !failed ? Kind::kSlow : failed));
+      if (end.council_trial) {
+        Propose(end.balancer, sim_balancer.evidence.TrialCommand(name, end.incarnation,
+                                                                 late && !failed ? Kind::kSlow : failed));
         return;
       }
-      one.evidence.OnResult(OwnClock(one), name, end.incarnation, end.cls, failed, end.latency);
+      sim_balancer.evidence.OnResult(OwnClock(sim_balancer), name, end.incarnation, end.cls, failed,
+                                     end.latency);
     }
     if (!failed && !late) {
       link.failures = 0;
       if (end.trial && link.asleep) {
         link.asleep = false;
-        one.asleep.erase(end.host);
+        sim_balancer.asleep.erase(end.host);
         if (now_ - link.slept_at >= kHoldDown) link.sleep /= 2;
-        one.evidence.SetAsleep(name, false);
+        sim_balancer.evidence.SetAsleep(name, false);
       }
     } else if ((link.asleep && end.trial) || (!link.asleep && ++link.failures >= kFailuresToSleep)) {
       link.sleep = std::clamp(2 * link.sleep, kFirstSleep, kMaxSleep);
@@ -361,19 +368,20 @@
       link.slept_at = now_;
       link.failures = 0;
       link.asleep = link.slept = true;
-      one.asleep.insert(end.host);
-      one.evidence.SetAsleep(name, true);
+      sim_balancer.asleep.insert(end.host);
+      sim_balancer.evidence.SetAsleep(name, true);
       UpdateQuietTime();
     }
     if (end.trial) link.trial = false;
   }
 
-  // Whether the first troubled host has nothing new from anybody now.
+  // Records the time at which no balancer sends new queries to the first faulty host any more.
   void UpdateQuietTime() {
     if (results_.quiet_after != kNever || plan_.faults.empty() || now_ < plan_.measured_from) return;
     const size_t host = plan_.faults[0].host;
-    const bool quiet = std::ranges::all_of(balancers_, [&](const SimBalancer& one) {
-      return one.out[host] != 0 || one.links[host].asleep || !IsEligible(one, host);
+    const bool quiet = std::ranges::all_of(balancers_, [&](const SimBalancer& sim_balancer) {
+      return sim_balancer.out[host] != 0 || sim_balancer.links[host].asleep ||
+             !IsEligible(sim_balancer, host);
     });
     if (quiet) results_.quiet_after = now_ - plan_.measured_from;
   }
@@ -388,7 +396,7 @@
       event.host = command.host;
       checker_.OnEvent(event);
     }
-    if (balancer < balancers_.size() && !ReceivesLog(balancer)) return;  // lost on its way
+    if (balancer < balancers_.size() && !ReceivesLog(balancer)) return;  // the proposal is lost
     if (balancer >= balancers_.size() && !CouncilUp()) return;
     pending_.emplace_back(now_ + kLogDelay, std::move(command));
     Schedule({.at = now_ + kLogDelay, .what = SimEvent::What::kEntry});
@@ -402,10 +410,10 @@
         group.hosts.push_back({sim_host.name, Zone(sim_host.zone), sim_host.incarnation, sim_host.draining,
                                sim_host.by_hand, 1});
     }
-    for (const SimBalancer& one : balancers_) {
-      ejection::Balancer balancer{one.name, Zone(one.zone), {}};
-      if (one.uses.size() < hosts_.size()) {
-        for (const size_t host : one.uses) balancer.hosts.push_back(hosts_[host].name);
+    for (const SimBalancer& sim_balancer : balancers_) {
+      ejection::Balancer balancer{sim_balancer.name, Zone(sim_balancer.zone), {}};
+      if (sim_balancer.uses.size() < hosts_.size()) {
+        for (const size_t host : sim_balancer.uses) balancer.hosts.push_back(hosts_[host].name);
       }
       group.balancers.push_back(std::move(balancer));
     }
@@ -420,7 +428,7 @@
     event.at = now_;
     event.group = command.group;
     std::string bytes = EncodeCommand(command);
-    if (bytes != group_bytes_) checker_.OnEvent(event);  // it is the same, told again
+    if (bytes != group_bytes_) checker_.OnEvent(event);  // an unchanged group is no event
     group_bytes_ = std::move(bytes);
     group_proposed_at_ = now_;
     command.epoch = epoch_;
@@ -428,7 +436,7 @@
   }
 
   void AppendEntry() {
-    // Of one time there is one event each; what stands first goes first.
+    // There is one kEntry event per pending command, in the same order.
     const Command command = std::move(pending_.front().second);
     pending_.pop_front();
     const Micros stamp = now_ + leader_clock_;
@@ -444,7 +452,7 @@
       results_.vote_trace.push_back(std::to_string(now_ / kMs) + " ms: " + effect.host +
                                     reports[effect.host]);
     }
-    // The twin reads the bytes, and is saved and loaded now and then.
+    // The replica applies the decoded bytes, and is saved and loaded from time to time.
     const auto read = ejection::DecodeCommand(EncodeCommand(command));
     if (!read) {
       results_.replicas_differ = true;
@@ -522,32 +530,33 @@
     }
     UpdateQuietTime();
   }
-  void CatchUp(SimBalancer& one) {
-    for (; one.applied_entries < log_.size(); ++one.applied_entries) {
-      const Entry& entry = log_[one.applied_entries];
-      if (!one.active.Apply(entry.index, OwnClock(one), entry.effects, one.name)) continue;
-      one.evidence.OnEffects(OwnClock(one), entry.effects);
+  void CatchUp(SimBalancer& sim_balancer) {
+    for (; sim_balancer.applied_entries < log_.size(); ++sim_balancer.applied_entries) {
+      const Entry& entry = log_[sim_balancer.applied_entries];
+      if (!sim_balancer.active.Apply(entry.index, OwnClock(sim_balancer), entry.effects, sim_balancer.name))
+        continue;
+      sim_balancer.evidence.OnEffects(OwnClock(sim_balancer), entry.effects);
       for (const Effect& effect : entry.effects) {
         if (effect.what != Effect::What::kEject && effect.what != Effect::What::kReturn) continue;
         const size_t host = by_name_.at(effect.host);
         if (effect.what == Effect::What::kEject) {
-          one.number[host] = entry.numbers.at(effect.host);
-          SetOut(one, host, true, effect.incarnation);
-        } else if (one.out[host] != 0) {
-          SetOut(one, host, false, effect.incarnation);
+          sim_balancer.number[host] = entry.numbers.at(effect.host);
+          SetOut(sim_balancer, host, true, effect.incarnation);
+        } else if (sim_balancer.out[host] != 0) {
+          SetOut(sim_balancer, host, false, effect.incarnation);
         }
       }
     }
   }
-  void SetOut(SimBalancer& one, size_t host, bool out, Incarnation incarnation) {
-    one.out[host] = out && one.incarnations[host] <= incarnation ? 1 : 0;
+  void SetOut(SimBalancer& sim_balancer, size_t host, bool out, Incarnation incarnation) {
+    sim_balancer.out[host] = out && sim_balancer.incarnations[host] <= incarnation ? 1 : 0;
     Event event;
     event.what = out ? Event::What::kEjected : Event::What::kReturned;
     event.at = now_;
-    event.balancer = one.name;
+    event.balancer = sim_balancer.name;
     event.host = hosts_[host].name;
     event.incarnation = incarnation;
-    event.number = one.number[host];
+    event.number = sim_balancer.number[host];
     checker_.OnEvent(event);
   }
 
@@ -555,14 +564,15 @@
     Schedule({.at = now_ + kTickInterval, .what = SimEvent::What::kTick});
     if (!plan_.votes) return;
     for (size_t i = 0; i < balancers_.size(); ++i) {
-      SimBalancer& one = balancers_[i];
-      if (ReceivesLog(i)) CatchUp(one);
-      for (const std::string& host : one.active.DropExpired(OwnClock(one)))
-        SetOut(one, by_name_.at(host), false, 0);
-      for (Command& command : one.evidence.TakeCommands(OwnClock(one))) Propose(i, std::move(command));
+      SimBalancer& sim_balancer = balancers_[i];
+      if (ReceivesLog(i)) CatchUp(sim_balancer);
+      for (const std::string& host : sim_balancer.active.DropExpired(OwnClock(sim_balancer)))
+        SetOut(sim_balancer, by_name_.at(host), false, 0);
+      for (Command& command : sim_balancer.evidence.TakeCommands(OwnClock(sim_balancer)))
+        Propose(i, std::move(command));
     }
-    for (const MisbehavingBalancer& balancer_fault : plan_.misbehaving) {
-      if (balancer_fault.begin <= now_ && now_ < balancer_fault.end) SendFalseVotes(balancer_fault);
+    for (const MisbehavingBalancer& sender : plan_.misbehaving) {
+      if (sender.begin <= now_ && now_ < sender.end) SendFalseVotes(sender);
     }
     if (!CouncilUp()) return;
     const Micros stamp = now_ + leader_clock_;
@@ -582,18 +592,18 @@
     if (now_ - group_proposed_at_ >= 10 * kSecond) ProposeGroup();
   }
 
-  void SendFalseVotes(const MisbehavingBalancer& balancer_fault) {
-    const SimBalancer& one = balancers_[balancer_fault.balancer];
-    const bool once = balancer_fault.how == MisbehavingBalancer::Behaviour::kStaleVote;
-    if (once ? now_ >= balancer_fault.begin + kTickInterval
+  void SendFalseVotes(const MisbehavingBalancer& sender) {
+    const SimBalancer& sim_balancer = balancers_[sender.balancer];
+    const bool once = sender.behaviour == MisbehavingBalancer::Behaviour::kStaleVote;
+    if (once ? now_ >= sender.begin + kTickInterval
              : now_ % (5 * kSecond) >= kTickInterval &&
-                   balancer_fault.how != MisbehavingBalancer::Behaviour::kFlood)
+                   sender.behaviour != MisbehavingBalancer::Behaviour::kFlood)
       return;
     const auto vote = [&](size_t host) {
       Command command;
       command.what = Command::What::kVote;
-      command.vote = {one.name,
-                      Zone(one.zone),
+      command.vote = {sim_balancer.name,
+                      Zone(sim_balancer.zone),
                       hosts_[host].name,
                       hosts_[host].incarnation,
                       3 * kSecond,
@@ -604,15 +614,15 @@
                       0,
                       true,
                       plan_.rules.vote_lifetime};
-      if (balancer_fault.how == MisbehavingBalancer::Behaviour::kInvalidNumbers) command.vote.failures = 1000;
-      if (balancer_fault.how == MisbehavingBalancer::Behaviour::kOldIncarnation) --command.vote.incarnation;
-      Propose(balancer_fault.balancer, command);
+      if (sender.behaviour == MisbehavingBalancer::Behaviour::kInvalidNumbers) command.vote.failures = 1000;
+      if (sender.behaviour == MisbehavingBalancer::Behaviour::kOldIncarnation) --command.vote.incarnation;
+      Propose(sender.balancer, command);
     };
-    if (balancer_fault.how == MisbehavingBalancer::Behaviour::kVotesAgainstAll) {
+    if (sender.behaviour == MisbehavingBalancer::Behaviour::kVotesAgainstAll) {
       for (size_t host = 0; host < hosts_.size(); ++host) vote(host);
     } else {
-      for (int i = 0; i < (balancer_fault.how == MisbehavingBalancer::Behaviour::kFlood ? 10 : 1); ++i)
-        vote(balancer_fault.host);
+      for (int i = 0; i < (sender.behaviour == MisbehavingBalancer::Behaviour::kFlood ? 10 : 1); ++i)
+        vote(sender.host);
     }
   }
 
@@ -622,7 +632,7 @@
       case Action::What::kRestart:
         ++sim_host.incarnation;
         sim_host.draining = false;
-        // Each list has it some seconds later.
+        // Each balancer's list has the new incarnation up to some seconds later.
         for (size_t i = 0; i < balancers_.size(); ++i) {
           Schedule({.at = now_ + random_.Between(0, 3 * kSecond),
                     .what = SimEvent::What::kIncarnationKnown,
@@ -645,9 +655,9 @@
         break;
       case Action::What::kNewOwner:
         epoch_ = index_ + 1000;
-        leader_clock_ = random_.Between(-2 * kSecond, 2 * kSecond);  // another machine's
+        leader_clock_ = random_.Between(-2 * kSecond, 2 * kSecond);  // the clock of another machine
         break;
-      case Action::What::kStaleOwner: {  // one that stood still, with what it knew
+      case Action::What::kStaleOwner: {  // an owner that was paused and still uses its old epoch
         Command command;
         command.what = Command::What::kCount;
         command.epoch = 1;
@@ -693,10 +703,11 @@
       case SimEvent::What::kTruth:
         return ReportTruth(next.host);
       case SimEvent::What::kIncarnationKnown: {
-        SimBalancer& one = balancers_[next.balancer];
-        one.incarnations[next.host] = next.incarnation;
-        if (one.out[next.host] != 0 && !one.active.IsEjected(hosts_[next.host].name, next.incarnation)) {
-          SetOut(one, next.host, false, next.incarnation);
+        SimBalancer& sim_balancer = balancers_[next.balancer];
+        sim_balancer.incarnations[next.host] = next.incarnation;
+        if (sim_balancer.out[next.host] != 0 &&
+            !sim_balancer.active.IsEjected(hosts_[next.host].name, next.incarnation)) {
+          SetOut(sim_balancer, next.host, false, next.incarnation);
         }
         return;
       }
@@ -710,7 +721,7 @@
   Checker checker_;
   Results results_;
   Micros now_ = 0;
-  uint64_t order_ = 0;
+  uint64_t next_order_ = 0;
   uint64_t index_ = 0;
   uint64_t epoch_ = 1;
   Micros leader_clock_ = 0;
@@ -722,7 +733,7 @@
   std::vector<SimBalancer> balancers_;
   std::vector<SimHost> hosts_;
   std::map<std::string, size_t> by_name_;
-  std::set<size_t> ever_ejected_;  // ever ejected
+  std::set<size_t> ever_ejected_;  // including those that have returned
   std::set<std::pair<size_t, uint64_t>> wrong_ejections_;
   std::deque<std::pair<Micros, Command>> pending_;
   std::vector<Entry> log_;
@@ -774,8 +785,8 @@
     }
     plan.faults.push_back(fault);
   }
-  if (random.WithProbability(
-          0.15)) {  // more hosts than may be out, one after the other, and owners that come and go
+  // More faulty hosts than the cap allows, in turn, with changes of owner.
+  if (random.WithProbability(0.15)) {
     const Micros begin = random_time();
     for (size_t n = 0; n < 3; ++n) {
       HostFault fault;
@@ -794,20 +805,21 @@
     plan.outages.push_back(
         {random.Below(plan.zones), begin, begin + 20 * kSecond, random.WithProbability(0.5)});
   }
-  if (random.WithProbability(0.4)) {  // a mistake that several make alike, as one build would
-    const auto how = static_cast<MisbehavingBalancer::Behaviour>(random.Below(5));
-    const size_t about = host();
+  // The same misbehaviour of several balancers, as from a faulty build.
+  if (random.WithProbability(0.4)) {
+    const auto behaviour = static_cast<MisbehavingBalancer::Behaviour>(random.Below(5));
+    const size_t target = host();
     const Micros begin = random_time();
-    // Fewer than a vote takes, but for those that are seen through by what they say.
-    const bool plain =
-        how == MisbehavingBalancer::Behaviour::kStaleVote || how == MisbehavingBalancer::Behaviour::kFlood;
+    // Plausible votes come from fewer balancers than an ejection needs. Detectable ones may come from more.
+    const bool plain = behaviour == MisbehavingBalancer::Behaviour::kStaleVote ||
+                       behaviour == MisbehavingBalancer::Behaviour::kFlood;
     const size_t many = plain ? 1
-                        : how == MisbehavingBalancer::Behaviour::kVotesAgainstAll && plan.hosts < 10
+                        : behaviour == MisbehavingBalancer::Behaviour::kVotesAgainstAll && plan.hosts < 10
                             ? 2
                             : 1 + random.Below(5);
     for (size_t i = 0; i < many; ++i) {
       plan.misbehaving.push_back(
-          {(i * 2 + random.Below(2)) % plan.balancers, how, begin, begin + 40 * kSecond, about});
+          {(i * 2 + random.Below(2)) % plan.balancers, behaviour, begin, begin + 40 * kSecond, target});
     }
   }
   const auto action = [&](Action::What what) {
