--- a/src/ejection/evidence.cpp
+++ b/src/ejection/evidence.cpp
@@ -130,11 +130,12 @@
   if (!failed && record.asleep && (record.stance == Stance::kVote || record.stance == Stance::kSure)) {
     record.classes.clear();  // the decision module's own trial succeeded
   }
-  uint32_t kept = cls;
+  uint32_t stored_class = cls;
   if (record.classes.size() >= rules_.max_classes && !record.classes.contains(cls)) {
-    kept = record.classes.rbegin()->first;
+    stored_class = record.classes.rbegin()->first;
   }
-  for (Bucket* bucket : {&CurrentBucket(class_record.all, now), &CurrentBucket(record.classes[kept], now)}) {
+  for (Bucket* bucket :
+       {&CurrentBucket(class_record.all, now), &CurrentBucket(record.classes[stored_class], now)}) {
     ++bucket->trials;
     if (failed) ++bucket->failures[static_cast<size_t>(*failed)];
   }
@@ -380,7 +381,7 @@
     if (opinion.stance == record.stance && !(opinion.stance != Stance::kNothing && (due || more))) continue;
     Command command;
     if (opinion.stance == Stance::kNothing) {
-      // The evidence of a sure vote has become weaker: the vote is kept until the odds are even.
+      // The evidence of a sure vote has become weaker: the vote is stored_class until the odds are even.
       const bool log_odds = record.stance == Stance::kSure && !OthersFail(now, record) &&
                             MostSuspectSpan(now, record, now - rules_.window).log_odds > 0;
       if (log_odds) continue;
--- a/tests/ejection/active_ejections_test.cpp
+++ b/tests/ejection/active_ejections_test.cpp
@@ -16,20 +16,20 @@
   return effect;
 }
 
-TEST(InForce, EndsByItsOwnClock) {
+TEST(InForce, ExpiresOnTheBalancersOwnClock) {
   Rules rules;
   ActiveEjections in_force(rules);
   in_force.Apply(3, 100 * kSecond, {MakeEffect(Effect::What::kEject, 5, 10 * kSecond)}, "b");
   EXPECT_TRUE(in_force.IsEjected("h", 5));
   EXPECT_TRUE(in_force.IsEjected("h", 4));
-  EXPECT_FALSE(in_force.IsEjected("h", 6));  // a new life
+  EXPECT_FALSE(in_force.IsEjected("h", 6));  // a new incarnation
   EXPECT_TRUE(in_force.DropExpired(in_force.next_at() - 1).empty());
   EXPECT_EQ(in_force.next_at(), 110 * kSecond + rules.single_trial_timeout + rules.multi_trial_timeout);
   EXPECT_EQ(in_force.DropExpired(in_force.next_at()), std::vector<std::string>{"h"});
   EXPECT_FALSE(in_force.IsEjected("h", 5));
 }
 
-TEST(InForce, NeverGoesBackInTheLog) {
+TEST(InForce, IgnoresEarlierLogEntries) {
   ActiveEjections in_force{Rules()};
   EXPECT_TRUE(in_force.Apply(3, 0, {MakeEffect(Effect::What::kEject, 5, kSecond)}, "b"));
   EXPECT_TRUE(in_force.Apply(4, 0, {MakeEffect(Effect::What::kReturn)}, "b"));
@@ -37,7 +37,7 @@
   EXPECT_FALSE(in_force.IsEjected("h", 5));
 }
 
-TEST(InForce, OneTrialForTheOneThatWasTold) {
+TEST(InForce, OnlyTheChosenBalancerMayTryOnce) {
   ActiveEjections chosen{Rules()}, other{Rules()};
   for (ActiveEjections* in_force : {&chosen, &other}) {
     in_force->Apply(1, 0, {MakeEffect(Effect::What::kEject, 5, kSecond)}, "b");
--- a/tests/ejection/checker_test.cpp
+++ b/tests/ejection/checker_test.cpp
@@ -1,4 +1,4 @@
-// The judge accepts an honest history and rejects each planted one.
+// The checker accepts a correct history and rejects each history with an injected violation.
 #include "lab/ejection_world/checker.h"
 
 #include <gtest/gtest.h>
@@ -6,6 +6,7 @@
 namespace burlfall::ejection_world {
 namespace {
 
+// Histories of ten hosts in one zone and four balancers in two zones.
 class Histories : public testing::Test {
  protected:
   Histories() {
@@ -63,7 +64,7 @@
   Checker checker_{rules_, kSecond};
 };
 
-TEST_F(Histories, HonestOneIsAccepted) {
+TEST_F(Histories, AcceptsAJustifiedEjection) {
   JustifiedEjection();
   ReturnEverywhere(14 * kSecond);
   checker_.Finish(100 * kSecond);
@@ -71,17 +72,17 @@
   EXPECT_EQ(checker_.ejections(), 1u);
 }
 
-TEST_F(Histories, WithoutItsVotes) {
+TEST_F(Histories, RejectsEjectionWithTooFewVotes) {
   Truth(kSecond, 4);
   Vote(2 * kSecond, 0);
   Vote(2 * kSecond, 1);
-  Vote(3 * kSecond, 1);           // twice is once
-  Vote(3 * kSecond, 2, "h0", 0);  // of another life
+  Vote(3 * kSecond, 1);           // a second vote of one balancer counts once
+  Vote(3 * kSecond, 2, "h0", 0);  // of another incarnation
   EjectEverywhere(4 * kSecond);
   EXPECT_FALSE(checker_.violations().empty());
 }
 
-TEST_F(Histories, OfOneZoneAlone) {
+TEST_F(Histories, RejectsEjectionByOneZoneOnly) {
   Event group = At(kSecond, Event::What::kGroup);
   group.group.hosts = {{"h0", "z", 1, false, false, 1}, {"h1", "z", 1, false, false, 1}};
   for (int i = 0; i < 4; ++i) group.group.balancers.push_back({Name(i), i < 3 ? "z0" : "z1", {}});
@@ -97,17 +98,17 @@
   EXPECT_FALSE(checker_.violations().empty());
 }
 
-TEST_F(Histories, PastTheCap) {
+TEST_F(Histories, RejectsEjectionsAboveTheCap) {
   JustifiedEjection();
-  JustifiedEjection("h1", 2, 6 * kSecond);  // ten hosts: one may be out; by whichever owner
+  JustifiedEjection("h1", 2, 6 * kSecond);  // of ten hosts one may be ejected, whichever owner counts
   EXPECT_FALSE(checker_.violations().empty());
 }
 
-TEST_F(Histories, ThatMostSeeGood) {
+TEST_F(Histories, RejectsEjectionOfAHostThatWorksForMost) {
   Truth(0, 0);
   for (int i = 0; i < 4; ++i) Result(kSecond, i, true);
   for (int i = 0; i < 3; ++i) Vote(50 * kSecond, i);
-  // They saw failures; from outside nearly all of them had, so it is no host that most see good.
+  // Three of four balancers have since seen failures, so the host does not work for most of them.
   EjectEverywhere(51 * kSecond);
   EXPECT_TRUE(checker_.violations().empty());
   Truth(60 * kSecond, 1, "h5");
@@ -118,19 +119,19 @@
   EXPECT_FALSE(checker_.violations().empty());
 }
 
-TEST_F(Histories, ThatNeverEnds) {
+TEST_F(Histories, RejectsEjectionThatNeverEnds) {
   JustifiedEjection();
   checker_.Finish(100 * kSecond);
   EXPECT_FALSE(checker_.violations().empty());
 }
 
-TEST_F(Histories, ThatGoesOnWithoutABadTrial) {
+TEST_F(Histories, RejectsNewTermWithoutABadTrial) {
   JustifiedEjection();
   EjectEverywhere(20 * kSecond);
   EXPECT_FALSE(checker_.violations().empty());
 }
 
-TEST_F(Histories, TheLastOfItsZone) {
+TEST_F(Histories, RejectsEjectionOfTheLastHostOfAZone) {
   Event group = At(kSecond, Event::What::kGroup);
   group.group.hosts = {{"h0", "alone", 1, false, false, 1}, {"h1", "z", 1, false, false, 1}};
   for (int i = 0; i < 4; ++i) group.group.balancers.push_back({Name(i), i % 2 == 0 ? "z0" : "z1", {}});
--- a/tests/ejection/command_codec_test.cpp
+++ b/tests/ejection/command_codec_test.cpp
@@ -5,7 +5,7 @@
 namespace burlfall::ejection {
 namespace {
 
-TEST(Wire, EachCommandComesBackAsItWas) {
+TEST(Wire, EachCommandIsDecodedAsEncoded) {
   for (uint8_t what = 0; what <= static_cast<uint8_t>(Command::What::kCount); ++what) {
     Command command;
     command.what = static_cast<Command::What>(what);
@@ -44,7 +44,7 @@
   EXPECT_FALSE(DecodeCommand(EncodeCommand(command)).has_value());
 }
 
-TEST(Wire, EachRefusalSaysWhatToDo) {
+TEST(Wire, EachRefusalHasANameAndAdvice) {
   for (uint8_t i = 0; i <= static_cast<uint8_t>(Refusal::kTooLong); ++i) {
     EXPECT_STRNE(NameOf(static_cast<Refusal>(i)), "?");
     EXPECT_STRNE(AdviceOf(static_cast<Refusal>(i)), "?");
--- a/tests/ejection/evidence_test.cpp
+++ b/tests/ejection/evidence_test.cpp
@@ -7,7 +7,7 @@
 
 class Balancer : public testing::Test {
  protected:
-  // A second of answers of ten hosts; `bad` fails.
+  // One second of answers of ten hosts, of which `bad` fails.
   void OneSecond(const std::string& bad = "", uint32_t cls = 0, std::optional<Kind> how = Kind::kErrors) {
     for (int i = 0; i < 10; ++i) {
       const std::string host = std::string("h").append(std::to_string(i));
@@ -28,7 +28,7 @@
   Micros now_ = 1000 * kSecond;
 };
 
-TEST_F(Balancer, TwoFailuresAreAVoteAndOneIsNone) {
+TEST_F(Balancer, VotesAfterTwoFailuresNotOne) {
   for (int i = 0; i < 5; ++i) OneSecond();
   EXPECT_TRUE(TakeCommands().empty());
   OneSecond("h3");
@@ -41,10 +41,10 @@
   EXPECT_EQ(commands[0].vote.failures, 2u);
   EXPECT_EQ(commands[0].vote.trials, 2u);
   EXPECT_TRUE(commands[0].vote.sure);
-  EXPECT_TRUE(TakeCommands().empty());  // changes alone are told
+  EXPECT_TRUE(TakeCommands().empty());  // only changes are reported
 }
 
-TEST_F(Balancer, GoodAnswersWithdraw) {
+TEST_F(Balancer, GoodAnswersWithdrawTheVote) {
   for (int i = 0; i < 5; ++i) OneSecond();
   for (int i = 0; i < 2; ++i) OneSecond("h3");
   EXPECT_EQ(TakeCommands().size(), 1u);
@@ -57,7 +57,7 @@
   EXPECT_EQ(commands[0].what, Command::What::kWithdraw);
 }
 
-TEST_F(Balancer, ItsModulesGoodTrialWithdrawsAtOnce) {
+TEST_F(Balancer, GoodTrialOfASleepingHostWithdrawsAtOnce) {
   for (int i = 0; i < 2; ++i) OneSecond("h3");
   EXPECT_EQ(TakeCommands().size(), 1u);
   evidence_.SetAsleep("h3", true);
@@ -67,7 +67,7 @@
   EXPECT_EQ(commands[0].what, Command::What::kWithdraw);
 }
 
-TEST_F(Balancer, WhereAllFailItTellsNothing) {
+TEST_F(Balancer, ReportsNothingWhenAllHostsFail) {
   for (int i = 0; i < 5; ++i) OneSecond();
   for (int i = 0; i < 10; ++i) {
     for (int host = 0; host < 10; ++host) {
@@ -79,7 +79,7 @@
   EXPECT_TRUE(evidence_.OwnNetworkSuspect(now_));
 }
 
-TEST_F(Balancer, SlowIsAgainstTheOthers) {
+TEST_F(Balancer, SlowIsRelativeToTheOtherHosts) {
   for (int i = 0; i < 20; ++i) OneSecond();
   for (int i = 0; i < 2; ++i) evidence_.OnResult(now_ += kSecond, "h3", 1, 0, std::nullopt, 2 * kSecond);
   const auto commands = TakeCommands();
@@ -87,7 +87,7 @@
   EXPECT_EQ(commands[0].vote.kind, Kind::kSlow);
 }
 
-TEST_F(Balancer, InQuestionOneAnswerIsAWord) {
+TEST_F(Balancer, OneResultIsReportedDuringAPoll) {
   for (int i = 0; i < 3; ++i) OneSecond();
   OnEffect(Effect::What::kPollOpened, "h4");
   OnEffect(Effect::What::kPollOpened);
@@ -100,7 +100,7 @@
   EXPECT_TRUE(vote && good);
 }
 
-TEST_F(Balancer, OneClassAloneIsNamed) {
+TEST_F(Balancer, VoteNamesTheOnlyFailingClass) {
   for (int i = 0; i < 3; ++i) {
     OneSecond();
     OneSecond("h3", 1);
@@ -111,7 +111,7 @@
   EXPECT_GE(commands[0].vote.others, 2u);
 }
 
-TEST_F(Balancer, GraceNewLifeAndEjection) {
+TEST_F(Balancer, IgnoresResultsInGraceAfterRestartAndWhileEjected) {
   for (int i = 0; i < 5; ++i) OneSecond("h3");
   EXPECT_EQ(TakeCommands().size(), 1u);
   OnEffect(Effect::What::kEject);
@@ -122,9 +122,9 @@
   OneSecond("h3");
   EXPECT_TRUE(TakeCommands().empty());
   for (int i = 0; i < 4; ++i) evidence_.OnResult(now_ += 100 * kMs, "h3", 2, 0, Kind::kErrors, kMs);
-  EXPECT_TRUE(TakeCommands().empty());  // a new life, in its grace
+  EXPECT_TRUE(TakeCommands().empty());  // a new incarnation, in its grace time
   for (int i = 0; i < 4; ++i) evidence_.OnResult(now_ += kSecond, "h3", 1, 0, Kind::kErrors, kMs);
-  EXPECT_TRUE(TakeCommands().empty());  // the earlier life
+  EXPECT_TRUE(TakeCommands().empty());  // results of the earlier incarnation
 }
 
 TEST_F(Balancer, MemoryIsBounded) {
--- a/tests/ejection/state_test.cpp
+++ b/tests/ejection/state_test.cpp
@@ -10,7 +10,7 @@
 
 using What = Effect::What;
 
-// A council of ten hosts in two zones and eight balancers in two zones, whose entries come a second apart.
+// A replicated state with ten hosts and eight balancers in two zones. Counts come a second apart.
 class Council : public testing::Test {
  protected:
   Council() {
@@ -104,7 +104,7 @@
   Refusal Refused() const {
     return FindEffect(What::kRefused) == nullptr ? Refusal::kNone : FindEffect(What::kRefused)->refusal;
   }
-  std::string ChosenTrier() {  // after the term
+  std::string ChosenTrier() {  // at the end of the term
     Expire(state_.ejections().at("h0").until - at_);
     return FindEffect(What::kRunTrial) == nullptr ? "" : FindEffect(What::kRunTrial)->who.at(0);
   }
@@ -134,14 +134,14 @@
   EXPECT_FALSE(IsEjected());
 }
 
-TEST_F(Council, OneZoneAloneIsAPath) {
+TEST_F(Council, VotesOfOneZoneReportABadPath) {
   SendVotes({0, 2, 4, 6});
   Count();
   EXPECT_FALSE(IsEjected());
   ASSERT_NE(FindEffect(What::kBadFromZone), nullptr);
   EXPECT_EQ(FindEffect(What::kBadFromZone)->zone, "z0");
   Count();
-  EXPECT_EQ(FindEffect(What::kBadFromZone), nullptr);  // told once
+  EXPECT_EQ(FindEffect(What::kBadFromZone), nullptr);  // reported once
 }
 
 TEST_F(Council, OneZoneIsEnoughWhereOnlyOneUsesTheHost) {
@@ -154,7 +154,7 @@
   EXPECT_TRUE(IsEjected());
 }
 
-TEST_F(Council, GoodWordsOutweigh) {
+TEST_F(Council, GoodReportsOutweighVotes) {
   SendVotes({0, 1, 2});
   for (const int good : {3, 4, 5}) SendGoodReport(good, 0);
   Count();
@@ -163,7 +163,7 @@
   EXPECT_FALSE(IsEjected());
 }
 
-TEST_F(Council, FewGoodAnswersAreNoWordWhereAThirdFails) {
+TEST_F(Council, FewGoodAnswersDoNotOutweighAThirdFailing) {
   for (const int balancer : {0, 1, 2, 3}) {
     Vote vote = VoteOf(balancer, 0);
     vote.trials = 30;
@@ -175,7 +175,7 @@
   EXPECT_TRUE(IsEjected());
 }
 
-TEST_F(Council, VotesRunOutAndAreWithdrawn) {
+TEST_F(Council, VotesExpireAndAreWithdrawn) {
   SendVotes({0, 1});
   SendVotes({0, 1, 2});
   Command withdraw;
@@ -194,7 +194,7 @@
   EXPECT_FALSE(IsEjected());
 }
 
-TEST_F(Council, NumbersThatCantBeAreRefused) {
+TEST_F(Council, ImpossibleNumbersAreRefused) {
   const auto refused = [&](const std::function<void(Vote&)>& change) {
     Vote vote = VoteOf(0, 0);
     change(vote);
@@ -212,25 +212,25 @@
   EXPECT_EQ(refused([](Vote& v) { v.incarnation = 4; }), Refusal::kOldIncarnation);
 }
 
-TEST_F(Council, FloodIsBoundedAndMakesASuspect) {
-  size_t told = 0;
+TEST_F(Council, FloodIsBoundedAndMakesTheSenderSuspect) {
+  size_t answered = 0;
   for (int i = 0; i < 2000; ++i) {
     SendVote(VoteOf(0, i % 2));
-    told += last_.empty() ? 0 : 1;
+    answered += last_.empty() ? 0 : 1;
   }
   EXPECT_TRUE(state_.suspects().contains("b0"));
-  EXPECT_LT(told, 10u);
+  EXPECT_LT(answered, 10u);
   EXPECT_LT(state_.Save().size(), 10000u);
 }
 
-TEST_F(Council, SuspectsVotesDontCount) {
+TEST_F(Council, VotesOfSuspectsAreNotCounted) {
   for (int host = 0; host < 10; ++host) SendVotes({0, 1, 2}, host);
   EXPECT_EQ(state_.suspects().size(), 3u);
   Count();
   for (int host = 0; host < 10; ++host) EXPECT_FALSE(IsEjected(host));
 }
 
-TEST_F(Council, ManyAtOnceAreAnIncident) {
+TEST_F(Council, ManySuspectedHostsAreAnIncident) {
   SendVotes({0, 1, 2}, 0);
   SendVotes({3, 4, 5}, 1);
   SendVotes({6, 7, 0}, 2);
@@ -253,7 +253,7 @@
   ASSERT_NE(FindEffect(What::kHeld), nullptr);
 }
 
-TEST_F(Council, OlderOwnerIsFenced) {
+TEST_F(Council, OlderEpochIsFenced) {
   epoch_ = 9;
   ApplyGroup();
   SendVotes({0, 1, 2});
@@ -263,7 +263,7 @@
   EXPECT_FALSE(IsEjected());
 }
 
-TEST_F(Council, LastOfItsZoneAndWorkOfTheRest) {
+TEST_F(Council, HeldForLastOfZoneAndForCapacity) {
   group_.hosts[0].zone = "z2";
   ApplyGroup();
   SendVotes({0, 1, 2});
@@ -280,10 +280,10 @@
   EXPECT_EQ(FindEffect(What::kHeld)->held, HoldReason::kCapacity);
 }
 
-TEST_F(Council, NewLifeIsNotEjected) {
+TEST_F(Council, NewIncarnationIsNotEjected) {
   SendVotes({0, 1, 2});
   group_.hosts[0].incarnation = 6;
-  ApplyGroup();  // restarted in mid-vote
+  ApplyGroup();  // restarted while votes are collected
   Count();
   EXPECT_FALSE(IsEjected());
   EXPECT_TRUE(state_.VotesAgainst("h0").empty());
@@ -298,7 +298,7 @@
   EXPECT_EQ(FindEffect(What::kReturn)->return_reason, ReturnReason::kNewIncarnation);
 }
 
-TEST_F(Council, OneGoodTrialBringsItBackAndShrinksTheTerm) {
+TEST_F(Council, OneGoodTrialReturnsTheHostAndShortensTheTerm) {
   Eject();
   const std::string first = ChosenTrier();
   EXPECT_EQ(FindEffect(What::kRunTrial)->who.size(), 1u);
@@ -311,14 +311,14 @@
   EXPECT_EQ(state_.ejections().at("h0").term, rules_.first_term);
   SendVote(VoteOf(0, 0));
   EXPECT_EQ(Refused(), Refusal::kInGrace);
-  // Bad again soon: what the good one shrank counts for nothing.
+  // Ejected again soon: the shortening by the good trial does not apply.
   Expire(rules_.grace);
   SendVotes({0, 1, 2});
   Count(kSecond);
   EXPECT_EQ(FindEffect(What::kEject)->term, 4 * rules_.first_term);
 }
 
-TEST_F(Council, SilentTriersAreFollowedByAFewAndThenItIsOver) {
+TEST_F(Council, UnansweredTrialIsRepeatedByAFewThenTheHostReturns) {
   Eject();
   ChosenTrier();
   Expire(rules_.single_trial_timeout);
@@ -329,7 +329,7 @@
   EXPECT_EQ(FindEffect(What::kReturn)->return_reason, ReturnReason::kNoTrial);
 }
 
-TEST_F(Council, OperatorsWordGoesFirst) {
+TEST_F(Council, OperatorCommandsOverrideVotes) {
   Eject();
   OperatorCommand(OperatorAction::kExtend, 0, 60 * kSecond);
   EXPECT_GE(FindEffect(What::kEject)->term, 60 * kSecond);
@@ -348,7 +348,7 @@
   EXPECT_EQ(Refused(), Refusal::kTooLong);
 }
 
-TEST_F(Council, ByHandEndsItAndADrainingOneIsNotTried) {
+TEST_F(Council, OutByHandEndsEjectionAndDrainingHostIsNotTried) {
   Eject();
   group_.hosts[0].by_hand = true;
   ApplyGroup();
@@ -367,7 +367,7 @@
   for (const int balancer : {0, 1, 2}) {
     Vote vote = VoteOf(balancer, 0);
     vote.cls = 4;
-    vote.others = 5;  // good answers of its other classes
+    vote.others = 5;  // good answers in its other classes
     SendVote(vote);
   }
   Count();
@@ -376,7 +376,7 @@
   EXPECT_EQ(FindEffect(What::kBadForClass)->cls, 4u);
 }
 
-TEST_F(Council, EarlierEntriesAndStampsChangeNothing) {
+TEST_F(Council, EarlierEntriesAndTimestampsChangeNothing) {
   Eject();
   const std::string saved = state_.Save();
   EXPECT_TRUE(state_.Apply(index_, at_ + kSecond, {}).empty());
@@ -385,7 +385,7 @@
   EXPECT_EQ(state_.at(), at_);
 }
 
-TEST_F(Council, SavedAndLoadedIsTheSame) {
+TEST_F(Council, LoadedStateEqualsSavedState) {
   Eject();
   SendVotes({0, 1}, 3);
   SendGoodReport(4, 3);
--- a/tests/ejection/world_test.cpp
+++ b/tests/ejection/world_test.cpp
@@ -1,5 +1,5 @@
-// Small fleets in which anything may happen, from seeds, under the judge; and the same with faults planted in
-// the rules' place, each of which must be found.
+// Small random fleets, generated from seeds, are simulated and checked. The same is done with faults injected
+// into the rules, each of which the checker must find.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -22,7 +22,8 @@
   uint64_t ejections = 0, paths = 0, suspects = 0, incidents = 0, refused = 0, held = 0, classes = 0;
   for (uint64_t seed = 1; seed <= Seeds(); ++seed) {
     const Results results = Simulate(RandomPlan(seed));
-    for (const std::string& broken : results.violations) ADD_FAILURE() << "seed " << seed << ": " << broken;
+    for (const std::string& violation : results.violations)
+      ADD_FAILURE() << "seed " << seed << ": " << violation;
     EXPECT_FALSE(results.replicas_differ) << "seed " << seed;
     ejections += results.ejections;
     paths += results.paths;
@@ -32,7 +33,7 @@
     held += results.held;
     classes += results.classes;
   }
-  // A world in which nothing happens would pass as well.
+  // Without these a simulation in which nothing happens would pass as well.
   EXPECT_GT(ejections, Seeds() / 4);
   EXPECT_GT(paths, 0u);
   EXPECT_GT(suspects, 0u);
@@ -44,7 +45,7 @@
 
 struct Fault {
   const char* name;
-  uint64_t seeds;  // within which it is found
+  uint64_t seeds;  // number of seeds within which the fault must be found
   std::function<void(InjectedFaults&)> inject;
 };
 void PrintTo(const Fault& fault, std::ostream* to) { *to << fault.name; }
--- a/tests/ejection/worth_test.cpp
+++ b/tests/ejection/worth_test.cpp
@@ -1,5 +1,5 @@
-// What votes are worth, at full size: EJECTION_WORTH=1 prints the table of docs/design/council_ejection.md.
-// Without it a small fleet is held to counts.
+// Effect of the votes on lost queries. EJECTION_WORTH=1 simulates the full-size fleet and prints the table of
+// docs/design/council_ejection.md. Without it, only small fleets are checked against limits.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -82,7 +82,7 @@
       "ejections | wrong | entries/s, most |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- "
       "|\n");
   constexpr int kSeeds = 2;
-  const std::string only = std::getenv("EJECTION_WORTH");  // 1: all rows; else the one of that name
+  const std::string only = std::getenv("EJECTION_WORTH");  // 1: all rows; otherwise the row of that name
   for (const Row& row : rows) {
     if (only != "1" && only != row.name) continue;
     Results sum[2];
@@ -95,7 +95,8 @@
         plan.actions = row.actions;
         if (votes == 1) plan.misbehaving = row.misbehaving;
         const Results results = Simulate(plan);
-        for (const std::string& broken : results.violations) ADD_FAILURE() << row.name << ": " << broken;
+        for (const std::string& violation : results.violations)
+          ADD_FAILURE() << row.name << ": " << violation;
         EXPECT_FALSE(results.replicas_differ) << row.name;
         const bool at_host = row.faults.size() == 1;
         sum[votes].lost_minute += at_host ? results.lost_at_faulty_minute : results.lost_minute;
@@ -120,7 +121,7 @@
   }
 }
 
-// Sixty balancers and forty hosts, as thin a traffic for each pair.
+// Sixty balancers and forty hosts, with as few queries for each pair of them as in the full-size fleet.
 Plan Small(uint64_t seed, bool votes) {
   Plan plan = Full(seed, votes);
   plan.balancers = 60;
@@ -130,7 +131,7 @@
   return plan;
 }
 
-TEST(Worth, AFifthOfTheLossesWhereAHostFailsAlways) {
+TEST(Worth, VotesCutLossesAtAFailingHostToAFifth) {
   for (const Kind kind : {Kind::kSilent, Kind::kErrors, Kind::kSlow}) {
     Results with, without;
     for (int votes = 0; votes < 2; ++votes) {
@@ -144,7 +145,7 @@
   }
 }
 
-TEST(Worth, GoodHostsStayWhereAZonesNetworkIsBroken) {
+TEST(Worth, NoEjectionsWhenAZonesNetworkFails) {
   for (const bool outside : {false, true}) {
     Plan plan = Small(4, true);
     plan.outages = {{0, kOnset, kOnset + 40 * kSecond, outside}};
