--- a/src/ejection/names.cpp
+++ b/src/ejection/names.cpp
@@ -65,7 +65,7 @@
     case Refusal::kInGrace:
       return "in grace";
     case Refusal::kNotChosenToTry:
-      return "not told to try";
+      return "not chosen for the trial";
     case Refusal::kNotEjected:
       return "not ejected";
     case Refusal::kTooLong:
@@ -79,25 +79,25 @@
     case Refusal::kNone:
       return "nothing to do";
     case Refusal::kFenced:
-      return "another owner counts now; nothing to do, unless it comes again and again";
+      return "another owner counts now; nothing to do unless this repeats";
     case Refusal::kUnknownHost:
-      return "see that the host is in the group's list, and spelled as there";
+      return "check that the host is in the group's list, with the same spelling";
     case Refusal::kUnknownBalancer:
-      return "see that this balancer is a member and uses the host";
+      return "check that this balancer is a member and uses the host";
     case Refusal::kOtherZone:
-      return "see the zone in this balancer's configuration: the council has another";
+      return "check the zone in this balancer's configuration: the council has another";
     case Refusal::kOldIncarnation:
       return "the host has been restarted, or one list is older; nothing to do";
     case Refusal::kInvalidNumbers:
-      return "this balancer tells nonsense: take it out, and keep its log";
+      return "this balancer sends impossible numbers: take it out of service and keep its log";
     case Refusal::kTooMany:
-      return "this balancer tells too much: see its network, then its log";
+      return "this balancer sends too many reports: check its network, then its log";
     case Refusal::kInGrace:
-      return "the host has just come; nothing to do";
+      return "the host has just appeared or returned; nothing to do";
     case Refusal::kNotChosenToTry:
-      return "nothing to do, unless it comes again and again: then see that balancer's log";
+      return "nothing to do unless this repeats: then check that balancer's log";
     case Refusal::kNotEjected:
-      return "see which hosts are ejected: burlfall council status";
+      return "list the ejected hosts with: burlfall council status";
     case Refusal::kTooLong:
       return "take the host out by hand instead; that has no end of its own";
   }
@@ -113,7 +113,7 @@
     case HoldReason::kZoneCap:
       return "cap of the zone";
     case HoldReason::kCapacity:
-      return "the rest can't carry the work";
+      return "the remaining hosts can't carry the load";
     case HoldReason::kLastOfGroup:
       return "last of its group";
     case HoldReason::kLastOfZone:
@@ -131,7 +131,7 @@
     case ReturnReason::kTrialGood:
       return "a good trial";
     case ReturnReason::kNoTrial:
-      return "nobody tried in time";
+      return "no balancer tried it in time";
     case ReturnReason::kOperator:
       return "an operator";
     case ReturnReason::kByHand:
@@ -141,9 +141,9 @@
     case ReturnReason::kLeftGroup:
       return "gone from the group";
     case ReturnReason::kDraining:
-      return "it drains";
+      return "it is draining";
     case ReturnReason::kCapReduced:
-      return "the group became smaller";
+      return "the caps became smaller";
   }
   return "?";
 }
--- a/src/lab/ejection_world/checker.cpp
+++ b/src/lab/ejection_world/checker.cpp
@@ -96,7 +96,7 @@
     if (!over) most = std::max(most, course[i].second.size());
   }
   if (2 * most < users && 2 * clean > users) {
-    AddViolation(out.at, out.host + " ejected, good for all but " + std::to_string(most) + " of " +
+    AddViolation(out.at, out.host + " ejected, but works for all but " + std::to_string(most) + " of " +
                              std::to_string(users));
   }
 }
@@ -108,7 +108,7 @@
     cap = std::max(cap, CapFor(rules_.max_group_share, group.hosts.size()));
   const auto& out = out_[balancer];
   if (out.size() > cap) {
-    AddViolation(at, balancer + " has " + std::to_string(out.size()) + " hosts out, past the cap of " +
+    AddViolation(at, balancer + " has " + std::to_string(out.size()) + " hosts ejected, above the cap of " +
                          std::to_string(cap));
   }
   if (groups_.size() > 1) return;  // the checks by zone need one group that all agree on
@@ -120,9 +120,9 @@
   }
   for (const auto& [zone, counts] : zones) {
     if (counts.second > 0 && counts.second == counts.first) {
-      AddViolation(at, balancer + " has the last host of " + zone + " out");
+      AddViolation(at, balancer + " has taken the last host of " + zone + " out of service");
     } else if (counts.second > CapFor(rules_.max_zone_share, counts.first)) {
-      AddViolation(at, balancer + " is past the cap of " + zone);
+      AddViolation(at, balancer + " is above the cap of " + zone);
     }
   }
 }
@@ -132,7 +132,7 @@
     for (auto& [host, out] : hosts) {
       if (out.until >= at || out.reported) continue;
       out.reported = true;
-      AddViolation(at, host + " is out at " + balancer + " past its term");
+      AddViolation(at, host + " is still ejected at " + balancer + " past its term");
     }
   }
 }
@@ -187,13 +187,13 @@
         CheckMajoritySeesFailures(event);
         const auto* host = Find(groups_.back().second, event.host);
         if (groups_.size() == 1 && (host == nullptr || host->incarnation != event.incarnation)) {
-          AddViolation(event.at, event.host + " ejected in a life that it has not");
+          AddViolation(event.at, event.host + " ejected in an incarnation that it does not have");
         }
       }
       Out& out = out_[event.balancer][event.host];
       const bool again = out.number == event.number && out.since != 0;
       if (again && last_failed_[event.host] < out.since - max_delay_ && by_hand_[event.host] < event.at) {
-        AddViolation(event.at, event.host + " stays out without a bad trial");
+        AddViolation(event.at, event.host + " stays ejected without a bad trial");
       }
       const Micros term =
           rules_.max_term + rules_.single_trial_timeout + rules_.multi_trial_timeout + max_delay_;
