--- a/src/ejection/active_ejections.cpp
+++ b/src/ejection/active_ejections.cpp
@@ -47,19 +47,19 @@
 }
 
 std::vector<std::string> ActiveEjections::DropExpired(Micros now) {
-  std::vector<std::string> return_reason;
-  if (rules_.injected.terms_never_end) return return_reason;
-  std::erase_if(out_, [&](const auto& one) {
-    if (one.second.until > now) return false;
-    return_reason.push_back(one.first);
+  std::vector<std::string> expired;
+  if (rules_.injected.terms_never_end) return expired;
+  std::erase_if(out_, [&](const auto& entry) {
+    if (entry.second.until > now) return false;
+    expired.push_back(entry.first);
     return true;
   });
-  return return_reason;
+  return expired;
 }
 
 Micros ActiveEjections::next_at() const {
   Micros next = kNever;
-  for (const auto& [host, one] : out_) next = std::min(next, one.until);
+  for (const auto& [host, entry] : out_) next = std::min(next, entry.until);
   return next;
 }
 
@@ -81,7 +81,7 @@
 
 std::map<std::string, Incarnation> ActiveEjections::hosts() const {
   std::map<std::string, Incarnation> all;
-  for (const auto& [host, one] : out_) all[host] = one.incarnation;
+  for (const auto& [host, entry] : out_) all[host] = entry.incarnation;
   return all;
 }
 
--- a/src/ejection/command_codec.cpp
+++ b/src/ejection/command_codec.cpp
@@ -70,23 +70,23 @@
   group.used_share = from.Share();
   ArrayReader hosts = from.Array(kMaxHosts);
   for (uint32_t i = 0; i < hosts.size(); ++i) {
-    ArrayReader one = hosts.Array(64);
+    ArrayReader item = hosts.Array(64);
     Host host;
-    host.name = one.Text();
-    host.zone = one.Text();
-    host.incarnation = one.Number();
-    host.draining = one.Flag();
-    host.by_hand = one.Flag();
-    host.capacity = one.Number32();
+    host.name = item.Text();
+    host.zone = item.Text();
+    host.incarnation = item.Number();
+    host.draining = item.Flag();
+    host.by_hand = item.Flag();
+    host.capacity = item.Number32();
     group.hosts.push_back(std::move(host));
   }
   ArrayReader balancers = from.Array(kMaxBalancers);
   for (uint32_t i = 0; i < balancers.size(); ++i) {
-    ArrayReader one = balancers.Array(64);
+    ArrayReader item = balancers.Array(64);
     Balancer balancer;
-    balancer.name = one.Text();
-    balancer.zone = one.Text();
-    ArrayReader used = one.Array(kMaxHosts);
+    balancer.name = item.Text();
+    balancer.zone = item.Text();
+    ArrayReader used = item.Array(kMaxHosts);
     for (uint32_t j = 0; j < used.size(); ++j) balancer.hosts.push_back(used.Text());
     group.balancers.push_back(std::move(balancer));
   }
@@ -102,14 +102,14 @@
       command.vote = UnpackVote(from.Array(64));
       break;
     case What::kGoodReport: {
-      ArrayReader one = from.Array(64);
-      command.good.balancer = one.Text();
-      command.good.zone = one.Text();
-      command.good.host = one.Text();
-      command.good.incarnation = one.Number();
-      command.good.trials = one.Number32();
-      command.good.cls = one.Number32();
-      command.good.lifetime = one.Duration();
+      ArrayReader item = from.Array(64);
+      command.good.balancer = item.Text();
+      command.good.zone = item.Text();
+      command.good.host = item.Text();
+      command.good.incarnation = item.Number();
+      command.good.trials = item.Number32();
+      command.good.cls = item.Number32();
+      command.good.lifetime = item.Duration();
       break;
     }
     case What::kWithdraw:
--- a/src/ejection/evidence.cpp
+++ b/src/ejection/evidence.cpp
@@ -34,7 +34,7 @@
 Evidence::Bucket& Evidence::CurrentBucket(Ring& ring, Micros now) const {
   const Micros width = std::max<Micros>(1, rules_.window / std::max(1u, rules_.buckets));
   const Micros begin = now - now % width;
-  std::erase_if(ring, [&](const Bucket& one) { return one.begin + rules_.window <= now; });
+  std::erase_if(ring, [&](const Bucket& old) { return old.begin + rules_.window <= now; });
   if (ring.empty() || ring.back().begin < begin) ring.push_back({begin, 0, {}});
   return ring.back();
 }
@@ -98,8 +98,8 @@
   auto at = hosts_.find(host);
   if (at == hosts_.end()) {
     if (hosts_.size() >= rules_.max_hosts) {  // evict the host unused for longest, preferably not ejected
-      const auto oldest = std::ranges::min_element(hosts_, {}, [](const auto& one) {
-        return std::make_pair(one.second.out, one.second.last_result_at);
+      const auto oldest = std::ranges::min_element(hosts_, {}, [](const auto& entry) {
+        return std::make_pair(entry.second.out, entry.second.last_result_at);
       });
       hosts_.erase(oldest);
     }
--- a/src/ejection/framing.h
+++ b/src/ejection/framing.h
@@ -31,35 +31,38 @@
     return array_.ptr[at_++];
   }
   uint64_t Number(uint64_t max = UINT64_MAX) {
-    const msgpack::object& one = Next();
-    if (one.type != msgpack::type::POSITIVE_INTEGER || one.via.u64 > max) throw DecodeError{};
-    return one.via.u64;
+    const msgpack::object& value = Next();
+    if (value.type != msgpack::type::POSITIVE_INTEGER || value.via.u64 > max) throw DecodeError{};
+    return value.via.u64;
   }
   uint32_t Number32(uint32_t max = UINT32_MAX) { return static_cast<uint32_t>(Number(max)); }
   // A time or duration. Negative ones occur only in the numbers of a vote, which are validated later and not
   // refused here.
   Micros Duration() {
-    const msgpack::object& one = Next();
-    if (one.type == msgpack::type::NEGATIVE_INTEGER) return one.via.i64;
-    if (one.type != msgpack::type::POSITIVE_INTEGER || one.via.u64 > uint64_t{INT64_MAX}) throw DecodeError{};
-    return static_cast<Micros>(one.via.u64);
+    const msgpack::object& value = Next();
+    if (value.type == msgpack::type::NEGATIVE_INTEGER) return value.via.i64;
+    if (value.type != msgpack::type::POSITIVE_INTEGER || value.via.u64 > uint64_t{INT64_MAX})
+      throw DecodeError{};
+    return static_cast<Micros>(value.via.u64);
   }
   bool Flag() { return Number(1) == 1; }
   double Share() {
-    const msgpack::object& one = Next();
+    const msgpack::object& value = Next();
     // The encoder writes 0.0 and 1.0 as integers.
-    if (one.type == msgpack::type::POSITIVE_INTEGER && one.via.u64 <= 1) return one.via.u64 == 1 ? 1 : 0;
-    if (one.type != msgpack::type::FLOAT64 || !(one.via.f64 >= 0 && one.via.f64 <= 1)) throw DecodeError{};
-    return one.via.f64;
+    if (value.type == msgpack::type::POSITIVE_INTEGER && value.via.u64 <= 1)
+      return value.via.u64 == 1 ? 1 : 0;
+    if (value.type != msgpack::type::FLOAT64 || !(value.via.f64 >= 0 && value.via.f64 <= 1))
+      throw DecodeError{};
+    return value.via.f64;
   }
   template <typename E>
   E Enumerator(E last) {
     return static_cast<E>(Number(static_cast<uint64_t>(last)));
   }
   std::string Text(size_t max = kMaxNameBytes) {
-    const msgpack::object& one = Next();
-    if (one.type != msgpack::type::STR || one.via.str.size > max) throw DecodeError{};
-    std::string text(one.via.str.ptr, one.via.str.size);
+    const msgpack::object& value = Next();
+    if (value.type != msgpack::type::STR || value.via.str.size > max) throw DecodeError{};
+    std::string text(value.via.str.ptr, value.via.str.size);
     for (const char c : text) {  // no control characters: the text goes into logs, tables and files
       if (static_cast<unsigned char>(c) < 0x20 || c == 0x7f) throw DecodeError{};
     }
--- a/src/ejection/state.cpp
+++ b/src/ejection/state.cpp
@@ -163,15 +163,15 @@
   if (InGrace(vote.host)) return Refusal::kInGrace;
   const auto record = ejections_.find(vote.host);
   if (record != ejections_.end() && record->second.out()) return Refusal::kNone;  // already ejected
-  Case& one = cases_[vote.host];
-  const auto old = one.votes.find(vote.balancer);
-  if (old == one.votes.end() && balancer.hosts_voted_against >= rules_.max_votes_per_balancer)
+  Case& host_case = cases_[vote.host];
+  const auto old = host_case.votes.find(vote.balancer);
+  if (old == host_case.votes.end() && balancer.hosts_voted_against >= rules_.max_votes_per_balancer)
     return Refusal::kTooMany;
   std::string key = vote.balancer;
-  if (old != one.votes.end() && rules_.injected.counts_twice) key += "#" + std::to_string(index_);
-  one.good_reports.erase(vote.balancer);
-  if (!one.votes.contains(key)) ++balancer.hosts_voted_against;
-  one.votes[key] = {vote, at_ + vote.lifetime};
+  if (old != host_case.votes.end() && rules_.injected.counts_twice) key += "#" + std::to_string(index_);
+  host_case.good_reports.erase(vote.balancer);
+  if (!host_case.votes.contains(key)) ++balancer.hosts_voted_against;
+  host_case.votes[key] = {vote, at_ + vote.lifetime};
   count_pending_ = true;
   return Refusal::kNone;
 }
@@ -201,15 +201,15 @@
 }
 
 // Takes `key` by value, since the argument may be the key of the erased report.
-void State::DropReport(Case& one, std::string key) {
-  const auto vote = one.votes.find(key);
-  if (vote != one.votes.end()) {
+void State::DropReport(Case& host_case, std::string key) {
+  const auto vote = host_case.votes.find(key);
+  if (vote != host_case.votes.end()) {
     const auto balancer = balancers_.find(vote->second.vote.balancer);
     if (balancer != balancers_.end()) --balancer->second.hosts_voted_against;
-    one.votes.erase(vote);
+    host_case.votes.erase(vote);
     count_pending_ = true;
   }
-  if (one.good_reports.erase(key) > 0) count_pending_ = true;
+  if (host_case.good_reports.erase(key) > 0) count_pending_ = true;
 }
 
 void State::CloseCase(const std::string& host, Effects& effects) {
@@ -343,20 +343,20 @@
     balancers.emplace(balancer.name, std::move(known));
   }
   // Drop the reports of balancers that have left, changed their zone or no longer use the host.
-  for (auto& [host, one] : cases_) {
+  for (auto& [host, host_case] : cases_) {
     std::vector<std::string> drop;
     const auto stays = [&, &on = host](const Report& report) {
       const auto at = balancers.find(report.vote.balancer);
       return at != balancers.end() && at->second.zone == report.vote.zone && Uses(at->second, on);
     };
-    for (const auto& [key, report] : one.votes) {
+    for (const auto& [key, report] : host_case.votes) {
       if (!stays(report)) drop.push_back(key);
     }
-    for (const auto& [key, report] : one.good_reports) {
+    for (const auto& [key, report] : host_case.good_reports) {
       if (!stays(report)) drop.push_back(key);
     }
     for (const std::string& key : drop) {
-      DropReport(one, key);
+      DropReport(host_case, key);
       const auto at = balancers.find(key);  // DropReport() has updated only the old list
       if (at != balancers.end() && at->second.hosts_voted_against > 0) --at->second.hosts_voted_against;
     }
@@ -376,17 +376,17 @@
 
 void State::ExpireDue(Effects& effects) {
   std::vector<std::string> close;
-  for (auto& [host, one] : cases_) {
+  for (auto& [host, host_case] : cases_) {
     std::vector<std::string> drop;
-    for (const auto& [key, report] : one.votes) {
+    for (const auto& [key, report] : host_case.votes) {
       if (report.until <= at_ && !rules_.injected.votes_never_expire) drop.push_back(key);
     }
-    for (const auto& [key, report] : one.good_reports) {
+    for (const auto& [key, report] : host_case.good_reports) {
       if (report.until <= at_) drop.push_back(key);
     }
-    for (const std::string& key : drop) DropReport(one, key);
+    for (const std::string& key : drop) DropReport(host_case, key);
     // No sure vote is left. The other reports were only answers to the poll.
-    if (SureVotesOf(one) == 0 && at_ >= one.poll_min_end) close.push_back(host);
+    if (SureVotesOf(host_case) == 0 && at_ >= host_case.poll_min_end) close.push_back(host);
   }
   for (const std::string& host : close) CloseCase(host, effects);
 
@@ -415,13 +415,13 @@
     }
   }
   for (const auto& [host, return_reason] : back) ReturnHost(host, return_reason, effects);
-  std::erase_if(ejections_, [&](const auto& one) {
-    return !one.second.out() && at_ - one.second.since >= rules_.term_retention;
+  std::erase_if(ejections_, [&](const auto& entry) {
+    return !entry.second.out() && at_ - entry.second.since >= rules_.term_retention;
   });
-  std::erase_if(forbidden_, [&](const auto& one) { return one.second.until <= at_; });
+  std::erase_if(forbidden_, [&](const auto& entry) { return entry.second.until <= at_; });
 
   const bool held =
-      std::ranges::any_of(cases_, [](const auto& one) { return IsCapReason(one.second.reported_hold); });
+      std::ranges::any_of(cases_, [](const auto& entry) { return IsCapReason(entry.second.reported_hold); });
   if (held || !incident_) {
     calm_since_ = kNever;
   } else if (calm_since_ == kNever) {
@@ -447,9 +447,9 @@
   effects.push_back(std::move(effect));
 }
 
-size_t State::SureVotesOf(const Case& one) const {
+size_t State::SureVotesOf(const Case& host_case) const {
   return static_cast<size_t>(
-      std::ranges::count_if(one.votes, [](const auto& vote) { return vote.second.vote.sure; }));
+      std::ranges::count_if(host_case.votes, [](const auto& vote) { return vote.second.vote.sure; }));
 }
 
 size_t State::GroupCap() const {
@@ -480,19 +480,19 @@
 }
 
 void State::OpenPolls(Effects& effects) {
-  for (auto& [host, one] : cases_) {
-    if (one.poll_open) continue;
+  for (auto& [host, host_case] : cases_) {
+    if (host_case.poll_open) continue;
     Micros back = 0;
     size_t sure = 0;
-    for (const auto& [key, report] : one.votes) {
+    for (const auto& [key, report] : host_case.votes) {
       if (!report.vote.sure || (suspects_.contains(report.vote.balancer) && !rules_.injected.suspects_count))
         continue;
       ++sure;
       back = std::max(back, report.vote.window);
     }
     if (sure < rules_.sure_votes_to_poll) continue;
-    one.poll_open = true;
-    one.poll_start = one.poll_min_end = at_;
+    host_case.poll_open = true;
+    host_case.poll_start = host_case.poll_min_end = at_;
     Effect effect = MakeEffect(What::kPollOpened, host, hosts_.at(host).host.incarnation);
     effect.term = std::min(back, rules_.poll_lookback);
     effects.push_back(std::move(effect));
@@ -500,8 +500,8 @@
   }
 }
 
-State::Tally State::TallyCase(const std::string& host, const Case& one) const {
-  Tally count;
+State::Tally State::TallyCase(const std::string& host, const Case& host_case) const {
+  Tally tally;
   double failed = 0, trials = 0;
   const auto record = ejections_.find(host);
   if (record != ejections_.end() && at_ - record->second.since <= rules_.relapse_within) {
@@ -511,70 +511,71 @@
   std::array<uint32_t, kKinds> kinds{};
   bool first = true;
   std::map<std::string, double> balance;  // by zone: votes minus the weight of good reports
-  for (const auto& [key, report] : one.votes) {
+  for (const auto& [key, report] : host_case.votes) {
     const Vote& vote = report.vote;
     if (suspects_.contains(vote.balancer) && !rules_.injected.suspects_count) continue;
-    count.voters.push_back(vote.balancer);
-    count.sure += vote.sure ? 1 : 0;
-    count.others += vote.others >= rules_.min_trials ? 1 : 0;
+    tally.voters.push_back(vote.balancer);
+    tally.sure += vote.sure ? 1 : 0;
+    tally.others += vote.others >= rules_.min_trials ? 1 : 0;
     balance[vote.zone] += 1;
     // Each vote starts at a failure by selection, so only the results after it show how often it fails.
     failed += static_cast<double>(std::min(vote.failures, vote.trials)) - 1;
     trials += static_cast<double>(vote.trials) - 1;
     ++kinds[static_cast<size_t>(vote.kind)];
-    count.cls = first || count.cls == vote.cls ? vote.cls : kSeveralClasses;
+    tally.cls = first || tally.cls == vote.cls ? vote.cls : kSeveralClasses;
     first = false;
   }
   // An upper estimate: with few results, good reports have their full weight against the votes.
   const double likely = (failed + 1) / (trials + 1) + 0.5 / std::sqrt(trials + 1);
-  count.share = std::clamp(likely, rules_.bad_share, 1.0);
-  count.raw_share = trials > 0 ? std::clamp(failed / trials, rules_.bad_share, 1.0) : 1;
-  count.kind = static_cast<Kind>(std::ranges::max_element(kinds) - kinds.begin());
-  for (const auto& [key, report] : one.good_reports) {
+  tally.share = std::clamp(likely, rules_.bad_share, 1.0);
+  tally.raw_share = trials > 0 ? std::clamp(failed / trials, rules_.bad_share, 1.0) : 1;
+  tally.kind = static_cast<Kind>(std::ranges::max_element(kinds) - kinds.begin());
+  for (const auto& [key, report] : host_case.good_reports) {
     // A few good answers of a host that fails a third of its queries hardly contradict the failures that
     // others saw.
-    const double weight = ContradictionWeight(report.vote.trials, count.share);
-    count.good_weight += weight;
+    const double weight = ContradictionWeight(report.vote.trials, tally.share);
+    tally.good_weight += weight;
     if (!rules_.injected.good_reports_ignored) balance[report.vote.zone] -= weight;
-    if (report.vote.cls != count.cls) count.others += weight;
+    if (report.vote.cls != tally.cls) tally.others += weight;
   }
   for (const auto& [zone, votes] : balance) {
-    if (votes > 0) count.zones.insert(zone);
+    if (votes > 0) tally.zones.insert(zone);
   }
-  return count;
+  return tally;
 }
 
-bool State::HasEnoughVotes(const std::string& host, Case& one, const Tally& count, Effects& effects) const {
-  if (count.voters.size() < rules_.min_voters) return false;
+bool State::HasEnoughVotes(const std::string& host, Case& host_case, const Tally& tally,
+                           Effects& effects) const {
+  if (tally.voters.size() < rules_.min_voters) return false;
   const auto record = ejections_.find(host);
   const bool relapse = record != ejections_.end() && at_ - record->second.since <= rules_.relapse_within;
-  const bool sure = count.sure >= rules_.min_sure_votes || count.voters.size() >= 2 * rules_.min_voters;
+  const bool sure = tally.sure >= rules_.min_sure_votes || tally.voters.size() >= 2 * rules_.min_voters;
   if (!sure && !relapse) return false;
-  if (count.zones.size() < std::min<size_t>(rules_.min_zones, ZonesUsing(host)) &&
+  if (tally.zones.size() < std::min<size_t>(rules_.min_zones, ZonesUsing(host)) &&
       !rules_.injected.zones_ignored) {
-    if (count.zones.size() != 1 || one.reported_zone == *count.zones.begin()) return false;
-    one.reported_zone = *count.zones.begin();
+    if (tally.zones.size() != 1 || host_case.reported_zone == *tally.zones.begin()) return false;
+    host_case.reported_zone = *tally.zones.begin();
     Effect effect = MakeEffect(What::kBadFromZone, host, hosts_.at(host).host.incarnation);
-    effect.zone = one.reported_zone;
-    effect.who = count.voters;
+    effect.zone = host_case.reported_zone;
+    effect.who = tally.voters;
     effects.push_back(std::move(effect));
     return false;
   }
-  const auto voters = static_cast<double>(count.voters.size());
-  if (count.cls != kSeveralClasses && count.others > voters / 2 && !rules_.injected.good_reports_ignored) {
-    if (std::exchange(one.reported_class, true)) return false;
+  const auto voters = static_cast<double>(tally.voters.size());
+  if (tally.cls != kSeveralClasses && tally.others > voters / 2 && !rules_.injected.good_reports_ignored) {
+    if (std::exchange(host_case.reported_class, true)) return false;
     Effect effect = MakeEffect(What::kBadForClass, host, hosts_.at(host).host.incarnation);
-    effect.cls = count.cls;
-    effect.who = count.voters;
+    effect.cls = tally.cls;
+    effect.who = tally.voters;
     effects.push_back(std::move(effect));
     return false;
   }
   if (rules_.injected.good_reports_ignored) return true;
   // If all queries fail for some balancers and none for others, perhaps only part of the paths to the host
   // fail. Wait for the reports of the other balancers.
-  const bool mixed = 4 * count.good_weight >= voters && count.raw_share >= 0.8;
-  if (mixed && at_ < one.poll_start + rules_.poll_wait_if_mixed) return false;
-  return voters > count.good_weight;
+  const bool mixed = 4 * tally.good_weight >= voters && tally.raw_share >= 0.8;
+  if (mixed && at_ < host_case.poll_start + rules_.poll_wait_if_mixed) return false;
+  return voters > tally.good_weight;
 }
 
 // Whether more hosts are suspected than may be ejected, and not by the balancers of one zone only. The cause
@@ -582,8 +583,8 @@
 bool State::ManyHostsSuspected() const {
   std::map<std::string, std::set<std::string>> by_zone;
   std::set<std::string> all;
-  for (const auto& [host, one] : cases_) {
-    for (const auto& [key, report] : one.votes) {
+  for (const auto& [host, host_case] : cases_) {
+    for (const auto& [key, report] : host_case.votes) {
       if (!report.vote.sure) continue;
       by_zone[report.vote.zone].insert(host);
       all.insert(host);
@@ -647,42 +648,42 @@
   const bool many = ManyHostsSuspected() && !rules_.injected.cap_ignored;
   std::vector<std::pair<std::string, Tally>> to_eject;
   std::vector<std::string> to_close;
-  for (auto& [host, one] : cases_) {
-    if (!one.poll_open) continue;
+  for (auto& [host, host_case] : cases_) {
+    if (!host_case.poll_open) continue;
     const Host& known = hosts_.at(host).host;
     if (known.draining || known.by_hand) continue;  // it gets no new queries anyway
-    if (at_ < one.poll_start + rules_.poll_wait) {
+    if (at_ < host_case.poll_start + rules_.poll_wait) {
       count_pending_ = true;
       continue;
     }
-    Tally count = TallyCase(host, one);
-    if (!HasEnoughVotes(host, one, count, effects)) {
-      one.reported_hold = HoldReason::kNone;
-      const double enough = rules_.close_good_reports_per_vote * static_cast<double>(count.voters.size());
-      if (count.good_weight >= std::max<double>(rules_.close_min_good_reports, enough))
+    Tally tally = TallyCase(host, host_case);
+    if (!HasEnoughVotes(host, host_case, tally, effects)) {
+      host_case.reported_hold = HoldReason::kNone;
+      const double enough = rules_.close_good_reports_per_vote * static_cast<double>(tally.voters.size());
+      if (tally.good_weight >= std::max<double>(rules_.close_min_good_reports, enough))
         to_close.push_back(host);
       continue;
     }
-    to_eject.emplace_back(host, std::move(count));
+    to_eject.emplace_back(host, std::move(tally));
   }
   for (const std::string& host : to_close) CloseCase(host, effects);
   // Hosts with the most votes are ejected first.
   std::ranges::stable_sort(
       to_eject, [](const auto& a, const auto& b) { return a.second.voters.size() > b.second.voters.size(); });
   std::vector<std::string> past_cap;
-  for (const auto& [host, count] : to_eject) {
+  for (const auto& [host, tally] : to_eject) {
     HoldReason held = forbidden_.contains(host) ? HoldReason::kForbidden
                       : many                    ? HoldReason::kManySuspects
                                                 : HoldReasonFor(host);
     if (held == HoldReason::kNone) {
-      Eject(host, count, effects);
+      Eject(host, tally, effects);
       continue;
     }
     if (IsCapReason(held)) past_cap.push_back(host);
     if (std::exchange(cases_[host].reported_hold, held) == held) continue;
     Effect effect = MakeEffect(What::kHeld, host, hosts_.at(host).host.incarnation);
     effect.held = held;
-    effect.who = count.voters;
+    effect.who = tally.voters;
     effects.push_back(std::move(effect));
   }
   if (past_cap.empty() || std::exchange(incident_, true)) return;
@@ -691,7 +692,7 @@
   effects.push_back(std::move(effect));
 }
 
-void State::Eject(const std::string& host, const Tally& count, Effects& effects) {
+void State::Eject(const std::string& host, const Tally& tally, Effects& effects) {
   Ejection& ejection = ejections_[host];
   const Incarnation incarnation = hosts_.at(host).host.incarnation;
   if (ejection.incarnation != incarnation || ejection.last_term == 0) {
@@ -710,14 +711,14 @@
   ejection.since = ejection.lost_at = at_;
   ejection.until = at_ + ejection.last_term;
   ejection.tries = 0;
-  ejection.kind = count.kind;
-  ejection.share = count.raw_share;
-  ejection.voters = count.voters;
+  ejection.kind = tally.kind;
+  ejection.share = tally.raw_share;
+  ejection.voters = tally.voters;
   ejection.triers.clear();
   Effect effect = MakeEffect(What::kEject, host, incarnation);
   effect.term = ejection.last_term;
-  effect.kind = count.kind;
-  effect.who = count.voters;
+  effect.kind = tally.kind;
+  effect.who = tally.voters;
   effects.push_back(std::move(effect));
   CloseCase(host, effects);
 }
@@ -735,37 +736,37 @@
   count_pending_ = true;
   if (return_reason != ReturnReason::kTrialGood && return_reason != ReturnReason::kNoTrial) return;
   // Only one answer was good. A poll makes all balancers report the next ones without a sure vote.
-  Case& one = cases_[host];
-  one.poll_open = true;
-  one.poll_start = at_ + rules_.grace;
-  one.poll_min_end = one.poll_start + rules_.relapse_poll_time;
+  Case& host_case = cases_[host];
+  host_case.poll_open = true;
+  host_case.poll_start = at_ + rules_.grace;
+  host_case.poll_min_end = host_case.poll_start + rules_.relapse_poll_time;
   effects.push_back(MakeEffect(What::kPollOpened, host, ejection.incarnation));
 }
 
 Micros State::next_at() const {
   Micros next = kNever;
-  for (const auto& [host, one] : cases_) {
-    for (const auto& [key, report] : one.votes) next = std::min(next, report.until);
-    for (const auto& [key, report] : one.good_reports) next = std::min(next, report.until);
-    for (const Micros poll_wait : {rules_.poll_wait, rules_.poll_wait_if_mixed}) {
-      if (one.poll_open && at_ < one.poll_start + poll_wait)
-        next = std::min(next, one.poll_start + poll_wait);
+  for (const auto& [host, host_case] : cases_) {
+    for (const auto& [key, report] : host_case.votes) next = std::min(next, report.until);
+    for (const auto& [key, report] : host_case.good_reports) next = std::min(next, report.until);
+    for (const Micros wait : {rules_.poll_wait, rules_.poll_wait_if_mixed}) {
+      if (host_case.poll_open && at_ < host_case.poll_start + wait)
+        next = std::min(next, host_case.poll_start + wait);
     }
-    if (at_ < one.poll_min_end) next = std::min(next, one.poll_min_end);
+    if (at_ < host_case.poll_min_end) next = std::min(next, host_case.poll_min_end);
   }
   for (const auto& [host, ejection] : ejections_) {
     next = std::min(next, ejection.out() ? ejection.until : ejection.since + rules_.term_retention);
   }
-  for (const auto& [host, one] : forbidden_) next = std::min(next, one.until);
+  for (const auto& [host, forbidden] : forbidden_) next = std::min(next, forbidden.until);
   if (incident_)
     next = std::min(next, (calm_since_ == kNever ? at_ : calm_since_) + rules_.incident_calm_time);
   return next;
 }
 
 bool State::CountDue(Micros at) const {
-  return std::ranges::any_of(cases_, [&](const auto& one) {
-    const Micros poll_start = one.second.poll_start;
-    if (!one.second.poll_open || at < poll_start + rules_.poll_wait) return false;
+  return std::ranges::any_of(cases_, [&](const auto& entry) {
+    const Micros poll_start = entry.second.poll_start;
+    if (!entry.second.poll_open || at < poll_start + rules_.poll_wait) return false;
     // Count once more when poll_wait_if_mixed ends, even if no report has arrived since.
     return count_pending_ || (counted_at_ < poll_start + rules_.poll_wait_if_mixed &&
                               at >= poll_start + rules_.poll_wait_if_mixed);
@@ -774,8 +775,8 @@
 
 std::vector<std::string> State::PolledHosts() const {
   std::vector<std::string> hosts;
-  for (const auto& [host, one] : cases_) {
-    if (one.poll_open) hosts.push_back(host);
+  for (const auto& [host, host_case] : cases_) {
+    if (host_case.poll_open) hosts.push_back(host);
   }
   return hosts;
 }
--- a/src/ejection/state.h
+++ b/src/ejection/state.h
@@ -305,19 +305,19 @@
   void UpdateSuspects(Effects& effects);
   void OpenPolls(Effects& effects);
   void CountVotes(Effects& effects);
-  Tally TallyCase(const std::string& host, const Case& one) const;
-  bool HasEnoughVotes(const std::string& host, Case& one, const Tally& count, Effects& effects) const;
+  Tally TallyCase(const std::string& host, const Case& host_case) const;
+  bool HasEnoughVotes(const std::string& host, Case& host_case, const Tally& tally, Effects& effects) const;
   bool ManyHostsSuspected() const;
   HoldReason HoldReasonFor(const std::string& host) const;
-  void Eject(const std::string& host, const Tally& count, Effects& effects);
+  void Eject(const std::string& host, const Tally& tally, Effects& effects);
   void ReturnHost(const std::string& host, ReturnReason return_reason, Effects& effects);
   void StartTrial(const std::string& host, Ejection& ejection, size_t most, Effects& effects);
-  void DropReport(Case& one, std::string key);
+  void DropReport(Case& host_case, std::string key);
   void CloseCase(const std::string& host, Effects& effects);
   bool InGrace(const std::string& host) const;
   bool Uses(const KnownBalancer& balancer, const std::string& host) const;
   size_t ZonesUsing(const std::string& host) const;
-  size_t SureVotesOf(const Case& one) const;
+  size_t SureVotesOf(const Case& host_case) const;
   size_t GroupCap() const;
 
   Rules rules_;
--- a/src/ejection/state_codec.cpp
+++ b/src/ejection/state_codec.cpp
@@ -76,43 +76,43 @@
       to.pack(report.until);
     }
   };
-  for (const auto& [host, one] : cases_) {
+  for (const auto& [host, item] : cases_) {
     to.pack_array(9);
     PackText(to, host);
-    reports(one.votes);
-    reports(one.good_reports);
-    to.pack(static_cast<uint8_t>(one.poll_open));
-    to.pack(one.poll_start);
-    to.pack(one.poll_min_end);
-    PackText(to, one.reported_zone);
-    to.pack(static_cast<uint8_t>(one.reported_class));
-    to.pack(static_cast<uint8_t>(one.reported_hold));
+    reports(item.votes);
+    reports(item.good_reports);
+    to.pack(static_cast<uint8_t>(item.poll_open));
+    to.pack(item.poll_start);
+    to.pack(item.poll_min_end);
+    PackText(to, item.reported_zone);
+    to.pack(static_cast<uint8_t>(item.reported_class));
+    to.pack(static_cast<uint8_t>(item.reported_hold));
   }
   to.pack_array(static_cast<uint32_t>(ejections_.size()));
-  for (const auto& [host, one] : ejections_) {
+  for (const auto& [host, item] : ejections_) {
     to.pack_array(14);
     PackText(to, host);
-    to.pack(static_cast<uint8_t>(one.phase));
-    to.pack(one.incarnation);
-    to.pack(one.index);
-    to.pack(one.since);
-    to.pack(one.until);
-    to.pack(one.term);
-    to.pack(one.last_term);
-    to.pack(one.lost_at);
-    to.pack(one.tries);
-    to.pack(static_cast<uint8_t>(one.kind));
-    to.pack(one.share);
-    PackTexts(to, one.voters);
-    PackTexts(to, one.triers);
+    to.pack(static_cast<uint8_t>(item.phase));
+    to.pack(item.incarnation);
+    to.pack(item.index);
+    to.pack(item.since);
+    to.pack(item.until);
+    to.pack(item.term);
+    to.pack(item.last_term);
+    to.pack(item.lost_at);
+    to.pack(item.tries);
+    to.pack(static_cast<uint8_t>(item.kind));
+    to.pack(item.share);
+    PackTexts(to, item.voters);
+    PackTexts(to, item.triers);
   }
   to.pack_array(static_cast<uint32_t>(forbidden_.size()));
-  for (const auto& [host, one] : forbidden_) {
+  for (const auto& [host, item] : forbidden_) {
     to.pack_array(4);
     PackText(to, host);
-    PackText(to, one.who);
-    PackText(to, one.reason);
-    to.pack(one.until);
+    PackText(to, item.who);
+    PackText(to, item.reason);
+    to.pack(item.until);
   }
   PackTexts(to, std::vector<std::string>(suspects_.begin(), suspects_.end()));
   to.pack(counted_at_);
@@ -133,38 +133,38 @@
     state.group_known_ = from.Flag();
     ArrayReader hosts = from.Array(kMaxItems);
     for (uint32_t i = 0; i < hosts.size(); ++i) {
-      ArrayReader one = hosts.Array(64);
+      ArrayReader item = hosts.Array(64);
       KnownHost known;
-      known.host.name = one.Text();
-      known.host.zone = one.Text();
-      known.host.incarnation = one.Number();
-      known.host.draining = one.Flag();
-      known.host.by_hand = one.Flag();
-      known.host.capacity = one.Number32();
-      known.appeared = one.Duration();
+      known.host.name = item.Text();
+      known.host.zone = item.Text();
+      known.host.incarnation = item.Number();
+      known.host.draining = item.Flag();
+      known.host.by_hand = item.Flag();
+      known.host.capacity = item.Number32();
+      known.appeared = item.Duration();
       state.hosts_[known.host.name] = known;
     }
     ArrayReader balancers = from.Array(kMaxItems);
     for (uint32_t i = 0; i < balancers.size(); ++i) {
-      ArrayReader one = balancers.Array(64);
-      const std::string name = one.Text();
+      ArrayReader item = balancers.Array(64);
+      const std::string name = item.Text();
       KnownBalancer known;
-      known.zone = one.Text();
-      known.entries = one.Number32();
-      known.since = one.Duration();
-      known.hosts_voted_against = one.Number32();
-      known.flood_reported = one.Flag();
-      for (std::string& host : UnpackTexts(one.Array(kMaxItems))) known.hosts.insert(std::move(host));
+      known.zone = item.Text();
+      known.entries = item.Number32();
+      known.since = item.Duration();
+      known.hosts_voted_against = item.Number32();
+      known.flood_reported = item.Flag();
+      for (std::string& host : UnpackTexts(item.Array(kMaxItems))) known.hosts.insert(std::move(host));
       state.balancers_[name] = std::move(known);
     }
     ArrayReader cases = from.Array(kMaxItems);
     for (uint32_t i = 0; i < cases.size(); ++i) {
-      ArrayReader one = cases.Array(64);
-      const std::string host = one.Text();
+      ArrayReader item = cases.Array(64);
+      const std::string host = item.Text();
       if (!state.hosts_.contains(host)) throw DecodeError{};
       Case& about = state.cases_[host];
       for (auto* reports : {&about.votes, &about.good_reports}) {
-        ArrayReader all = one.Array(kMaxItems);
+        ArrayReader all = item.Array(kMaxItems);
         for (uint32_t j = 0; j < all.size(); ++j) {
           ArrayReader fields = all.Array(64);
           const std::string key = fields.Text(2 * kMaxNameBytes);
@@ -186,41 +186,41 @@
           (*reports)[key] = std::move(report);
         }
       }
-      about.poll_open = one.Flag();
-      about.poll_start = one.Duration();
-      about.poll_min_end = one.Duration();
-      about.reported_zone = one.Text();
-      about.reported_class = one.Flag();
-      about.reported_hold = one.Enumerator(HoldReason::kForbidden);
+      about.poll_open = item.Flag();
+      about.poll_start = item.Duration();
+      about.poll_min_end = item.Duration();
+      about.reported_zone = item.Text();
+      about.reported_class = item.Flag();
+      about.reported_hold = item.Enumerator(HoldReason::kForbidden);
     }
     ArrayReader ejections = from.Array(kMaxItems);
     for (uint32_t i = 0; i < ejections.size(); ++i) {
-      ArrayReader one = ejections.Array(64);
-      const std::string host = one.Text();
+      ArrayReader item = ejections.Array(64);
+      const std::string host = item.Text();
       if (!state.hosts_.contains(host)) throw DecodeError{};
       Ejection& about = state.ejections_[host];
-      about.phase = one.Enumerator(Ejection::Phase::kMultiTrial);
-      about.incarnation = one.Number();
-      about.index = one.Number();
-      about.since = one.Duration();
-      about.until = one.Duration();
-      about.term = one.Duration();
-      about.last_term = one.Duration();
-      about.lost_at = one.Duration();
-      about.tries = one.Number32();
-      about.kind = one.Enumerator(Kind::kMalformed);
-      about.share = one.Share();
-      about.voters = UnpackTexts(one.Array(kMaxItems));
-      about.triers = UnpackTexts(one.Array(kMaxItems));
+      about.phase = item.Enumerator(Ejection::Phase::kMultiTrial);
+      about.incarnation = item.Number();
+      about.index = item.Number();
+      about.since = item.Duration();
+      about.until = item.Duration();
+      about.term = item.Duration();
+      about.last_term = item.Duration();
+      about.lost_at = item.Duration();
+      about.tries = item.Number32();
+      about.kind = item.Enumerator(Kind::kMalformed);
+      about.share = item.Share();
+      about.voters = UnpackTexts(item.Array(kMaxItems));
+      about.triers = UnpackTexts(item.Array(kMaxItems));
     }
     ArrayReader forbidden = from.Array(kMaxItems);
     for (uint32_t i = 0; i < forbidden.size(); ++i) {
-      ArrayReader one = forbidden.Array(64);
-      const std::string host = one.Text();
+      ArrayReader item = forbidden.Array(64);
+      const std::string host = item.Text();
       Forbidden about;
-      about.who = one.Text();
-      about.reason = one.Text(4 * kMaxNameBytes);
-      about.until = one.Duration();
+      about.who = item.Text();
+      about.reason = item.Text(4 * kMaxNameBytes);
+      about.until = item.Duration();
       state.forbidden_[host] = std::move(about);
     }
     for (std::string& name : UnpackTexts(from.Array(kMaxItems))) state.suspects_.insert(std::move(name));
--- a/src/lab/ejection_world/checker.cpp
+++ b/src/lab/ejection_world/checker.cpp
@@ -42,17 +42,18 @@
   std::map<std::string, size_t> against;
   for (const auto& [host, sent_votes] : votes_) {
     std::set<std::string> by;
-    for (const SentVote& one : sent_votes) {
-      if (one.at + one.vote.lifetime > out.at && HasValidNumbers(one)) by.insert(one.vote.balancer);
+    for (const SentVote& sent_vote : sent_votes) {
+      if (sent_vote.at + sent_vote.vote.lifetime > out.at && HasValidNumbers(sent_vote))
+        by.insert(sent_vote.vote.balancer);
     }
     for (const std::string& balancer : by) ++against[balancer];
   }
   const Group& group = groups_.back().second;
   std::set<std::string> voters, zones;
-  for (const SentVote& one : votes_[out.host]) {
-    const ejection::Vote& vote = one.vote;
-    if (vote.incarnation != out.incarnation || one.at + vote.lifetime + max_delay_ < out.at ||
-        !HasValidNumbers(one))
+  for (const SentVote& sent_vote : votes_[out.host]) {
+    const ejection::Vote& vote = sent_vote.vote;
+    if (vote.incarnation != out.incarnation || sent_vote.at + vote.lifetime + max_delay_ < out.at ||
+        !HasValidNumbers(sent_vote))
       continue;
     const auto from = std::ranges::find(group.balancers, vote.balancer, &ejection::Balancer::name);
     if (from == group.balancers.end() || from->zone != vote.zone || !Uses(*from, out.host)) continue;
@@ -63,13 +64,13 @@
     }
     // The voter must have seen a failure itself.
     const auto seen = failed_.find(Pair(vote.balancer, out.host));
-    if (seen == failed_.end() || seen->second + rules_.window + kSecond < one.at) continue;
+    if (seen == failed_.end() || seen->second + rules_.window + kSecond < sent_vote.at) continue;
     voters.insert(vote.balancer);
     zones.insert(vote.zone);
   }
   std::set<std::string> using_zones;
-  for (const ejection::Balancer& one : group.balancers) {
-    if (Uses(one, out.host)) using_zones.insert(one.zone);
+  for (const ejection::Balancer& member : group.balancers) {
+    if (Uses(member, out.host)) using_zones.insert(member.zone);
   }
   if (voters.size() < rules_.min_voters) {
     AddViolation(out.at, out.host + " ejected by " + std::to_string(voters.size()) + " voters");
@@ -81,11 +82,11 @@
 void Checker::CheckMajoritySeesFailures(const Event& out) {
   // A violation if the host works for most balancers, by its simulated faults and by their own results.
   size_t users = 0, clean = 0;
-  for (const ejection::Balancer& one : groups_.back().second.balancers) {
-    if (!Uses(one, out.host)) continue;
+  for (const ejection::Balancer& member : groups_.back().second.balancers) {
+    if (!Uses(member, out.host)) continue;
     ++users;
-    const auto failed = failed_.find(Pair(one.name, out.host));
-    const auto served = last_served_.find(Pair(one.name, out.host));
+    const auto failed = failed_.find(Pair(member.name, out.host));
+    const auto served = last_served_.find(Pair(member.name, out.host));
     if (served == last_served_.end() || served->second + rules_.window < out.at) continue;
     clean += failed == failed_.end() || failed->second + rules_.window < out.at ? 1 : 0;
   }
