--- a/src/council/coordinator_member.cpp
+++ b/src/council/coordinator_member.cpp
@@ -646,7 +646,7 @@
   last_leader_proposals_at_ = now;
   if (core_->log_time(now) >= state_.ejection().next_at()) {
     ejection::Command command;
-    command.what = ejection::Command::What::kRunOut;
+    command.what = ejection::Command::What::kExpire;
     core_->Propose(now, council::Envelope(command));
   }
   if (owner::Rules rules = state_.owner().rules(); rules.lease != LeaseOf(settings_)) {
@@ -1156,7 +1156,8 @@
         }
         SendAction(wanted, permit.epoch);
         if (TaskNameOf(wanted) == owner::kFreezeTask) ReportObservations(permit.epoch);
-        if (TaskNameOf(wanted) == owner::kEjectionTask && state_.ejection().ToCount(state_.ejection().at())) {
+        if (TaskNameOf(wanted) == owner::kEjectionTask &&
+            state_.ejection().CountDue(state_.ejection().at())) {
           ejection::Command command;
           command.what = ejection::Command::What::kCount;
           command.epoch = permit.epoch;
--- a/src/council/state.cpp
+++ b/src/council/state.cpp
@@ -24,7 +24,7 @@
 
 std::string Envelope(const ejection::Command& command) {
   std::string data(1, static_cast<char>(CommandOwner::kEjection));
-  return data += ejection::Write(command);
+  return data += ejection::EncodeCommand(command);
 }
 
 ApplyResult State::Apply(uint64_t index, Micros log_time, std::string_view data) {
@@ -46,7 +46,7 @@
     }
   }
   if (data[0] == static_cast<char>(CommandOwner::kEjection)) {
-    if (const auto command = ejection::ReadCommand(command_bytes)) {
+    if (const auto command = ejection::DecodeCommand(command_bytes)) {
       result.ejection = ejection_.Apply(index, log_time, *command);
       result.recognized = true;
     }
