--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -299,8 +299,8 @@
 void Dispatcher::CaptureChoice(Record::Choice did, RequestId id, const Query* query, BackendId backend,
                                int attempt, Micros span) {
   if (!capture_) return;
-  capture_->Chose(did, id, query ? &query->incoming.request : nullptr,
-                  query ? &query->incoming.labels : nullptr, backend, attempt, span);
+  capture_->OnDecision(did, id, query ? &query->incoming.request : nullptr,
+                       query ? &query->incoming.labels : nullptr, backend, attempt, span);
 }
 
 void Dispatcher::Send(RequestId id, BackendId backend, Micros timeout) {
--- a/src/front/client_link.cpp
+++ b/src/front/client_link.cpp
@@ -224,7 +224,7 @@
     const std::string* tenant = message.Find(platform::kTenant);
     query.request.tenant = tenant != nullptr ? std::max(0, front_.tenants_.Find(PlainName(*tenant))) : 0;
     if (Figures* figures = front_.parts_.figures) {
-      query.labels.series = figures->Of(request_class, tenant);
+      query.labels.series = figures->SeriesOf(request_class, tenant);
       figures->Add(query.labels.series, Figure::kRequests);
     }
     const std::string* second_try = message.Find(platform::kSecondTry);
@@ -239,7 +239,7 @@
     auto payload = std::make_unique<HttpPayload>(std::move(message));
     query.labels.trace = payload->Find(platform::kTraceId);
     query.labels.tenant = payload->Find(platform::kTenant);
-    if (request_class < 0) query.labels.odd_class = FirstSegment(payload->target);
+    if (request_class < 0) query.labels.unknown_class = FirstSegment(payload->target);
     // Starts no attempt for a client that has left: if its end arrived in one batch with the query, or behind
     // pipelined ones, there is no further notification of it.
     if (upload_ ? stream_->Ended() : !ReadAhead()) {
@@ -384,7 +384,7 @@
   const std::string* tenant = message.Find(platform::kTenant);
   auto count = [&](Figure why) {
     if (Figures* figures = front_.parts_.figures) {
-      Figures::Series series = figures->Of(request_class, tenant);
+      Figures::Series series = figures->SeriesOf(request_class, tenant);
       figures->Add(series, Figure::kRequests);
       figures->Add(series, why);
     }
@@ -432,7 +432,7 @@
   }
   RateLimiter& limiter = front_.parts_.rate_limiter;
   if (!limiter.enabled()) return false;
-  std::string key = platform::kNobody;
+  std::string key = platform::kNoTenant;
   if (limiter.by_address()) {
     const std::string from = HostOf(stream_->Peer());
     if (!from.empty()) key = from;
--- a/src/front/http_front.cpp
+++ b/src/front/http_front.cpp
@@ -28,9 +28,9 @@
 // Adopts the listener that was passed to the process, or opens one.
 std::unique_ptr<Listener> OpenListener(const HttpFront::Parts& parts) {
   Network& network = parts.machine.network();
-  if (parts.config.passed < 0) return network.Listen(parts.config.listen);
+  if (parts.config.passed_listener < 0) return network.Listen(parts.config.listen);
   try {
-    return network.Adopt(parts.config.passed);
+    return network.Adopt(parts.config.passed_listener);
   } catch (const std::system_error& e) {
     throw BadConfig(std::string(platform::kPassedVariable) + ": " + e.what());
   }
--- a/src/gates/rate_limiter.cpp
+++ b/src/gates/rate_limiter.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-void RateLimiter::Configure(const DoorSettings& settings) {
+void RateLimiter::Configure(const RateLimitSettings& settings) {
   if (!settings.on || settings.by_address != settings_.by_address || settings.max_keys < callers_.size()) {
     index_.clear();
     callers_.clear();
@@ -25,9 +25,9 @@
   }
 }
 
-const DoorSettings::Rate& RateLimiter::RateFor(const std::string& key) const {
-  auto it = settings_.own.find(key);
-  return it == settings_.own.end() ? settings_.others : it->second;
+const RateLimitSettings::Rate& RateLimiter::RateFor(const std::string& key) const {
+  auto it = settings_.rates_by_key.find(key);
+  return it == settings_.rates_by_key.end() ? settings_.default_rate : it->second;
 }
 
 // A full table evicts the least recently seen caller and reuses its list node.
--- a/src/gates/rate_limiter.h
+++ b/src/gates/rate_limiter.h
@@ -20,7 +20,7 @@
  public:
   // Known callers keep the state of their buckets, unless the kind of key changes or the new table is too
   // small for them.
-  void Configure(const DoorSettings& settings);
+  void Configure(const RateLimitSettings& settings);
   bool enabled() const { return settings_.on; }
   bool by_address() const { return settings_.by_address; }
   size_t caller_count() const { return callers_.size(); }
@@ -35,16 +35,16 @@
  private:
   struct Caller {
     std::string key;
-    DoorSettings::Rate rate;
+    RateLimitSettings::Rate rate;
     double tokens = 0;
     Micros filled_at = 0;
   };
   using Callers = std::list<Caller>;
 
-  const DoorSettings::Rate& RateFor(const std::string& key) const;
+  const RateLimitSettings::Rate& RateFor(const std::string& key) const;
   Caller& FindOrAdd(std::string_view key, Micros now);
 
-  DoorSettings settings_;
+  RateLimitSettings settings_;
   Callers callers_;  // most recently seen first
   std::unordered_map<std::string_view, Callers::iterator> index_;
 };
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -74,9 +74,9 @@
   }
   std::cout << "name " << config.name << ", listens at " << config.listen.text << ", discovery at "
             << config.discovery.text << ", " << config.settings.classes.size() << " classes, "
-            << config.settings.tenants.size() << " tenants, " << config.known.hosts.size()
+            << config.settings.tenants.size() << " tenants, " << config.initial_hosts.hosts.size()
             << " known hosts, at most " << config.sockets << " descriptors";
-  if (!path.empty()) std::cout << "; features on: " << properties.On();
+  if (!path.empty()) std::cout << "; features on: " << properties.EnabledFeatures();
   std::cout << "\n";
   return 0;
 }
--- a/src/observe/capture.cpp
+++ b/src/observe/capture.cpp
@@ -9,15 +9,15 @@
 namespace {
 
 constexpr size_t kKb = 1024;
-constexpr size_t kSegments = 8;
-constexpr size_t kMostText = 64;         // of what a client made up
-constexpr size_t kDumpPiece = 16 * kKb;  // formatted in one turn
-constexpr Micros kDumpPause = 5 * kMs;   // where standard error is full
-constexpr Micros kWriteEvery = 100 * kMs;
-constexpr size_t kMostPending = 64 * kKb;
-constexpr Micros kPause = 1 * kSecond;  // after an error, and where the module's state has no room
-constexpr std::string_view kNobody = "-";
-constexpr std::string_view kEnding = ".jsonl";
+constexpr size_t kSegmentCount = 8;
+constexpr size_t kMaxTextBytes = 64;          // bytes of each name that a client sent
+constexpr size_t kDumpChunkBytes = 16 * kKb;  // bytes formatted before other tasks run
+constexpr Micros kDumpRetryDelay = 5 * kMs;   // before the next try when standard error is full
+constexpr Micros kWriteInterval = 100 * kMs;
+constexpr size_t kMaxPendingBytes = 64 * kKb;
+constexpr Micros kRetryDelay = 1 * kSecond;  // after a write error, or when the module's state does not fit
+constexpr std::string_view kNoTenant = "-";
+constexpr std::string_view kFileSuffix = ".jsonl";
 
 }  // namespace
 
@@ -31,19 +31,20 @@
       state_(std::move(state)),
       log_(log),
       counters_(counters),
-      prefix_("capture-"),
+      file_prefix_("capture-"),
       tick_(scheduler_),
       dump_tick_(scheduler_) {
-  for (char c : config.name) {  // balancers may share the folder
+  for (char c :
+       config.name) {  // several balancers may share the folder, so the name is part of the file name
     bool plain = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '_';
-    prefix_ += plain ? c : '_';
+    file_prefix_ += plain ? c : '_';
   }
-  prefix_ += '-';
+  file_prefix_ += '-';
   if (to_files()) {
-    pending_.reserve(2 * kMostPending);
+    pending_.reserve(2 * kMaxPendingBytes);
   } else {
-    for (size_t i = 0; i <= kSegments; ++i) {
-      spare_.emplace_back().reserve(settings_.memory_kb * kKb / kSegments + kKb);
+    for (size_t i = 0; i <= kSegmentCount; ++i) {
+      free_segments_.emplace_back().reserve(settings_.memory_kb * kKb / kSegmentCount + kKb);
     }
   }
 }
@@ -54,18 +55,18 @@
   writing_.Start();
 }
 
-// ---- What is recorded -------------------------------------------------------------------------------------
+// ---- Recorded events -------------------------------------------------------------------------------------
 
 void Capture::OnList(Micros now, const meadowslip::BackendList& list) {
   Record record;
   record.kind = Record::Kind::kList;
   record.at = now;
   record.list = names_.version();
-  record.how = list.kind;
+  record.list_kind = list.kind;
   for (const meadowslip::BackendEntry& e : list.entries) {
     record.servers.push_back({e, names_.NameOf(e.id)});
   }
-  Enter(record);
+  RecordEvent(record);
 }
 
 void Capture::OnQuery(Micros now, const meadowslip::Request& request, const Labels& labels) {
@@ -73,8 +74,8 @@
   record.kind = Record::Kind::kQuery;
   record.at = now;
   record.request = request;
-  Name(record, labels);
-  Enter(record);
+  AddNames(record, labels);
+  RecordEvent(record);
 }
 
 void Capture::OnResult(Micros now, const meadowslip::AttemptResult& result) {
@@ -82,7 +83,7 @@
   record.kind = Record::Kind::kResult;
   record.at = now;
   record.result = result;
-  Enter(record);
+  RecordEvent(record);
 }
 
 void Capture::OnClientLeft(Micros now, meadowslip::RequestId id) {
@@ -90,7 +91,7 @@
   record.kind = Record::Kind::kLeft;
   record.at = now;
   record.request.id = id;
-  Enter(record);
+  RecordEvent(record);
 }
 
 void Capture::OnStream(Micros now, meadowslip::RequestId id, int attempt) {
@@ -99,7 +100,7 @@
   record.at = now;
   record.request.id = id;
   record.result.attempt = attempt;
-  Enter(record);
+  RecordEvent(record);
 }
 
 void Capture::OnTimer(Micros now, uint64_t timer) {
@@ -107,49 +108,49 @@
   record.kind = Record::Kind::kTimer;
   record.at = now;
   record.timer = timer;
-  Enter(record);
+  RecordEvent(record);
 }
 
-void Capture::Chose(Record::Choice did, meadowslip::RequestId id, const meadowslip::Request* request,
-                    const Labels* labels, meadowslip::BackendId backend, int attempt, Micros span) {
+void Capture::OnDecision(Record::Choice choice, meadowslip::RequestId id, const meadowslip::Request* request,
+                         const Labels* labels, meadowslip::BackendId backend, int attempt, Micros span) {
   if (!open_) return;
   Record record;
   record.kind = Record::Kind::kDecision;
   record.at = now_;
-  record.did = did;
+  record.choice = choice;
   record.list = names_.version();
   if (request != nullptr) {
     record.request = *request;
-    Name(record, *labels);
+    AddNames(record, *labels);
   } else {
     record.request.request_class = record.request.tenant = -1;
   }
   record.request.id = id;
   record.backend = backend;
-  if (did == Record::Choice::kSend) record.chose = names_.NameOf(backend);
+  if (choice == Record::Choice::kSend) record.backend_name = names_.NameOf(backend);
   record.result.attempt = attempt;
   record.span = span;
   Append(record);
 }
 
-// The names as they came, where the settings don't have them at the numbers that the module was told.
-void Capture::Name(Record& record, const Labels& labels) const {
-  if (labels.trace != nullptr) record.trace = std::string_view(*labels.trace).substr(0, kMostText);
-  record.cls = std::string_view(labels.odd_class).substr(0, kMostText);
+// Records the names as the client sent them. A tenant's name is left out when the settings have it at the
+// number that the module received.
+void Capture::AddNames(Record& record, const Labels& labels) const {
+  if (labels.trace != nullptr) record.trace = std::string_view(*labels.trace).substr(0, kMaxTextBytes);
+  record.class_name = std::string_view(labels.unknown_class).substr(0, kMaxTextBytes);
   const auto& tenants = config_.settings.tenants;
   const auto no = static_cast<size_t>(record.request.tenant);
   if (labels.tenant == nullptr || labels.tenant->empty()) {
-    record.tenant = kNobody;
+    record.tenant = kNoTenant;
   } else if (no >= tenants.size() || *labels.tenant != tenants[no].name) {
-    record.tenant = std::string_view(*labels.tenant).substr(0, kMostText);
+    record.tenant = std::string_view(*labels.tenant).substr(0, kMaxTextBytes);
   }
 }
 
 // ---- The ring --------------------------------------------------------------------------------------------
 
-// A new segment begins only here, between two events: the state that it begins with is that of the module
-// now.
-void Capture::Enter(const Record& record) {
+// A new segment begins only here, between two events, because it starts with the module's current state.
+void Capture::RecordEvent(const Record& record) {
   now_ = record.at;
   if (!open_ && (now_ < paused_until_ || !Begin(now_))) {
     ++counters_.capture_dropped;
@@ -158,10 +159,11 @@
   if (to_files()) {
     const size_t before = pending_.size();
     Append(record);
-    const size_t most = settings_.file_kb * kKb;
-    if (file_bytes_ + pending_.size() <= most - most / 16) return;  // the rest is for what is chosen
+    const size_t max_bytes = settings_.file_kb * kKb;
+    if (file_bytes_ + pending_.size() <= max_bytes - max_bytes / 16)
+      return;  // the last sixteenth is for the decisions
     pending_.resize(before);
-  } else if (segments_.back().size() < std::max(settings_.memory_kb * kKb / kSegments, 2 * head_)) {
+  } else if (segments_.back().size() < std::max(settings_.memory_kb * kKb / kSegmentCount, 2 * head_bytes_)) {
     return Append(record);
   }
   if (Begin(now_)) {
@@ -176,9 +178,10 @@
   std::string& segment = segments_.back();
   const size_t before = segment.size();
   AppendBytes(segment, last_at_, record);
-  total_ += segment.size() - before;
-  while (total_ > settings_.memory_kb * kKb && segments_.size() > 1) DropFront();
-  if (total_ > settings_.memory_kb * kKb) Pause(now_);  // one event alone, with the state before it
+  total_bytes_ += segment.size() - before;
+  while (total_bytes_ > settings_.memory_kb * kKb && segments_.size() > 1) DropOldestSegment();
+  if (total_bytes_ > settings_.memory_kb * kKb)
+    Pause(now_);  // a single event and the state before it exceed the limit
 }
 
 bool Capture::Begin(Micros now) {
@@ -206,33 +209,33 @@
   return open_;
 }
 
-// Without records there is nothing that later ones could follow: a new segment begins where they go on.
+// Drops all segments: records after a gap can't be replayed, so recording resumes with a new segment.
 void Capture::Pause(Micros now) {
   open_ = false;
-  paused_until_ = now + kPause;
-  while (!segments_.empty()) DropFront();
+  paused_until_ = now + kRetryDelay;
+  while (!segments_.empty()) DropOldestSegment();
 }
 
-void Capture::DropFront() {
-  total_ -= segments_.front().size();
-  if (spare_.size() <= kSegments) {
+void Capture::DropOldestSegment() {
+  total_bytes_ -= segments_.front().size();
+  if (free_segments_.size() <= kSegmentCount) {
     segments_.front().clear();
-    spare_.push_back(std::move(segments_.front()));
+    free_segments_.push_back(std::move(segments_.front()));
   }
   segments_.pop_front();
 }
 
 bool Capture::BeginSegment(const Record& start, const Record& checkpoint) {
-  if (spare_.empty()) DropFront();
-  segments_.push_back(std::move(spare_.back()));
-  spare_.pop_back();
+  if (free_segments_.empty()) DropOldestSegment();
+  segments_.push_back(std::move(free_segments_.back()));
+  free_segments_.pop_back();
   last_at_ = 0;
   AppendBytes(segments_.back(), last_at_, start);
   AppendBytes(segments_.back(), last_at_, checkpoint);
-  head_ = segments_.back().size();
-  total_ += head_;
-  while (total_ > settings_.memory_kb * kKb && segments_.size() > 1) DropFront();
-  return head_ <= settings_.memory_kb * kKb / 2;
+  head_bytes_ = segments_.back().size();
+  total_bytes_ += head_bytes_;
+  while (total_bytes_ > settings_.memory_kb * kKb && segments_.size() > 1) DropOldestSegment();
+  return head_bytes_ <= settings_.memory_kb * kKb / 2;
 }
 
 // ---- The dump --------------------------------------------------------------------------------------------
@@ -243,7 +246,7 @@
   } else if (!dumping_.Done()) {
     log_.Tell<"capture_busy">();
   } else {
-    dump_.assign(segments_.begin(), segments_.end());  // the ring goes on meanwhile
+    dump_.assign(segments_.begin(), segments_.end());  // a copy, because recording continues
     dump_segment_ = dump_offset_ = 0;
     dump_at_ = 0;
     dumping_ = WriteDump();
@@ -256,13 +259,13 @@
     const Step step = DumpStep();
     if (step == Step::kDone) break;
     const Micros now = scheduler_.Now();
-    co_await dump_tick_.Wait(step == Step::kLater ? now + kDumpPause : now);  // the others' turn
+    co_await dump_tick_.Wait(step == Step::kLater ? now + kDumpRetryDelay : now);  // lets other tasks run
   }
 }
 
-// Formats a piece of whole lines and hands it on.
+// Formats one chunk of complete lines and writes it to standard error.
 Capture::Step Capture::DumpStep() {
-  while (dump_text_.size() < kDumpPiece && dump_segment_ < dump_.size()) {
+  while (dump_text_.size() < kDumpChunkBytes && dump_segment_ < dump_.size()) {
     std::string_view left = std::string_view(dump_[dump_segment_]).substr(dump_offset_);
     if (left.empty()) {
       dump_[dump_segment_++] = std::string();
@@ -275,20 +278,21 @@
     AppendJson(dump_text_, record, config_.settings);
     dump_offset_ += before - left.size();
   }
-  const Outlet::Taken taken = dump_text_.empty() ? Outlet::Taken::kYes : log_.outlet().Offer(dump_text_);
-  if (taken == Outlet::Taken::kLater) return Step::kLater;
+  const LineSink::Result result =
+      dump_text_.empty() ? LineSink::Result::kWritten : log_.sink().TryWrite(dump_text_);
+  if (result == LineSink::Result::kNoRoom) return Step::kLater;
   dump_text_.clear();
-  if (taken == Outlet::Taken::kYes && dump_segment_ < dump_.size()) return Step::kMore;
+  if (result == LineSink::Result::kWritten && dump_segment_ < dump_.size()) return Step::kMore;
   dump_ = std::vector<std::string>();
   dump_text_ = std::string();
   return Step::kDone;
 }
 
-void Capture::Finish(Micros patience) {
+void Capture::Finish(Micros timeout) {
   if (to_files()) WritePending();
-  const Micros until = scheduler_.Now() + patience;
-  while (!dump_.empty() && scheduler_.Now() < until) {
-    if (DumpStep() == Step::kLater) log_.outlet().AwaitRoom(20 * kMs);
+  const Micros deadline = scheduler_.Now() + timeout;
+  while (!dump_.empty() && scheduler_.Now() < deadline) {
+    if (DumpStep() == Step::kLater) log_.sink().AwaitRoom(20 * kMs);
   }
 }
 
@@ -296,7 +300,7 @@
 
 Task<> Capture::WriteFiles() {
   while (true) {
-    co_await tick_.Wait(scheduler_.Now() + kWriteEvery);
+    co_await tick_.Wait(scheduler_.Now() + kWriteInterval);
     WritePending();
   }
 }
@@ -304,30 +308,30 @@
 std::string Capture::FileName(uint64_t number) const {
   std::string digits = std::to_string(number);
   if (digits.size() < 6) digits.insert(0, 6 - digits.size(), '0');
-  return settings_.dir + "/" + prefix_ + digits + std::string(kEnding);
+  return settings_.dir + "/" + file_prefix_ + digits + std::string(kFileSuffix);
 }
 
 std::vector<uint64_t> Capture::FileNumbers() const {
   std::vector<uint64_t> numbers;
   for (const std::string& name : files_.List(settings_.dir)) {
-    if (!name.starts_with(prefix_) || !name.ends_with(kEnding)) continue;
+    if (!name.starts_with(file_prefix_) || !name.ends_with(kFileSuffix)) continue;
     uint64_t number = 0;
-    const char* last = name.data() + name.size() - kEnding.size();
-    auto [stop, wrong] = std::from_chars(name.data() + prefix_.size(), last, number);
+    const char* last = name.data() + name.size() - kFileSuffix.size();
+    auto [stop, wrong] = std::from_chars(name.data() + file_prefix_.size(), last, number);
     if (wrong == std::errc() && stop == last) numbers.push_back(number);
   }
   std::sort(numbers.begin(), numbers.end());
   return numbers;
 }
 
-// The files of an earlier start stay until the ring comes round to them: the newest of them may be what is
-// wanted.
+// Files of an earlier start are removed only when the ring reaches them: the newest of them may show why the
+// process ended.
 bool Capture::BeginFile(const Record& start, const Record& checkpoint) {
   if (file_ && !WritePending()) return false;
   std::string head;
   AppendJson(head, start, config_.settings);
   AppendJson(head, checkpoint, config_.settings);
-  if (head.size() > settings_.file_kb * kKb / 2) return false;  // and the files that are there stay
+  if (head.size() > settings_.file_kb * kKb / 2) return false;  // existing files are not removed
   files_.MakeFolder(settings_.dir);
   std::vector<uint64_t> numbers = FileNumbers();
   file_number_ = std::max(file_number_, numbers.empty() ? 0 : numbers.back()) + 1;
@@ -352,16 +356,16 @@
     DiskError(FileName(file_number_), file_->Why());
     return false;
   }
-  if (file_ && !pending_.empty()) disk_told_ = false;  // the next trouble is another one
+  if (file_ && !pending_.empty()) disk_error_logged_ = false;  // a later error is logged again
   file_bytes_ += pending_.size();
   pending_.clear();
   return true;
 }
 
-// The file ends here, maybe within a line; the next one begins with the module's state again.
+// Closes the file, whose last line may be truncated. The next file begins with the module's state.
 void Capture::DiskError(const std::string& what, const std::string& why) {
   ++counters_.capture_errors;
-  if (!std::exchange(disk_told_, true)) {
+  if (!std::exchange(disk_error_logged_, true)) {
     log_.Tell<"capture_disk_error">(what, why);
   }
   file_.reset();
--- a/src/observe/capture.h
+++ b/src/observe/capture.h
@@ -1,6 +1,6 @@
-// The capture: beside the module, what enters it and what it chose, in a ring that drops its oldest records.
-// The ring is made of segments; each begins with a start record and the module's state, so that it can be
-// replayed alone.
+// The capture records the inputs and the decisions of the decision module in a ring buffer that drops its
+// oldest records. The ring consists of segments (in memory) or files; each begins with a start record and
+// the module's state, so that it can be replayed alone.
 #ifndef BURLFALL_OBSERVE_CAPTURE_H_
 #define BURLFALL_OBSERVE_CAPTURE_H_
 
@@ -24,53 +24,56 @@
 
 namespace burlfall {
 
+// Records to memory, or to files if the settings name a folder.
 class Capture {
  public:
-  // `state` gives the bytes of the module's state, between two events.
+  // Returns the serialized state of the module; called between two events.
   using State = std::function<std::string()>;
   Capture(Machine& machine, const CaptureSettings& settings, const Config& config, const ServerNames& names,
           State state, Log& log, Counters& counters);
   void Start();
 
-  // What enters the module: told just before the module is, with the same time.
+  // Inputs of the module. Call each just before the module is called, with the same time.
   void OnList(Micros now, const meadowslip::BackendList& list);
   void OnQuery(Micros now, const meadowslip::Request& request, const Labels& labels);
   void OnResult(Micros now, const meadowslip::AttemptResult& result);
   void OnClientLeft(Micros now, meadowslip::RequestId id);
   void OnStream(Micros now, meadowslip::RequestId id, int attempt);
   void OnTimer(Micros now, uint64_t timer);
-  // What it chose while it was told. `request` and `labels` are nullptr where the choice is about no query
-  // that is known.
-  void Chose(Record::Choice did, meadowslip::RequestId id, const meadowslip::Request* request,
-             const Labels* labels, meadowslip::BackendId backend = 0, int attempt = 0, Micros span = 0);
+  // Records a decision that the module took while it handled an input. `request` and `labels` are nullptr
+  // if the decision is not about a known query. `span` is the time-out of a send, or the time to stay away
+  // of a refusal.
+  void OnDecision(Record::Choice choice, meadowslip::RequestId id, const meadowslip::Request* request,
+                  const Labels* labels, meadowslip::BackendId backend = 0, int attempt = 0, Micros span = 0);
 
-  // Writes the ring in memory to standard error, bit by bit; files hold theirs already.
+  // Starts writing the ring in memory to standard error, in chunks. With files, writes what is pending.
   void Dump();
-  void Finish(Micros patience);  // what is still to be written
+  // Writes the rest of a dump; blocks for at most `timeout`.
+  void Finish(Micros timeout);
 
  private:
   enum class Step { kMore, kLater, kDone };
 
   bool to_files() const { return !settings_.dir.empty(); }
-  void Enter(const Record& record);
+  void RecordEvent(const Record& record);
   void Append(const Record& record);
   bool Begin(Micros now);
-  void Name(Record& record, const Labels& labels) const;
+  void AddNames(Record& record, const Labels& labels) const;
   void Pause(Micros now);
 
-  // In memory.
+  // Ring in memory.
   bool BeginSegment(const Record& start, const Record& checkpoint);
-  void DropFront();
+  void DropOldestSegment();
   Task<> WriteDump();
   Step DumpStep();
 
-  // In files.
+  // Ring of files.
   bool BeginFile(const Record& start, const Record& checkpoint);
   Task<> WriteFiles();
   bool WritePending();
   void DiskError(const std::string& what, const std::string& why);
   std::string FileName(uint64_t number) const;
-  std::vector<uint64_t> FileNumbers() const;  // of those that are there, the oldest first
+  std::vector<uint64_t> FileNumbers() const;  // of the existing files, the oldest first
 
   Scheduler& scheduler_;
   Files& files_;
@@ -80,18 +83,18 @@
   State state_;
   Log& log_;
   Counters& counters_;
-  std::string prefix_;
-  bool open_ = false;  // records have a place to go to
+  std::string file_prefix_;
+  bool open_ = false;  // a segment or file has begun
   Micros paused_until_ = 0;
-  Micros now_ = 0;  // of the event at hand
+  Micros now_ = 0;  // time of the event that is handled
 
   std::deque<std::string> segments_;
-  std::vector<std::string> spare_;
-  size_t total_ = 0;
-  size_t head_ = 0;  // of the last segment: its start and state
+  std::vector<std::string> free_segments_;
+  size_t total_bytes_ = 0;
+  size_t head_bytes_ = 0;  // bytes of the start and checkpoint records of the newest segment
   Micros last_at_ = 0;
 
-  std::vector<std::string> dump_;  // segments still to be written
+  std::vector<std::string> dump_;  // segments that are still to be written
   size_t dump_segment_ = 0;
   size_t dump_offset_ = 0;
   Micros dump_at_ = 0;
@@ -99,13 +102,13 @@
 
   std::unique_ptr<Writable> file_;
   uint64_t file_number_ = 0;
-  size_t file_bytes_ = 0;  // written
-  std::string pending_;    // and not yet
-  bool disk_told_ = false;
+  size_t file_bytes_ = 0;  // bytes already written
+  std::string pending_;    // bytes not yet written
+  bool disk_error_logged_ = false;
 
   Event tick_;
   Event dump_tick_;
-  Task<> writing_;  // last: what they use must outlive them
+  Task<> writing_;  // the tasks come last: what they use must outlive them
   Task<> dumping_;
 };
 
--- a/src/observe/capture_record.cpp
+++ b/src/observe/capture_record.cpp
@@ -21,13 +21,14 @@
 constexpr std::array<std::string_view, 9> kKinds = {"start", "checkpoint", "list",     "query", "result",
                                                     "left",  "timer",      "decision", "stream"};
 constexpr std::array<std::string_view, 5> kChoices = {"send", "refuse", "fail", "cancel", "ask"};
-constexpr std::array<std::string_view, 4> kHow = {"changes", "full", "cached", "failed"};
+constexpr std::array<std::string_view, 4> kListKinds = {"changes", "full", "cached", "failed"};
 constexpr std::array<std::string_view, 3> kStates = {"Gone", "Ready", "Terminating"};
 constexpr std::array<std::string_view, 8> kOutcomes = {
     "ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot"};
-constexpr int kMostNumber = 65535;  // of a zone, a kind of machine and the like
+constexpr int kMaxNumber = 65535;  // largest number of a zone, cell or kind of machine
 
-// ---- The fields, once for all forms -----------------------------------------------------------------------
+// ---- Field lists, shared by all formats
+// -----------------------------------------------------------------------
 
 template <typename Form>
 void ServerFields(Form& f, Record::Server& s, bool name_only) {
@@ -45,13 +46,13 @@
 template <typename Form>
 void QueryNames(Form& f, Record& r) {
   f.Text("trace", r.trace);
-  f.Text("class", r.cls);
+  f.Text("class", r.class_name);
   f.Text("tenant", r.tenant);
   f.Number("class_no", r.request.request_class);
   f.Number("tenant_no", r.request.tenant);
 }
 
-// Captures before there was a number are of the first format.
+// A capture without a format number has format 1, which did not record it.
 template <typename Form>
 void FormatField(Form& f, Record& r) {
   constexpr const char* kKey = "format";
@@ -79,7 +80,7 @@
       break;
     case Record::Kind::kList:
       f.Number("list", r.list);
-      f.Word("how", r.how, kHow);
+      f.Word("how", r.list_kind, kListKinds);
       f.Servers("servers", r.servers, false);
       break;
     case Record::Kind::kQuery:
@@ -110,8 +111,8 @@
     case Record::Kind::kDecision:
       QueryNames(f, r);
       f.Number("list", r.list);
-      f.Text("chose", r.chose);
-      f.Word("did", r.did, kChoices);
+      f.Text("chose", r.backend_name);
+      f.Word("did", r.choice, kChoices);
       f.Number("id", r.request.id);
       f.Number("backend", r.backend);
       f.Number("attempt", r.result.attempt);
@@ -120,8 +121,7 @@
   }
 }
 
-// ---- Bytes
-// --------------------------------------------------------------------------------------------------
+// ---- Binary format ---------------------------------------------------------------------------------------
 
 struct BytesOut {
   std::string& out;
@@ -203,8 +203,7 @@
   }
 };
 
-// ---- JSON
-// ---------------------------------------------------------------------------------------------------
+// ---- JSON lines ------------------------------------------------------------------------------------------
 
 struct JsonOut {
   std::string& out;
@@ -230,8 +229,8 @@
     Key(key);
     out += value ? "true" : "false";
   }
-  // Whatever clients write: one line, and always JSON. A byte that is no plain ASCII stands as the sign of
-  // that number.
+  // Always gives valid JSON on one line, whatever clients send. A byte that is not printable ASCII is written
+  // as the code point of the same number.
   void Text(const char* key, std::string_view text) {
     constexpr char kHex[] = "0123456789abcdef";
     Key(key);
@@ -270,8 +269,8 @@
 
 struct JsonIn {
   simdjson::dom::object in;
-  std::string& kept_settings;
-  std::string& kept_state;
+  std::string& settings_buffer;
+  std::string& state_buffer;
 
   bool Has(const char* key) { return in[key].error() == simdjson::SUCCESS; }
   template <typename T>
@@ -294,7 +293,7 @@
   }
   void Small(const char* key, int& value) {
     Number(key, value);
-    if (value < 0 || value > kMostNumber) throw BadRecord(std::string(key) + ": out of range");
+    if (value < 0 || value > kMaxNumber) throw BadRecord(std::string(key) + ": out of range");
   }
   void Hex(const char* key, uint64_t& value) {
     const auto text = Get<std::string_view>(key);
@@ -306,12 +305,12 @@
   void Flag(const char* key, bool& value) { value = Get<bool>(key); }
   void Text(const char* key, std::string_view& text) { text = Get<std::string_view>(key); }
   void Json(const char* key, std::string_view& text) {
-    text = kept_settings = simdjson::minify(Get<element>(key));
+    text = settings_buffer = simdjson::minify(Get<element>(key));
   }
   void Bytes(const char* key, std::string_view& text) {
     auto bytes = FromBase64Url(Get<std::string_view>(key));
     if (!bytes) throw BadRecord(std::string(key) + ": not base64url");
-    text = kept_state = std::move(*bytes);
+    text = state_buffer = std::move(*bytes);
   }
   template <typename Enum, size_t n>
   void Word(const char* key, Enum& value, const std::array<std::string_view, n>& words) {
@@ -323,7 +322,7 @@
     for (element e : Get<simdjson::dom::array>(key)) {
       simdjson::dom::object one;
       if (e.get(one)) throw BadRecord(std::string(key) + ": no objects");
-      JsonIn part{one, kept_settings, kept_state};
+      JsonIn part{one, settings_buffer, state_buffer};
       ServerFields(part, all.emplace_back(), names_only);
     }
   }
@@ -342,7 +341,7 @@
   out += static_cast<char>(record.kind);
   form.Number("", record.at - last_at);
   last_at = record.at;
-  Fields(form, const_cast<Record&>(record));  // this form changes nothing
+  Fields(form, const_cast<Record&>(record));  // BytesOut does not modify the record
 }
 
 Record TakeBytes(std::string_view& in, Micros& last_at) {
@@ -356,7 +355,7 @@
 }
 
 void AppendJson(std::string& out, Record record, const meadowslip::Settings& settings) {
-  if (record.cls.empty()) record.cls = NameAt(settings.classes, record.request.request_class);
+  if (record.class_name.empty()) record.class_name = NameAt(settings.classes, record.request.request_class);
   if (record.tenant.empty()) record.tenant = NameAt(settings.tenants, record.request.tenant);
   JsonOut form{out};
   out += '{';
--- a/src/observe/capture_record.h
+++ b/src/observe/capture_record.h
@@ -1,5 +1,5 @@
-// One record of a capture: what entered the module, or what it chose. Each kind has one list of fields, which
-// serves the bytes of the ring in memory and the JSON lines alike, both ways.
+// One record of a capture: an input of the decision module, or one of its decisions. Each kind has one list
+// of fields, which both formats (binary in memory, JSON lines) use for reading and writing.
 #ifndef BURLFALL_OBSERVE_CAPTURE_RECORD_H_
 #define BURLFALL_OBSERVE_CAPTURE_RECORD_H_
 
@@ -14,7 +14,7 @@
 
 namespace burlfall {
 
-// Text is not owned: it lies in the query, the segment or the line that the record was made from.
+// Texts are not owned: they point into the query, the segment or the line that the record was made from.
 struct Record {
   enum class Kind : uint8_t {
     kStart,
@@ -35,54 +35,55 @@
 
   Kind kind = Kind::kStart;
   meadowslip::Micros at = 0;
-  // Start.
+  // Of kStart.
   std::string_view balancer;
   std::string_view version;
-  int format = meadowslip::kStateFormat;  // of the module's state, and of what it decides
+  int format = meadowslip::kStateFormat;  // format number of the module's state and decisions
   uint64_t seed = 0;
   std::string_view settings;  // JSON
-  // Checkpoint, and lists.
-  uint64_t list = 0;  // its version; of a decision, the one in force
-  meadowslip::ListKind how = meadowslip::ListKind::kFull;
-  std::vector<Server> servers;  // of a checkpoint: all names so far
+  // Of kCheckpoint and kList.
+  uint64_t list = 0;  // version of the list; of a decision, of the list in force
+  meadowslip::ListKind list_kind = meadowslip::ListKind::kFull;
+  std::vector<Server> servers;  // of a checkpoint: all names known so far
   std::string_view state;
-  // Queries and decisions. A name that the settings have at its number is empty in memory.
+  // Of kQuery and kDecision. In memory, a name is empty if the settings have it at its number.
   meadowslip::Request request;
   std::string_view trace;
-  std::string_view cls;
+  std::string_view class_name;
   std::string_view tenant;
   meadowslip::AttemptResult result;
   uint64_t timer = 0;
-  // Decisions; the query's id stands in `request`, the attempt in `result`.
-  Choice did = Choice::kSend;
+  // Of kDecision; the query's id is in `request`, the attempt in `result`.
+  Choice choice = Choice::kSend;
   meadowslip::BackendId backend = 0;
-  std::string_view chose;       // the server's name
-  meadowslip::Micros span = 0;  // the time-out of a send, the time to stay away of a refusal
+  std::string_view backend_name;  // name of the chosen server
+  meadowslip::Micros span = 0;    // time-out of a send, or time to stay away of a refusal
 };
 
-// A line that is no record.
+// Thrown for a line that is not a valid record.
 class BadRecord : public std::runtime_error {
  public:
   enum class Why {
-    kField,  // something in it can't be
-    kKind,   // it is of a kind that this program does not know
-    kEvent,  // it is one of the log's, as JSON
-    kJson,   // it is no whole JSON: maybe torn
+    kField,  // a field is missing, malformed or out of range
+    kKind,   // the kind is missing or unknown to this version
+    kEvent,  // the line is a JSON event of the log
+    kJson,   // the line is not complete JSON; it may be truncated
   };
   explicit BadRecord(const std::string& what, Why reason = Why::kField)
       : std::runtime_error(what), why(reason) {}
   const Why why;
 };
 
-// A segment's bytes: times are told from the record before.
+// Appends a record in the binary format. Its time is stored relative to `last_at`,
+// which is updated.
 void AppendBytes(std::string& out, meadowslip::Micros& last_at, const Record& record);
-// The next record off the front. The bytes are our own: they are always whole.
+// Reads the next record and removes it from the front of `in`. The input is trusted: AppendBytes wrote it.
 Record TakeBytes(std::string_view& in, meadowslip::Micros& last_at);
 
-// One line. Names that are empty are filled in from the settings.
+// Appends a record as one JSON line. Empty names are filled in from the settings.
 void AppendJson(std::string& out, Record record, const meadowslip::Settings& settings);
 
-// Reads lines; a record holds until the next.
+// Parses JSON lines. A record is valid until the next call of Read().
 class RecordReader {
  public:
   RecordReader();
--- a/src/observe/events.h
+++ b/src/observe/events.h
@@ -1,5 +1,5 @@
-// The table of events: what the log of the balancer can say, in which words, and what it means. Programs read
-// these names, so they stay as they are; docs/events.md is made from this table.
+// The table of log events: their names, texts, fields and meanings. Programs read the names of events and
+// fields, so they must not change; docs/events.md is generated from this table.
 #ifndef BURLFALL_OBSERVE_EVENTS_H_
 #define BURLFALL_OBSERVE_EVENTS_H_
 
@@ -22,11 +22,11 @@
 struct LogEvent {
   std::string_view name;
   LogLevel level;
-  // The line in text: {field} is its value, and what stands in brackets goes where a field in it is 0 or
-  // empty.
+  // The line in text format. {field} is replaced by its value; a part in brackets is omitted if a field in
+  // it is 0 or empty.
   std::string_view text;
   std::string_view meaning;
-  std::array<LogField, 8> all_fields = {};  // those behind the last have no name
+  std::array<LogField, 8> all_fields = {};  // unused elements have no name
 
   constexpr std::span<const LogField> fields() const {
     size_t n = 0;
@@ -528,13 +528,14 @@
 
 }  // namespace events
 
-// Its place in the table; the table's size where there is none of the name.
+// Returns the index of the event in the table, or the table's size if there is no event of this name.
 constexpr size_t EventAt(std::span<const LogEvent> table, std::string_view name) {
   size_t at = 0;
   while (at < table.size() && table[at].name != name) ++at;
   return at;
 }
 
+// Whether the types are those of the event's fields, in order.
 constexpr bool Fits(const LogEvent& event, std::span<const LogField::Type> types) {
   const std::span<const LogField> fields = event.fields();
   if (fields.size() != types.size()) return false;
--- a/src/observe/labels.h
+++ b/src/observe/labels.h
@@ -1,4 +1,4 @@
-// What a client called its query, for those who tell of it.
+// Names that a client gave with its query, for logs, figures and captures.
 #ifndef BURLFALL_OBSERVE_LABELS_H_
 #define BURLFALL_OBSERVE_LABELS_H_
 
@@ -13,17 +13,17 @@
 namespace burlfall {
 
 struct Labels {
-  const std::string* trace = nullptr;  // they lie in what the query carries, and live as long
+  const std::string* trace = nullptr;  // point into the query and live as long as it
   const std::string* tenant = nullptr;
-  std::string odd_class;  // where the settings don't name it
-  uint32_t series = 0;    // of its figures
+  std::string unknown_class;  // the class as the client sent it, if the settings don't name it
+  uint32_t series = 0;        // index of the query's series in Figures
 };
 
-// The names of the servers that the module knows by number.
+// Maps the module's numeric server ids to names.
 class ServerNames {
  public:
-  virtual uint64_t version() const = 0;                                 // of the list heard last
-  virtual std::string_view NameOf(meadowslip::BackendId id) const = 0;  // empty: not known
+  virtual uint64_t version() const = 0;                                 // of the server list received last
+  virtual std::string_view NameOf(meadowslip::BackendId id) const = 0;  // empty: unknown id
   virtual std::vector<std::pair<meadowslip::BackendId, std::string_view>> AllNames() const = 0;
 
  protected:
--- a/src/observe/log.cpp
+++ b/src/observe/log.cpp
@@ -10,14 +10,15 @@
 namespace burlfall {
 namespace {
 
-constexpr Micros kLookAgain = 100 * kMs;  // whether there is room, while lines wait for it
+constexpr Micros kRetryInterval = 100 * kMs;  // between attempts to write buffered lines
 
-// A line stays one, whatever a file or a peer made up.
+// Replaces control characters, so that text from files or peers can't break the line.
 void AppendOneLine(std::string& out, std::string_view text) {
   for (char c : text) out += static_cast<unsigned char>(c) < ' ' ? ' ' : c;
 }
 
-// Always JSON: what is no UTF-8 stands byte by byte, as the sign of that number.
+// Always gives valid JSON. If `text` is not UTF-8, each byte above 127 is written as the code point of the
+// same number.
 void AppendQuoted(std::string& out, std::string_view text) {
   constexpr char kHex[] = "0123456789abcdef";
   const bool utf8 = simdjson::validate_utf8(text.data(), text.size());
@@ -38,15 +39,15 @@
   const std::span<const LogField> fields = event.fields();
   std::string out;
   size_t bracket = 0;
-  bool drop = false;
+  bool omit = false;
   for (size_t at = 0; at < event.text.size(); ++at) {
     switch (const char c = event.text[at]) {
       case '[':
         bracket = out.size();
-        drop = false;
+        omit = false;
         break;
       case ']':
-        if (drop) out.resize(bracket);
+        if (omit) out.resize(bracket);
         break;
       case '{': {
         const size_t end = event.text.find('}', at);
@@ -54,7 +55,7 @@
         for (size_t i = 0; i < fields.size(); ++i) {
           if (fields[i].name != name) continue;
           values[i].AppendText(out);
-          drop = drop || values[i].blank();
+          omit = omit || values[i].blank();
         }
         at = end;
         break;
@@ -66,7 +67,7 @@
   return out;
 }
 
-// Without the braces: the level and the time go in behind.
+// Without the braces: the pattern of the logger adds them, and the level and the time.
 std::string JsonOf(const LogEvent& event, std::span<const LogValue> values) {
   std::string out = "\"event\":\"";
   out.append(event.name).append("\"");
@@ -89,13 +90,13 @@
   }
 }
 
-class OutletSink final : public spdlog::sinks::sink {
+class SpdlogSink final : public spdlog::sinks::sink {
  public:
-  explicit OutletSink(Outlet& outlet) : outlet_(outlet) {}
+  explicit SpdlogSink(LineSink& lines) : sink_(lines) {}
   void log(const spdlog::details::log_msg& message) override {
     spdlog::memory_buf_t line;
     formatter_->format(message, line);
-    outlet_.Say({line.data(), line.size()});
+    sink_.WriteOrBuffer({line.data(), line.size()});
   }
   void flush() override {}
   void set_pattern(const std::string& pattern) override {
@@ -106,7 +107,7 @@
   }
 
  private:
-  Outlet& outlet_;
+  LineSink& sink_;
   std::unique_ptr<spdlog::formatter> formatter_;
 };
 
@@ -152,14 +153,15 @@
   }
 }
 
-// Without spdlog's registry, threads and clock: a logger of our own, a sink of our own, and each message
-// comes with its time.
+// Uses spdlog without its registry, threads and clock: the logger and the sink are our own, and each message
+// carries its time.
 struct Log::Writer {
-  Writer(Scheduler& its_clock, Outlet& outlet, LogFormat format)
-      : clock(its_clock), logger("burlfall", std::make_shared<OutletSink>(outlet)) {
+  Writer(Scheduler& writer_clock, LineSink& sink, LogFormat format)
+      : clock(writer_clock), logger("burlfall", std::make_shared<SpdlogSink>(sink)) {
     logger.set_pattern(format == LogFormat::kJson ? R"({%v,"level":"%l","t":%E%e})" : "burlfall: %v",
                        spdlog::pattern_time_type::utc);
-    logger.set_error_handler([](const std::string&) {});  // its own would write to standard error, and block
+    // The default handler would write to standard error and may block.
+    logger.set_error_handler([](const std::string&) {});
   }
   void Write(LogLevel level, std::string_view text) {
     const auto now =
@@ -172,51 +174,51 @@
   spdlog::logger logger;
 };
 
-Log::Log(Scheduler& clock, Outlet& outlet, LogFormat format, Counters& counters)
-    : outlet_(outlet),
+Log::Log(Scheduler& clock, LineSink& sink, LogFormat format, Counters& counters)
+    : sink_(sink),
       counters_(counters),
       format_(format),
-      writer_(std::make_unique<Writer>(clock, outlet, format)),
-      held_(clock) {
-  catching_up_ = CatchUp();
-  catching_up_.Start();
+      writer_(std::make_unique<Writer>(clock, sink, format)),
+      buffered_(clock) {
+  flush_task_ = FlushBuffered();
+  flush_task_.Start();
 }
 
 Log::~Log() = default;
 
-void Log::Say(const LogEvent& event, std::span<const LogValue> values) {
-  const uint64_t before = outlet_.dropped();
+void Log::WriteEvent(const LogEvent& event, std::span<const LogValue> values) {
+  const uint64_t dropped_before = sink_.dropped();
   writer_->Write(event.level, format_ == LogFormat::kJson ? JsonOf(event, values) : TextOf(event, values));
-  const uint64_t lost = outlet_.dropped() - before;
-  untold_ += lost;
+  const uint64_t lost = sink_.dropped() - dropped_before;
+  unreported_ += lost;
   counters_.log_dropped += lost;
-  if (outlet_.holds()) {
-    held_.Notify();
-  } else if (untold_ > 0 && lost == 0) {
-    TellDropped();
+  if (sink_.has_buffered()) {
+    buffered_.Notify();
+  } else if (unreported_ > 0 && lost == 0) {
+    ReportDropped();
   }
 }
 
-void Log::TellDropped() { Tell<"log_dropped">(std::exchange(untold_, 0)); }
+void Log::ReportDropped() { Tell<"log_dropped">(std::exchange(unreported_, 0)); }
 
-// What is held, and what was dropped, need not wait for the next event to be told.
-Task<> Log::CatchUp() {
+// Writes buffered lines and reports dropped ones as soon as there is room, not only with the next event.
+Task<> Log::FlushBuffered() {
   while (true) {
-    co_await held_.Wait();
-    while (outlet_.holds()) {
-      co_await held_.Wait(held_.scheduler().Now() + kLookAgain);
-      const Outlet::Taken taken = outlet_.Flush();
-      if (taken == Outlet::Taken::kYes && untold_ > 0) TellDropped();
-      if (taken == Outlet::Taken::kNo) break;  // nobody reads any more
+    co_await buffered_.Wait();
+    while (sink_.has_buffered()) {
+      co_await buffered_.Wait(buffered_.scheduler().Now() + kRetryInterval);
+      const LineSink::Result result = sink_.Flush();
+      if (result == LineSink::Result::kWritten && unreported_ > 0) ReportDropped();
+      if (result == LineSink::Result::kFailed) break;  // the output can't be written any more
     }
   }
 }
 
-bool Log::Finish(Micros patience) {
-  const Micros until = held_.scheduler().Now() + patience;
-  if (!outlet_.Drain(patience)) return false;
-  if (untold_ > 0) TellDropped();
-  return outlet_.Drain(std::max<Micros>(0, until - held_.scheduler().Now()));
+bool Log::Finish(Micros timeout) {
+  const Micros deadline = buffered_.scheduler().Now() + timeout;
+  if (!sink_.Drain(timeout)) return false;
+  if (unreported_ > 0) ReportDropped();
+  return sink_.Drain(std::max<Micros>(0, deadline - buffered_.scheduler().Now()));
 }
 
 }  // namespace burlfall
--- a/src/observe/log.h
+++ b/src/observe/log.h
@@ -1,8 +1,8 @@
-// One way to log: events with names and fields that stay as they are, as text or as JSON lines, through
-// spdlog onto the outlet. Which events there are, a table says (events.h); what isn't in it does not compile.
+// Structured logging: events with stable names and fields, written as text or as JSON lines through spdlog to
+// a LineSink. The events are defined in a table (events.h); an event that is not in it does not compile.
 //
-// Nothing here waits. What standard error has no room for is kept for a while, then dropped and counted, and
-// once there is room again one event tells how much that was.
+// Nothing here blocks, except Finish(). Lines for which standard error has no room are buffered up to a
+// limit, then dropped and counted; once there is room again, one event reports how many were dropped.
 #ifndef BURLFALL_OBSERVE_LOG_H_
 #define BURLFALL_OBSERVE_LOG_H_
 
@@ -24,18 +24,18 @@
 #include "io/scheduler.h"
 #include "observe/counters.h"
 #include "observe/events.h"
-#include "observe/outlet.h"
+#include "observe/line_sink.h"
 
 namespace burlfall {
 
 enum class LogFormat { kText, kJson };
 std::optional<LogFormat> ReadLogFormat(std::string_view word);  // "text" or "json"
 
-// What a field holds, for as long as the event is told.
+// The value of a field. Texts and counters are not owned; they are used only while the event is written.
 class LogValue {
  public:
   template <std::integral Number>
-  LogValue(Number number) {  // NOLINT: stands for its value
+  LogValue(Number number) {  // NOLINT: implicit conversion is intended
     if constexpr (std::signed_integral<Number>) {
       value_ = static_cast<int64_t>(number);
     } else {
@@ -50,7 +50,7 @@
     if constexpr (std::is_same_v<Value, Counters>) return LogField::Type::kCounters;
     return std::integral<Value> ? LogField::Type::kNumber : LogField::Type::kText;
   }
-  bool blank() const;  // 0, or no text
+  bool blank() const;  // 0, or an empty text
   void AppendText(std::string& out) const;
   void AppendJson(std::string& out) const;
 
@@ -58,7 +58,7 @@
   std::variant<int64_t, uint64_t, std::string_view, const Counters*> value_;
 };
 
-// The name of an event, given as Tell<"serving">.
+// The name of an event as a template argument, as in Tell<"serving">.
 template <size_t n>
 struct LogName {
   constexpr LogName(const char (&text)[n]) { std::copy_n(text, n, chars.data()); }  // NOLINT
@@ -68,12 +68,12 @@
 
 class Log {
  public:
-  // `outlet` and `counters` must outlive it.
-  Log(Scheduler& clock, Outlet& outlet, LogFormat format, Counters& counters);
+  // `sink` and `counters` must outlive it.
+  Log(Scheduler& clock, LineSink& sink, LogFormat format, Counters& counters);
   ~Log();
 
-  // Tells an event of the table, with its fields' values in the table's order. A tool may have a table of its
-  // own.
+  // Logs an event of the table, with the values of its fields in the table's order. A tool may pass a table
+  // of its own.
   template <LogName name, const auto& table = events::kAll, typename... Values>
   void Tell(const Values&... values) {
     constexpr size_t at = EventAt(table, name.view());
@@ -82,30 +82,30 @@
     constexpr std::array<LogField::Type, sizeof...(Values)> types = {
         LogValue::TypeOf<std::remove_cvref_t<Values>>()...};
     static_assert(Fits(event, types), "not the fields that the table of events names");
-    const std::array<LogValue, sizeof...(Values)> all = {LogValue(values)...};
-    Say(event, all);
+    const std::array<LogValue, sizeof...(Values)> log_values = {LogValue(values)...};
+    WriteEvent(event, log_values);
   }
 
-  // Where other lines of the same standard error go: figures, and what was captured.
-  Outlet& outlet() { return outlet_; }
-  // For the last lines: waits so long for room. False where some found none.
-  bool Finish(Micros patience);
+  // For other lines on the same standard error: figures and the dump of the capture.
+  LineSink& sink() { return sink_; }
+  // Writes the last lines; blocks for at most `timeout`. Returns false if some could not be written.
+  bool Finish(Micros timeout);
 
  private:
-  struct Writer;  // spdlog's part, which no other file needs to see
+  struct Writer;  // hides spdlog from other files
 
-  void Say(const LogEvent& event, std::span<const LogValue> values);
-  void TellDropped();
-  Task<> CatchUp();
+  void WriteEvent(const LogEvent& event, std::span<const LogValue> values);
+  void ReportDropped();
+  Task<> FlushBuffered();
 
-  Outlet& outlet_;
+  LineSink& sink_;
   Counters& counters_;
   const LogFormat format_;
   std::unique_ptr<Writer> writer_;
-  uint64_t untold_ = 0;  // lines that were dropped, and nobody has heard of it
+  uint64_t unreported_ = 0;  // lines that were dropped and not yet reported
   std::string line_;
-  Event held_;
-  Task<> catching_up_;  // last: what it uses must outlive it
+  Event buffered_;
+  Task<> flush_task_;  // the task comes last: what it uses must outlive it
 };
 
 }  // namespace burlfall
--- a/src/replay/replay.cpp
+++ b/src/replay/replay.cpp
@@ -39,7 +39,7 @@
 }
 
 struct Decision {
-  Choice did = Choice::kSend;
+  Choice choice = Choice::kSend;
   RequestId id = 0;
   BackendId backend = 0;
   int attempt = 0;
@@ -88,7 +88,7 @@
     switch (r.kind) {
       case Record::Kind::kList: {
         meadowslip::BackendList list;
-        list.kind = r.how;
+        list.kind = r.list_kind;
         for (const Record::Server& s : r.servers) {
           names_[s.entry.id] = s.name;
           list.entries.push_back(s.entry);
@@ -169,7 +169,7 @@
   void CompareDecision(const Record& r, long line, std::string_view text) {
     ActiveModule();
     ++decision_count_;
-    const Decision captured = {r.did, r.request.id, r.backend, r.result.attempt, r.span};
+    const Decision captured = {r.choice, r.request.id, r.backend, r.result.attempt, r.span};
     std::optional<Decision> decision;
     if (!sink_.decisions.empty()) {
       decision = sink_.decisions.front();
--- a/src/serve/program.cpp
+++ b/src/serve/program.cpp
@@ -78,7 +78,7 @@
       log_(log),
       counters_(counters),
       figures_(properties.figures.on ? std::make_unique<Figures>(machine, properties.figures,
-                                                                 config_.settings, log.outlet(), counters_)
+                                                                 config_.settings, log.sink(), counters_)
                                      : nullptr),
       start_(start.value_or(StartSettings())),
       hosts_(config_.settings),
@@ -96,7 +96,7 @@
       sweep_(machine.scheduler()) {
   if (config_.admin.length > 0)
     control_.emplace(machine_, config_.admin, Calls(descriptors()), static_cast<Operations&>(*this));
-  if (config_.passed >= 0 && !config_.folder.empty()) {
+  if (config_.passed_listener >= 0 && !config_.folder.empty()) {
     handover_.emplace(machine_, PathFor(config_, config_.folder, ".sock"), config_.name,
                       static_cast<Heritage&>(*this), log_);
   }
@@ -104,7 +104,7 @@
   budget_.Add(front_);
   budget_.Add(upstream_);
   tokens_.Configure(properties.tokens);
-  door_.Configure(properties.door);
+  door_.Configure(properties.rate_limits);
   if (properties.capture.on) {
     capture_ = std::make_unique<Capture>(
         machine, properties.capture, config_, hosts_, [this] { return dispatcher_.Save(); }, log, counters_);
@@ -274,7 +274,7 @@
 
 // From the list that the configuration came with.
 void Program::BeginAlone() {
-  if (!UseSavedList()) hosts_.Take(config_.known, machine_.Now());
+  if (!UseSavedList()) hosts_.Take(config_.initial_hosts, machine_.Now());
   list_log_.emplace(machine_.scheduler(), hosts_, log_);
   ReadOut();
 }
@@ -327,7 +327,7 @@
 
 void Program::Reload(const Properties& properties) {
   tokens_.Configure(properties.tokens);
-  door_.Configure(properties.door);
+  door_.Configure(properties.rate_limits);
   if (figures_) figures_->Reopen();
 }
 
--- a/src/serve/program_saved_list.cpp
+++ b/src/serve/program_saved_list.cpp
@@ -35,7 +35,8 @@
   const start::SavedChoice choice = FindSavedList();
   for (const auto& [path, why] : choice.refused) log_.Tell<"saved_list_refused">(path, why);
   if (!choice.list) return false;
-  if (choice.list->version < config_.known.version && !config_.known.hosts.empty()) return false;
+  if (choice.list->version < config_.initial_hosts.version && !config_.initial_hosts.hosts.empty())
+    return false;
   HostList list;
   list.version = choice.list->version;
   list.full = true;
--- a/src/serve/serve.cpp
+++ b/src/serve/serve.cpp
@@ -124,12 +124,13 @@
     std::fputs(wrong.c_str(), stderr);
     return kUnusableFile;
   }
-  Outlet errors(machine.scheduler(), machine.StandardError());
+  LineSink errors(machine.scheduler(), machine.StandardError());
   Counters counters;
   Log log(machine.scheduler(), errors, format, counters);
   Program program(machine, config, properties, log, counters, start, cluster, council);
-  log.Tell<"starting">(config.name, BURLFALL_VERSION, config.discovery.text, config.known.hosts.size(),
-                       program.descriptors(), properties.On());
+  log.Tell<"starting">(config.name, BURLFALL_VERSION, config.discovery.text,
+                       config.initial_hosts.hosts.size(), program.descriptors(),
+                       properties.EnabledFeatures());
   Task<> hearing = HearSignals(signals, program, path, machine.files(), log);
   hearing.Start();
   program.Start();
--- a/src/tools/config_main.cpp
+++ b/src/tools/config_main.cpp
@@ -90,7 +90,7 @@
 
 Json ToJson(const KeyRow& row) {
   return {{"key", row.path},       {"type", row.type},
-          {"unit", row.unit},      {"default", row.by_default.empty() ? Json() : Json(row.by_default)},
+          {"unit", row.unit},      {"default", row.default_value.empty() ? Json() : Json(row.default_value)},
           {"range", row.range},    {"required", row.is_required},
           {"meaning", row.meaning}};
 }
--- a/tests/features/capture_test.cpp
+++ b/tests/features/capture_test.cpp
@@ -1,4 +1,4 @@
-// The capture: what is recorded, what the ring drops, and that a replay chooses the same.
+// The capture: what is recorded, what the ring drops, and that a replay takes the same decisions.
 #include "observe/capture.h"
 
 #include <fcntl.h>
@@ -39,8 +39,8 @@
   return n;
 }
 
-struct Replayed {
-  explicit Replayed(const std::string& capture, const std::string& config = "") {
+struct ReplayResult {
+  explicit ReplayResult(const std::string& capture, const std::string& config = "") {
     TextFile file(capture), properties(config);
     std::ostringstream out, errors;
     code = Replay(file.path, properties.path, *MakeRealFiles(), out, errors);
@@ -50,11 +50,11 @@
   std::string text;
 };
 
-// A server that answers what it likes until it is told to end.
-class Answers {
+// A server that answers with a mix of successes and errors until it is destroyed.
+class MixedServer {
  public:
-  Answers() : thread_([this] { Run(); }) {}
-  ~Answers() {
+  MixedServer() : thread_([this] { Run(); }) {}
+  ~MixedServer() {
     done_ = true;
     thread_.join();
   }
@@ -65,7 +65,8 @@
     std::vector<std::thread> threads;
     while (!done_) {
       if (!Readable(peer_.fd(), 5)) continue;
-      Descriptor fd(accept4(peer_.fd(), nullptr, nullptr, SOCK_CLOEXEC));  // no check here: another thread
+      Descriptor fd(accept4(peer_.fd(), nullptr, nullptr,
+                            SOCK_CLOEXEC));  // no CHECK: Catch2 assertions are not thread-safe
       threads.emplace_back([this, link = std::make_shared<Link>(std::move(fd))] {
         while (!link->Read().empty()) {
           const int n = ++count_;
@@ -84,7 +85,7 @@
   std::thread thread_;
 };
 
-// Queries of all classes, by several clients at a time; some leave before the answer.
+// Sends queries of all classes from several clients at a time; some clients disconnect before the answer.
 void Load(uint16_t port, int rounds) {
   for (int i = 0; i < rounds; ++i) {
     std::vector<Link> clients;
@@ -95,13 +96,13 @@
         clients.back().Write(
             Get(trace, std::string("X-Swap-Token: ") + kToken + "\r\nX-Expires-In: 900m\r\n"));
       } else if (k == 5 && i % 4 == 0) {
-        clients.back().Write(Post("nothing", trace, "x"));  // a class that is not there
+        clients.back().Write(Post("nothing", trace, "x"));  // an unknown class
       } else {
         clients.back().Write(Post(k % 2 == 0 ? "pay" : "open", trace, "x"));
       }
     }
     for (size_t k = 0; k < clients.size(); ++k) {
-      if (k != 3 || i % 5 != 0) clients[k].Read();  // else it leaves
+      if (k != 3 || i % 5 != 0) clients[k].Read();  // otherwise the client disconnects
     }
   }
 }
@@ -119,8 +120,8 @@
   CHECK(out.str().empty());
 }
 
-TEST_CASE("a loopback run that is captured replays without a difference") {
-  Answers one, two, three;
+TEST_CASE("a captured loopback run replays without a difference") {
+  MixedServer one, two, three;
   TextFile file("capture.enabled = true\n");
   Program program(ConfigText({.known = Entry("s-1", one.port()) + "," + Entry("s-2", two.port()) + "," +
                                        Entry("s-3", three.port())}),
@@ -146,7 +147,7 @@
     CHECK(first->find(part) != std::string::npos);
   }
 
-  Replayed same(program.output);  // picked out of standard error
+  ReplayResult same(program.output);  // the records are mixed with other lines on standard error
   CAPTURE(same.text);
   CHECK(same.code == kReplayMatches);
   CHECK(same.text.find(" lines that are no records skipped\n") != std::string::npos);
@@ -157,7 +158,7 @@
     const size_t at = static_cast<size_t>(first - lines.begin());
     const size_t id = bent[at].find("\"backend\":") + 10;
     bent[at].replace(id, bent[at].find(',', id) - id, "7");
-    Replayed differs(Joined(bent));
+    ReplayResult differs(Joined(bent));
     CHECK(differs.code == kReplayDiffers);
     CHECK(differs.text.starts_with("line " + std::to_string(at + 1) + ": " + bent[at] +
                                    "\n  replay chose: send "));
@@ -166,25 +167,25 @@
   SECTION("a choice left out is a difference") {
     std::vector<std::string> bent = lines;
     bent.erase(bent.begin() + (first - lines.begin()));
-    CHECK(Replayed(Joined(bent)).code == kReplayDiffers);
+    CHECK(ReplayResult(Joined(bent)).code == kReplayDiffers);
   }
   SECTION("a choice made up is a difference") {
     std::vector<std::string> bent = lines;
     bent.insert(bent.begin() + (first - lines.begin()), *first);
-    CHECK(Replayed(Joined(bent)).code == kReplayDiffers);
+    CHECK(ReplayResult(Joined(bent)).code == kReplayDiffers);
   }
   SECTION("other settings are tried, and said to be others") {
     std::string config = ConfigText({.known = Entry("s-1", 1)});
-    CHECK(Replayed(Joined(lines), config).code == kReplayMatches);
+    CHECK(ReplayResult(Joined(lines), config).code == kReplayMatches);
     config.replace(config.find("\"SendCap\":5"), 11, "\"SendCap\":1");
-    Replayed other(Joined(lines), config);
+    ReplayResult other(Joined(lines), config);
     CHECK(other.code == kReplayDiffers);
     CHECK(other.text.starts_with("replayed with the settings of the configuration"));
   }
   SECTION("a torn last line is skipped and reported, anything else that is torn stops the replay") {
     const std::string whole = Joined(lines);
     for (size_t cut : {2, 10, 40}) {
-      Replayed torn(whole.substr(0, whole.size() - cut));
+      ReplayResult torn(whole.substr(0, whole.size() - cut));
       CAPTURE(cut, torn.text);
       CHECK(torn.code == kReplayMatches);
       CHECK(torn.text.find("line " + std::to_string(lines.size()) + ": torn, skipped\n") !=
@@ -192,7 +193,7 @@
     }
     std::vector<std::string> bent = lines;
     bent[lines.size() / 2].resize(30);
-    Replayed stopped(Joined(bent));
+    ReplayResult stopped(Joined(bent));
     CHECK(stopped.code == kReplayImpossible);
     CHECK(stopped.text.find("line " + std::to_string(lines.size() / 2 + 1) + ": no JSON object") !=
           std::string::npos);
@@ -201,20 +202,20 @@
     for (std::string odd : {"{\"t\":1,\"us\":2,\"kind\":\"rumour\"}", "{\"t\":1717000000123,\"list\":41}"}) {
       std::vector<std::string> more = lines;
       more.insert(more.begin() + 5, odd);
-      CHECK(Replayed(Joined(more)).code == 2);
+      CHECK(ReplayResult(Joined(more)).code == 2);
     }
   }
   SECTION("without a start record, or its checkpoint, nothing is said to be the same") {
     std::vector<std::string> cut(lines.begin() + 1, lines.end());
-    CHECK(Replayed(Joined(cut)).code == kReplayImpossible);
+    CHECK(ReplayResult(Joined(cut)).code == kReplayImpossible);
     cut.erase(cut.begin());
-    CHECK(Replayed(Joined(cut)).code == kReplayImpossible);
+    CHECK(ReplayResult(Joined(cut)).code == kReplayImpossible);
     cut.insert(cut.begin(), lines[0]);
-    Replayed none(Joined(cut));
+    ReplayResult none(Joined(cut));
     CHECK(none.code == kReplayImpossible);
     CHECK(none.text.find("no checkpoint") != std::string::npos);
-    CHECK(Replayed(lines[0] + "\n").code == kReplayImpossible);
-    CHECK(Replayed("burlfall: nothing of that\n").code == kReplayImpossible);
+    CHECK(ReplayResult(lines[0] + "\n").code == kReplayImpossible);
+    CHECK(ReplayResult("burlfall: nothing of that\n").code == kReplayImpossible);
   }
   SECTION("a record that can't be is refused, whatever is wrong with it") {
     const std::vector<std::pair<std::string, std::string>> cases = {
@@ -230,7 +231,7 @@
       std::string text = Joined(lines);
       text.replace(text.find(from), from.size(), to);
       CAPTURE(from, to);
-      CHECK(Replayed(text).code == kReplayImpossible);
+      CHECK(ReplayResult(text).code == kReplayImpossible);
     }
   }
   SECTION("the command line does the same") {
@@ -247,8 +248,8 @@
   }
 }
 
-TEST_CASE("a ring that has come round begins with the module's state, and replays alone") {
-  Answers one, two;
+TEST_CASE("a ring that has dropped records begins with the module's state, and replays alone") {
+  MixedServer one, two;
   TextFile file("capture.memory_kb = 64\n");
   Program program(ConfigText({.known = Entry("s-1", one.port()) + "," + Entry("s-2", two.port())}),
                   {"serve", "--config", file.path});
@@ -257,27 +258,27 @@
   CHECK(program.Wait(SIGTERM) == 0);
   const std::vector<std::string> lines = RecordLines(program.output);
   REQUIRE(lines.size() > 100);
-  CHECK(CountOf(program.output, "\"kind\":\"query\"") < 960);  // the oldest are gone
+  CHECK(CountOf(program.output, "\"kind\":\"query\"") < 960);  // the oldest were dropped
   CHECK(lines[0].find("\"kind\":\"start\"") != std::string::npos);
   CHECK(lines[1].find("\"kind\":\"checkpoint\"") != std::string::npos);
   CHECK(CountOf(program.output, "\"kind\":\"start\"") > 1);
-  Replayed same(Joined(lines));
+  ReplayResult same(Joined(lines));
   CAPTURE(same.text);
   CHECK(same.code == kReplayMatches);
-  // Each segment alone.
+  // Each segment replays alone.
   std::vector<std::string> part;
   for (const std::string& line : lines) {
     if (line.find("\"kind\":\"start\"") != std::string::npos && !part.empty()) {
-      CHECK(Replayed(Joined(part)).code == kReplayMatches);
+      CHECK(ReplayResult(Joined(part)).code == kReplayMatches);
       part.clear();
     }
     part.push_back(line);
   }
-  CHECK(Replayed(Joined(part)).code == kReplayMatches);
+  CHECK(ReplayResult(Joined(part)).code == kReplayMatches);
 }
 
-TEST_CASE("files make a ring too, each replays alone, and a restart overwrites none") {
-  Answers one, two;
+TEST_CASE("files are a ring too, each replays alone, and a restart overwrites none") {
+  MixedServer one, two;
   TextFile folder;
   TextFile file("capture.dir = " + folder.path + "/ring\ncapture.files = 3\ncapture.file_kb = 64\n");
   const std::string config = ConfigText({.known = Entry("s-1", one.port()) + "," + Entry("s-2", two.port())});
@@ -305,7 +306,7 @@
   REQUIRE(first.size() == 3);
   CHECK(first.back() > "capture-n1-000003.jsonl");
   for (const std::string& name : first) {
-    Replayed same(text(name));
+    ReplayResult same(text(name));
     CAPTURE(name, same.text);
     CHECK(same.code == kReplayMatches);
     CHECK(std::filesystem::file_size(folder.path + "/ring/" + name) <= 64 * 1024);
@@ -321,8 +322,8 @@
   CHECK(text(second[1]) == newest);
 }
 
-TEST_CASE("a disk that can't be written is counted and survived, and used again once it can") {
-  Answers one;
+TEST_CASE("disk errors are counted and survived, and the disk is used again once it works") {
+  MixedServer one;
   TextFile blocked("a file, where a folder should be");
   TextFile file("capture.dir = " + blocked.path + "\n");
   Program program(ConfigText({.known = Entry("s-1", one.port())}), {"serve", "--config", file.path});
@@ -344,21 +345,21 @@
   CHECK(CountOf(program.output, "burlfall: capture: ") == 1);
   for (const auto& entry : std::filesystem::directory_iterator(blocked.path)) {
     std::ifstream in(entry.path());
-    CHECK(Replayed(std::string(std::istreambuf_iterator<char>(in), {})).code == kReplayMatches);
+    CHECK(ReplayResult(std::string(std::istreambuf_iterator<char>(in), {})).code == kReplayMatches);
   }
 }
 
-TEST_CASE("a dump that nobody reads stalls no query, and comes whole once somebody does") {
-  Answers one;
+TEST_CASE("a dump that nobody reads stalls no query, and is complete once somebody reads it") {
+  MixedServer one;
   TextFile file("capture.memory_kb = 512\nfigures.flush_ms = 20\n");
   Program program(ConfigText({.known = Entry("s-1", one.port())}), {"serve", "--config", file.path});
   REQUIRE(fcntl(program.fd(), F_SETPIPE_SZ, 4096) == 4096);
   Load(program.port, 60);
   program.Signal(SIGUSR1);
   Load(program.port, 60);
-  program.Signal(SIGUSR1);  // asked for again meanwhile
+  program.Signal(SIGUSR1);  // a second dump while the first is being written
   Load(program.port, 5);
-  CHECK(program.Wait(SIGTERM) == 0);  // reads all there is
+  CHECK(program.Wait(SIGTERM) == 0);  // Wait() reads all of the output
   std::istringstream all(program.output);
   for (std::string line; std::getline(all, line);) {
     CAPTURE(line);
@@ -368,13 +369,13 @@
   CHECK(CountOf(program.output, "\"kind\":\"query\"") == 360);
   CHECK(CountOf(program.output, "burlfall: capture: still writing") == 1);
   CHECK(CountOf(program.output, "burlfall: counters: ") == 3);
-  Replayed same(program.output);
+  ReplayResult same(program.output);
   CAPTURE(same.text);
   CHECK(same.code == kReplayMatches);
 }
 
 TEST_CASE("a log of JSON lines with the capture in it replays, and its events are no records") {
-  Answers one;
+  MixedServer one;
   TextFile file("capture.enabled = true\nfigures.flush_ms = 20\n");
   Program program(ConfigText({.known = Entry("s-1", one.port())}),
                   {"serve", "--log-format", "json", "--config", file.path});
@@ -382,23 +383,23 @@
   program.Signal(SIGUSR1);
   CHECK(program.Wait(SIGTERM) == 0);
   CHECK(CountOf(program.output, "{\"event\":") >= 6);
-  Replayed same(program.output);
+  ReplayResult same(program.output);
   CAPTURE(same.text);
   CHECK(same.code == kReplayMatches);
-  // Also where another program's log puts the event elsewhere; a record without a kind is none of these.
+  // Also if another program's log has "event" at another place; a record without a kind is an error.
   const std::string start = program.output.substr(program.output.find("{\"t\":"));
-  CHECK(Replayed("{\"level\":\"info\",\"event\":\"x\"}\n" + start).code == kReplayMatches);
-  CHECK(Replayed("{\"level\":\"info\"}\n" + start).code == kReplayImpossible);
+  CHECK(ReplayResult("{\"level\":\"info\",\"event\":\"x\"}\n" + start).code == kReplayMatches);
+  CHECK(ReplayResult("{\"level\":\"info\"}\n" + start).code == kReplayImpossible);
 }
 
 TEST_CASE("whatever clients write into their headers stays one line of JSON") {
-  Answers one;
+  MixedServer one;
   TextFile file("capture.enabled = true\n");
   Program program(ConfigText({.known = Entry("s-1", one.port())}), {"serve", "--config", file.path});
   Link client = Link::To(program.port);
   const std::string odd = "\"},{\\ \x01\t\xff\xc3\xbc" + std::string(500, '{');
   std::string shown = odd;
-  std::erase(shown, '\x01');  // no header may hold it
+  std::erase(shown, '\x01');  // not allowed in a header
   client.Write(Post("a\"b\\", shown, "x"));
   client.Read();
   client.Write(Get(shown, "X-Customer: " + shown + "\r\n"));
@@ -406,7 +407,7 @@
   program.Signal(SIGUSR1);
   CHECK(program.Wait(SIGTERM) == 0);
   CHECK(program.output.find("\"trace\":\"\\\"},{\\\\ \\u0009\\u00ff\\u00c3\\u00bc{") != std::string::npos);
-  Replayed same(program.output);
+  ReplayResult same(program.output);
   CAPTURE(same.text);
   CHECK(same.code == kReplayMatches);
   for (const std::string& line : RecordLines(program.output)) {
@@ -414,7 +415,7 @@
   }
 }
 
-TEST_CASE("records in memory and as lines say the same") {
+TEST_CASE("records in memory and as JSON lines have the same content") {
   meadowslip::Settings settings;
   settings.classes.resize(2);
   settings.classes[1].name = "pay";
@@ -427,7 +428,7 @@
   record.request.request_class = 1;
   record.request.id = 5;
   record.list = 41;
-  record.chose = "s-5be2a07c";
+  record.backend_name = "s-5be2a07c";
   record.backend = 4000000000;
   record.span = -1;
   std::string bytes;
@@ -448,8 +449,8 @@
   CHECK(back.at == record.at);
   CHECK(back.backend == record.backend);
   CHECK(back.span == -1);
-  CHECK(back.chose == record.chose);
-  CHECK(back.cls == "pay");
+  CHECK(back.backend_name == record.backend_name);
+  CHECK(back.class_name == "pay");
 }
 
 }  // namespace burlfall
--- a/tests/features/figures_test.cpp
+++ b/tests/features/figures_test.cpp
@@ -1,4 +1,4 @@
-// Figures: their text, their bounds, and the ways they go.
+// Figures (metrics): their text formats, their memory limits, and their targets.
 #include "observe/figures.h"
 
 #include <fcntl.h>
@@ -20,9 +20,9 @@
   return names;
 }
 
-// Figures that go to a file.
-struct Set {
-  explicit Set(bool influx, size_t batch_bytes = 1400)
+// Figures written to a file.
+struct FiguresInFile {
+  explicit FiguresInFile(bool influx, size_t batch_bytes = 1400)
       : figures(machine, {.on = true, .influx = influx, .target = file.path, .batch_bytes = batch_bytes},
                 Names(), errors, counters) {}
   std::string Flushed() {
@@ -30,15 +30,15 @@
     figures.Flush();
     return file.Text();
   }
-  void Ask(const std::string& tenant, Micros took, int cls = 0) {
-    Figures::Series s = figures.Of(cls, &tenant);
+  void SendRequest(const std::string& tenant, Micros took, int cls = 0) {
+    Figures::Series s = figures.SeriesOf(cls, &tenant);
     figures.Add(s, Figure::kRequests);
     figures.Opened(s);
     figures.Closed(s, Figure::kServed, took);
   }
   TextFile file;
   RealMachine machine;
-  Outlet errors{machine.scheduler(), machine.StandardError()};
+  LineSink errors{machine.scheduler(), machine.StandardError()};
   Counters counters;
   Figures figures;
 };
@@ -58,7 +58,7 @@
     REQUIRE(getsockname(fd.get(), reinterpret_cast<sockaddr*>(&at), &length) == 0);
     target = "127.0.0.1:" + std::to_string(ntohs(at.sin_port));
   }
-  std::string Hear() {
+  std::string Receive() {
     char piece[65536];
     REQUIRE(Readable(fd.get(), kPatience * 1000));
     return {piece, static_cast<size_t>(recv(fd.get(), piece, sizeof piece, 0))};
@@ -71,28 +71,28 @@
 
 }  // namespace
 
-TEST_CASE("the statsd text is what collectors read") {
-  Set set(false);
-  set.Ask("akku-punkt-lu", 12500);
-  CHECK(set.Flushed() ==
+TEST_CASE("the statsd text has the format that collectors parse") {
+  FiguresInFile fixture(false);
+  fixture.SendRequest("akku-punkt-lu", 12500);
+  CHECK(fixture.Flushed() ==
         "burlfall.requests:1|c|#class:swap-charge,tenant:akku-punkt-lu\n"
         "burlfall.served:1|c|#class:swap-charge,tenant:akku-punkt-lu\n"
         "burlfall.request_time:12.500|ms|#class:swap-charge,tenant:akku-punkt-lu\n");
-  CHECK(set.Flushed().empty());
-  Figures::Series open = set.figures.Of(-1, nullptr);
-  set.figures.Opened(open);
-  CHECK(set.Flushed() == "burlfall.open:1|g|#class:other,tenant:-\n");
-  CHECK(set.Flushed() == "burlfall.open:1|g|#class:other,tenant:-\n");
-  set.figures.Closed(open, Figure::kLeft, 1000);
-  CHECK(set.Flushed().find("burlfall.open:0|g|#class:other,tenant:-\n") != std::string::npos);
-  CHECK(set.Flushed().empty());
+  CHECK(fixture.Flushed().empty());
+  Figures::Series open = fixture.figures.SeriesOf(-1, nullptr);
+  fixture.figures.Opened(open);
+  CHECK(fixture.Flushed() == "burlfall.open:1|g|#class:other,tenant:-\n");
+  CHECK(fixture.Flushed() == "burlfall.open:1|g|#class:other,tenant:-\n");
+  fixture.figures.Closed(open, Figure::kLeft, 1000);
+  CHECK(fixture.Flushed().find("burlfall.open:0|g|#class:other,tenant:-\n") != std::string::npos);
+  CHECK(fixture.Flushed().empty());
 }
 
-TEST_CASE("the influx text is what collectors read") {
-  Set set(true);
-  set.Ask("akku-punkt-lu", 10000);
-  set.Ask("akku-punkt-lu", 20000);
-  CHECK(set.Flushed() ==
+TEST_CASE("the influx text has the format that collectors parse") {
+  FiguresInFile fixture(true);
+  fixture.SendRequest("akku-punkt-lu", 10000);
+  fixture.SendRequest("akku-punkt-lu", 20000);
+  CHECK(fixture.Flushed() ==
         "burlfall_requests,class=swap-charge,tenant=akku-punkt-lu count=2i\n"
         "burlfall_served,class=swap-charge,tenant=akku-punkt-lu count=2i\n"
         "burlfall_request_time,class=swap-charge,tenant=akku-punkt-lu "
@@ -101,22 +101,23 @@
 
 TEST_CASE("a tenant's name can't break out of its tag") {
   const std::string odd = "a,b=c d:e|f#g\\h\ti\xc3\xbc";
-  Set statsd(false), influx(true);
-  statsd.Ask(odd, 0);
-  influx.Ask(odd, 0);
+  FiguresInFile statsd(false), influx(true);
+  statsd.SendRequest(odd, 0);
+  influx.SendRequest(odd, 0);
   CHECK(statsd.Flushed().find("tenant:a_b_c_d_e_f_g_h_i__\n") != std::string::npos);
   CHECK(influx.Flushed().find(",tenant=a\\,b\\=c\\ d:e|f#g_h_i__ count=1i\n") != std::string::npos);
-  statsd.Ask("", 0);
+  statsd.SendRequest("", 0);
   CHECK(statsd.Flushed().find("tenant:-\n") != std::string::npos);
-  statsd.Ask(std::string(5000, 'x'), 0);
+  statsd.SendRequest(std::string(5000, 'x'), 0);
   CHECK(statsd.Flushed().find("tenant:" + std::string(64, 'x') + "\n") != std::string::npos);
 }
 
-TEST_CASE("made-up tenants are bounded, none is lost, and the settings' own keep their place") {
-  Set set(false, 32768);
-  for (int i = 0; i < 5000; ++i) set.Ask(std::string("t").append(std::to_string(i)), 0);
-  set.Ask("akku-punkt-lu", 0);
-  std::vector<std::string> lines = Lines(set.Flushed());
+TEST_CASE(
+    "the number of made-up tenants is limited, none is lost, and configured tenants retain their series") {
+  FiguresInFile fixture(false, 32768);
+  for (int i = 0; i < 5000; ++i) fixture.SendRequest(std::string("t").append(std::to_string(i)), 0);
+  fixture.SendRequest("akku-punkt-lu", 0);
+  std::vector<std::string> lines = Lines(fixture.Flushed());
   long all = 0, names = 0, own = 0;
   for (const std::string& line : lines) {
     if (!line.starts_with("burlfall.requests:")) continue;
@@ -127,27 +128,27 @@
   CHECK(all == 5001);
   CHECK(names <= 256 + 6);
   CHECK(own == 1);
-  CHECK(set.counters.figures_dropped == 0);
-  for (int i = 0; i < 70; ++i) set.Flushed();  // those that say nothing make room
-  set.Ask("late-comer", 0);
-  CHECK(set.Flushed().find("tenant:late-comer") != std::string::npos);
+  CHECK(fixture.counters.figures_dropped == 0);
+  for (int i = 0; i < 70; ++i) fixture.Flushed();  // idle tenants are released
+  fixture.SendRequest("late-comer", 0);
+  CHECK(fixture.Flushed().find("tenant:late-comer") != std::string::npos);
 }
 
-TEST_CASE("of more tenants than there is room for each has its place while it asks") {
+TEST_CASE("with more configured tenants than fixed series, each has a series while it is active") {
   meadowslip::Settings names = Names();
   for (int i = 0; i < 60000; ++i)
     names.tenants.emplace_back().name = std::string("n").append(std::to_string(i));
   TextFile file;
   RealMachine machine;
   const size_t before = machine.ResidentBytes();
-  Outlet errors(machine.scheduler(), machine.StandardError());
+  LineSink errors(machine.scheduler(), machine.StandardError());
   Counters counters;
   Figures figures(machine, {.on = true, .target = file.path, .batch_bytes = 32768}, names, errors, counters);
   CHECK(machine.ResidentBytes() - before < size_t{16} << 20);
   for (int round = 0; round < 3; ++round) {
     for (int i = 0; i < 100; ++i) {
       const std::string tenant = std::string("n").append(std::to_string(20000 * round + i));
-      figures.Add(figures.Of(0, &tenant), Figure::kRequests);
+      figures.Add(figures.SeriesOf(0, &tenant), Figure::kRequests);
     }
     file.Write("");
     figures.Flush();
@@ -157,27 +158,27 @@
   }
 }
 
-TEST_CASE("of many times some stand for all, by their rate") {
-  Set set(false);
-  for (int i = 0; i < 128; ++i) set.Ask("akku-punkt-lu", 1000);
-  std::vector<std::string> lines = Lines(set.Flushed());
+TEST_CASE("many times are sampled, with the sample rate") {
+  FiguresInFile fixture(false);
+  for (int i = 0; i < 128; ++i) fixture.SendRequest("akku-punkt-lu", 1000);
+  std::vector<std::string> lines = Lines(fixture.Flushed());
   CHECK(std::count(lines.begin(), lines.end(),
                    "burlfall.request_time:1.000|ms|@0.25|#class:swap-charge,tenant:akku-punkt-lu") == 32);
 }
 
-TEST_CASE("where nothing can be written figures are dropped, the oldest first, and counted") {
-  Set set(false);
-  std::filesystem::remove(set.file.path);
-  std::filesystem::create_directory(set.file.path);  // no file can be opened there
-  set.Ask("akku-punkt-lu", 0);
-  set.figures.Flush();
-  CHECK(set.counters.figures_dropped == 3);
-  std::filesystem::remove(set.file.path);
-  set.figures.Flush();
-  CHECK(set.file.Text() == "burlfall.figures_dropped:3|c\n");
+TEST_CASE("if nothing can be written, figures are dropped, the oldest first, and counted") {
+  FiguresInFile fixture(false);
+  std::filesystem::remove(fixture.file.path);
+  std::filesystem::create_directory(fixture.file.path);  // a folder, so no file can be opened
+  fixture.SendRequest("akku-punkt-lu", 0);
+  fixture.figures.Flush();
+  CHECK(fixture.counters.figures_dropped == 3);
+  std::filesystem::remove(fixture.file.path);
+  fixture.figures.Flush();
+  CHECK(fixture.file.Text() == "burlfall.figures_dropped:3|c\n");
 }
 
-TEST_CASE("pipes and sockets that are full take lines later, whole and in order, and none of them blocks") {
+TEST_CASE("full pipes and sockets get lines later, complete and in order, and no write blocks") {
   signal(SIGPIPE, SIG_IGN);  // as the program does
   for (std::string kind : {"opened anew", "shared", "socket"}) {
     CAPTURE(kind);
@@ -185,45 +186,45 @@
     REQUIRE((kind == "socket" ? socketpair(AF_UNIX, SOCK_STREAM, 0, ends) : pipe(ends)) == 0);
     Descriptor in(ends[0]), out(ends[1]);
     RealMachine machine;
-    Outlet outlet(machine.scheduler(), WriteTo(out.get(), kind != "shared"));
+    LineSink sink(machine.scheduler(), WriteTo(out.get(), kind != "shared"));
     std::string sent;
-    Outlet::Taken taken = Outlet::Taken::kYes;
-    for (int i = 0; taken == Outlet::Taken::kYes; ++i) {
+    LineSink::Result taken = LineSink::Result::kWritten;
+    for (int i = 0; taken == LineSink::Result::kWritten; ++i) {
       const std::string lines = std::to_string(i) + std::string(6000, 'x') + "\n";
-      taken = outlet.Offer(lines);
-      if (taken == Outlet::Taken::kYes) sent += lines;
+      taken = sink.TryWrite(lines);
+      if (taken == LineSink::Result::kWritten) sent += lines;
     }
-    CHECK(taken == Outlet::Taken::kLater);
-    outlet.Say("said\n");
+    CHECK(taken == LineSink::Result::kNoRoom);
+    sink.WriteOrBuffer("said\n");
     sent += "said\n";
     CHECK((fcntl(out.get(), F_GETFL) & O_NONBLOCK) == 0);
-    CHECK_FALSE(outlet.Drain(50 * kMs));
-    std::string heard;
+    CHECK_FALSE(sink.Drain(50 * kMs));
+    std::string received;
     char piece[4096];
-    while (heard.size() < sent.size()) {
-      outlet.Drain(0);
+    while (received.size() < sent.size()) {
+      sink.Drain(0);
       REQUIRE(Readable(in.get(), kPatience * 1000));
-      heard.append(piece, static_cast<size_t>(read(in.get(), piece, sizeof piece)));
+      received.append(piece, static_cast<size_t>(read(in.get(), piece, sizeof piece)));
     }
-    CHECK(heard == sent);
+    CHECK(received == sent);
     in = Descriptor();
-    CHECK(outlet.Offer("nobody\n") == Outlet::Taken::kNo);
+    CHECK(sink.TryWrite("nobody\n") == LineSink::Result::kFailed);
   }
 }
 
-TEST_CASE("what waits for room stays under 64 KiB, and the oldest goes first") {
+TEST_CASE("the output queue stays under 64 KiB, and drops the oldest first") {
   int ends[2];
   REQUIRE(pipe(ends) == 0);
   Descriptor in(ends[0]), out(ends[1]);
   REQUIRE(fcntl(out.get(), F_SETPIPE_SZ, 4096) == 4096);
   RealMachine machine;
-  Outlet errors(machine.scheduler(), WriteTo(out.get()));
+  LineSink errors(machine.scheduler(), WriteTo(out.get()));
   Counters counters;
   Figures figures(machine, {.on = true}, Names(), errors, counters);
   const std::string tenant = "akku-punkt-lu";
   constexpr int kFlushes = 1500;
   for (int i = 0; i < kFlushes; ++i) {
-    const Figures::Series s = figures.Of(0, &tenant);
+    const Figures::Series s = figures.SeriesOf(0, &tenant);
     figures.Add(s, Figure::kRequests);
     figures.Opened(s);
     figures.Closed(s, Figure::kServed, i * kMs);
@@ -231,24 +232,24 @@
   }
   const uint64_t dropped = counters.figures_dropped;
   CHECK(dropped > 0);
-  std::string heard;
+  std::string received;
   char piece[4096];
-  while (heard.find("request_time:1499.000") == std::string::npos) {
+  while (received.find("request_time:1499.000") == std::string::npos) {
     figures.Flush();
     REQUIRE(Readable(in.get(), kPatience * 1000));
-    heard.append(piece, static_cast<size_t>(read(in.get(), piece, sizeof piece)));
+    received.append(piece, static_cast<size_t>(read(in.get(), piece, sizeof piece)));
   }
   figures.Flush();
   while (Readable(in.get(), 0)) {
-    heard.append(piece, static_cast<size_t>(read(in.get(), piece, sizeof piece)));
+    received.append(piece, static_cast<size_t>(read(in.get(), piece, sizeof piece)));
     figures.Flush();
   }
-  CHECK(heard.size() < 4096 + 64 * 1024 + 100);
-  CHECK(heard.find("request_time:0.000") != std::string::npos);    // in the pipe before it was full
-  CHECK(heard.find("request_time:700.000") == std::string::npos);  // long waiting: gone
-  CHECK(heard.find("request_time:1400.000") != std::string::npos);
+  CHECK(received.size() < 4096 + 64 * 1024 + 100);
+  CHECK(received.find("request_time:0.000") != std::string::npos);  // written to the pipe before it was full
+  CHECK(received.find("request_time:700.000") == std::string::npos);  // dropped from the queue
+  CHECK(received.find("request_time:1400.000") != std::string::npos);
   uint64_t told = 0, lines = 0;
-  for (const std::string& line : Lines(heard)) {
+  for (const std::string& line : Lines(received)) {
     CAPTURE(line);
     if (line.starts_with("burlfall.figures_dropped:")) {
       told += std::stoul(line.substr(25));
@@ -258,36 +259,36 @@
     }
   }
   CHECK(counters.figures_dropped == dropped);
-  CHECK(lines + dropped >= 3 * kFlushes);  // those dropped may be lines that told of others
+  CHECK(lines + dropped >= 3 * kFlushes);  // dropped lines may include earlier figures_dropped lines
   CHECK(told > 0);
 }
 
-TEST_CASE("a file that was moved away is made anew, and a closed standard error is left alone") {
-  Set set(false);
-  set.Ask("akku-punkt-lu", 0);
-  set.figures.Flush();
+TEST_CASE("a file that was moved away is reopened, and a closed standard error is not written to") {
+  FiguresInFile fixture(false);
+  fixture.SendRequest("akku-punkt-lu", 0);
+  fixture.figures.Flush();
   TextFile moved;
-  std::filesystem::rename(set.file.path, moved.path);
-  set.Ask("akku-punkt-lu", 0);
-  set.figures.Flush();
-  CHECK_FALSE(std::filesystem::exists(set.file.path));
-  set.figures.Reopen();
-  set.Ask("akku-punkt-lu", 0);
-  set.figures.Flush();
-  CHECK(Lines(set.file.Text()).size() == 3);
+  std::filesystem::rename(fixture.file.path, moved.path);
+  fixture.SendRequest("akku-punkt-lu", 0);
+  fixture.figures.Flush();
+  CHECK_FALSE(std::filesystem::exists(fixture.file.path));
+  fixture.figures.Reopen();
+  fixture.SendRequest("akku-punkt-lu", 0);
+  fixture.figures.Flush();
+  CHECK(Lines(fixture.file.Text()).size() == 3);
   CHECK(Lines(moved.Text()).size() == 6);
   RealMachine machine;
   int ends[2];
   REQUIRE(pipe(ends) == 0);
   Descriptor in(ends[0]);
   close(ends[1]);
-  Outlet closed(machine.scheduler(), WriteTo(ends[1]));
-  REQUIRE(dup2(in.get(), ends[1]) == ends[1]);  // the number is another's now
+  LineSink closed(machine.scheduler(), WriteTo(ends[1]));
+  REQUIRE(dup2(in.get(), ends[1]) == ends[1]);  // the descriptor's number now belongs to another file
   Descriptor other(ends[1]);
-  CHECK(closed.Offer("not for it\n") == Outlet::Taken::kNo);
+  CHECK(closed.TryWrite("not for it\n") == LineSink::Result::kFailed);
 }
 
-TEST_CASE("over UDP no datagram is over its size, and a collector that is gone costs figures alone") {
+TEST_CASE("no UDP datagram exceeds its size, and a collector that is gone costs only figures") {
   Peer server;
   std::optional<Collector> collector(std::in_place);
   TextFile file("figures.target = " + collector->target +
@@ -303,16 +304,16 @@
     CHECK(client.Read().ends_with("fine"));
   };
   ask("wechselstrom-aare");
-  std::string heard;
-  while (heard.find("burlfall.request_time:") == std::string::npos) {
-    std::string datagram = collector->Hear();
+  std::string received;
+  while (received.find("burlfall.request_time:") == std::string::npos) {
+    std::string datagram = collector->Receive();
     CHECK(datagram.size() <= 200);
     CHECK(datagram.ends_with('\n'));
-    heard += datagram;
+    received += datagram;
   }
-  CHECK(heard.find("burlfall.requests:1|c|#class:look,tenant:wechselstrom-aare\n") != std::string::npos);
-  CHECK(heard.find("burlfall.served:1|c|#class:look,tenant:wechselstrom-aare\n") != std::string::npos);
-  CHECK(heard.find("burlfall.attempts:1|c|#class:look,tenant:wechselstrom-aare\n") != std::string::npos);
+  CHECK(received.find("burlfall.requests:1|c|#class:look,tenant:wechselstrom-aare\n") != std::string::npos);
+  CHECK(received.find("burlfall.served:1|c|#class:look,tenant:wechselstrom-aare\n") != std::string::npos);
+  CHECK(received.find("burlfall.attempts:1|c|#class:look,tenant:wechselstrom-aare\n") != std::string::npos);
   collector.reset();
   std::string counters;
   for (int i = 0; i < 500 && counters.find("figures_dropped=") == std::string::npos; ++i) {
@@ -347,7 +348,7 @@
   program.Signal(SIGTERM);
   CHECK(program.EndsUnread());
   CHECK(program.Wait() == 0);
-  for (const std::string& line : Lines(program.output)) {  // none torn
+  for (const std::string& line : Lines(program.output)) {  // no line is truncated or mixed
     CAPTURE(line);
     CHECK((line.starts_with("burlfall: ") ||
            (line.starts_with("burlfall.") &&
--- a/tests/features/rate_limiter_test.cpp
+++ b/tests/features/rate_limiter_test.cpp
@@ -6,10 +6,10 @@
 namespace burlfall {
 namespace {
 
-DoorSettings Limits(double per_s, double burst) {
-  DoorSettings settings;
+RateLimitSettings Limits(double per_s, double burst) {
+  RateLimitSettings settings;
   settings.on = true;
-  settings.others = {per_s, burst};
+  settings.default_rate = {per_s, burst};
   return settings;
 }
 
@@ -80,8 +80,8 @@
 }
 
 TEST_CASE("a rate of 0 refuses everything permanently") {
-  DoorSettings settings = Limits(20, 40);
-  settings.own["shut"] = {0, 40};
+  RateLimitSettings settings = Limits(20, 40);
+  settings.rates_by_key["shut"] = {0, 40};
   RateLimiter limiter;
   limiter.Configure(settings);
   CHECK(limiter.CheckLimit("shut", kSecond) == kNever);
@@ -90,7 +90,7 @@
 }
 
 TEST_CASE("the table stays bounded and evicts the least recently seen caller") {
-  DoorSettings settings = Limits(0.001, 1);
+  RateLimitSettings settings = Limits(0.001, 1);
   settings.max_keys = 3;
   RateLimiter limiter;
   limiter.Configure(settings);
@@ -109,8 +109,8 @@
   RateLimiter limiter;
   limiter.Configure(Limits(1, 10));
   for (int i = 0; i < 10; ++i) CHECK_FALSE(limiter.CheckLimit("a", kSecond));
-  DoorSettings settings = Limits(1, 10);
-  settings.own["a"] = {100, 20};
+  RateLimitSettings settings = Limits(1, 10);
+  settings.rates_by_key["a"] = {100, 20};
   limiter.Configure(settings);
   CHECK(limiter.CheckLimit("a", kSecond) == 10000);
   settings.by_address = true;
--- a/tests/histories/ends_test.cpp
+++ b/tests/histories/ends_test.cpp
@@ -57,7 +57,7 @@
     const auto environment = [](const char* name) -> const char* {
       return std::string_view(name) == platform::kConfigVariable ? "config.json" : nullptr;
     };
-    errors_ = std::make_unique<Outlet>(world_.scheduler, machine_.StandardError());
+    errors_ = std::make_unique<LineSink>(world_.scheduler, machine_.StandardError());
     log_ = std::make_unique<Log>(world_.scheduler, *errors_, LogFormat::kText, counters_);
     program_ = std::make_unique<Program>(machine_, LoadConfig(environment, machine_.files()), Properties(),
                                          *log_, counters_);
@@ -102,7 +102,7 @@
   world::VirtualMachine machine_;
   Event pause_;
   Counters counters_;
-  std::unique_ptr<Outlet> errors_;
+  std::unique_ptr<LineSink> errors_;
   std::unique_ptr<Log> log_;
   std::unique_ptr<Program> program_;
   Micros began_ = 0;
--- a/tests/histories/virtual_run.h
+++ b/tests/histories/virtual_run.h
@@ -65,7 +65,7 @@
   struct Life {
     std::unique_ptr<world::VirtualMachine> machine;
     std::unique_ptr<Counters> counters;
-    std::unique_ptr<Outlet> errors;
+    std::unique_ptr<LineSink> errors;
     std::unique_ptr<Log> log;
     std::unique_ptr<Program> program;
     void End() {
@@ -127,7 +127,7 @@
     life.machine = std::make_unique<world::VirtualMachine>(
         world_, static_cast<std::size_t>(experiment_.site.balancers.descriptors));
     life.counters = std::make_unique<Counters>();
-    life.errors = std::make_unique<Outlet>(world_.scheduler, life.machine->StandardError());
+    life.errors = std::make_unique<LineSink>(world_.scheduler, life.machine->StandardError());
     life.log = std::make_unique<Log>(world_.scheduler, *life.errors, LogFormat::kJson, *life.counters);
     life.program = std::make_unique<Program>(*life.machine, Read(path), Properties(), *life.log,
                                              *life.counters, experiment_.start);
--- a/tests/stories/log_test.cpp
+++ b/tests/stories/log_test.cpp
@@ -67,8 +67,8 @@
     in = Descriptor(ends[0]);
     out = Descriptor(ends[1]);
     REQUIRE(fcntl(out.get(), F_SETPIPE_SZ, bytes) == bytes);
-    outlet.emplace(clock, WriteTo(out.get()));
-    log.emplace(clock, *outlet, format, counters);
+    sink.emplace(clock, WriteTo(out.get()));
+    log.emplace(clock, *sink, format, counters);
   }
   std::string Heard() {  // what has come so far
     std::string text;
@@ -80,7 +80,7 @@
   Clock clock;
   Descriptor in, out;
   Counters counters;
-  std::optional<Outlet> outlet;
+  std::optional<LineSink> sink;
   std::optional<Log> log;
 };
 
@@ -161,7 +161,7 @@
   CHECK(piped.counters.Text().ends_with(" log_dropped=" + std::to_string(dropped)));
   std::string heard = piped.Heard();
   for (std::string more = heard; !more.empty(); heard += more) {
-    piped.outlet->Flush();
+    piped.sink->Flush();
     more = piped.Heard();
   }
   piped.log->Tell<"capture_busy">();
