--- a/fuzz/toml_fuzz.cpp
+++ b/fuzz/toml_fuzz.cpp
@@ -1,4 +1,5 @@
-// Any bytes as a TOML file: reading them never crashes, and what it says is bounded and one line each.
+// Parses arbitrary bytes as a TOML file: this must not crash, and each error must be one line of limited
+// length.
 #include <algorithm>
 #include <cstddef>
 #include <cstdint>
@@ -11,7 +12,7 @@
 
 namespace {
 
-// How deep a value nests; all below it must know their lines.
+// Returns the nesting depth of a value; aborts if a value below it has no line.
 size_t Depth(const burlfall::TomlValue& value) {
   size_t deepest = 0;
   for (const burlfall::TomlValue& item : value.items) {
--- a/src/config/cluster_settings.h
+++ b/src/config/cluster_settings.h
@@ -1,5 +1,6 @@
-// What `serve --cluster FILE` reads: how a balancer knows the others (src/cluster, docs/cluster.md). A TOML
-// file, deploy/cluster.toml; without one, it knows of nobody and binds nothing.
+// Settings of `serve --cluster FILE`: how a balancer finds and monitors the other members of its site
+// (src/cluster, docs/cluster.md). The file is TOML, see deploy/cluster.toml. Without a file, the balancer
+// knows no other members and binds no address for them.
 #ifndef BURLFALL_CONFIG_CLUSTER_SETTINGS_H_
 #define BURLFALL_CONFIG_CLUSTER_SETTINGS_H_
 
@@ -11,6 +12,7 @@
 
 namespace burlfall {
 
+// Fields have the names of their keys in the file; the meanings are in cluster_settings.cpp.
 struct ClusterSettings {
   std::string site;
   std::string listen;
@@ -25,7 +27,7 @@
 };
 
 Schema<ClusterSettings> ClusterSchema();
-// `file` is the name to blame in errors.
+// `file` is the file's name for error messages.
 Loaded<ClusterSettings> ParseCluster(std::string_view file, std::string_view text);
 
 }  // namespace burlfall
--- a/src/config/council_settings.cpp
+++ b/src/config/council_settings.cpp
@@ -9,8 +9,9 @@
 namespace burlfall {
 namespace {
 
-// Work that a balancer may ask to own. Others are refused here: a slip in a name would own nothing for ever.
-constexpr std::string_view kWorks[] = {"freeze", "ejection", "list_call"};
+// The tasks that a balancer may ask to own. Other names are refused, because with a misspelt name the
+// balancer would never own anything.
+constexpr std::string_view kTasks[] = {"freeze", "ejection", "list_call"};
 
 constexpr std::string_view kChanges[] = {"node_out", "node_back", "drain",   "undrain",
                                          "reload",   "upgrade",   "restart", "voters"};
@@ -18,7 +19,7 @@
 constexpr std::string_view kReaches[] = {"nowhere", "where_scopes_meet", "everywhere"};
 
 template <size_t n>
-bool Knows(const std::string_view (&words)[n], const std::string& word) {
+bool Contains(const std::string_view (&words)[n], const std::string& word) {
   return std::ranges::find(words, word) != std::end(words);
 }
 
@@ -67,18 +68,18 @@
   if (freeze.change_lease_s < freeze.step_lease_s)
     findings.Add("freeze.change_lease_s", "step_lease_s at least", std::to_string(freeze.change_lease_s));
   for (size_t i = 0; i < freeze.emergencies.size(); ++i) {
-    if (Knows(kChanges, freeze.emergencies[i])) continue;
+    if (Contains(kChanges, freeze.emergencies[i])) continue;
     findings.Add("freeze.emergencies[" + std::to_string(i) + "]", OneOf(kChanges),
                  Quoted(freeze.emergencies[i]));
   }
   for (size_t i = 0; i < freeze.forbids.size(); ++i) {
     const CouncilForbids& line = freeze.forbids[i];
     const std::string at = "freeze.forbids[" + std::to_string(i) + "].";
-    if (!line.incident.empty() && !Knows(kIncidents, line.incident))
+    if (!line.incident.empty() && !Contains(kIncidents, line.incident))
       findings.Add(at + "incident", OneOf(kIncidents), Quoted(line.incident));
-    if (!line.change.empty() && !Knows(kChanges, line.change))
+    if (!line.change.empty() && !Contains(kChanges, line.change))
       findings.Add(at + "change", OneOf(kChanges), Quoted(line.change));
-    if (!Knows(kReaches, line.reach)) findings.Add(at + "reach", OneOf(kReaches), Quoted(line.reach));
+    if (!Contains(kReaches, line.reach)) findings.Add(at + "reach", OneOf(kReaches), Quoted(line.reach));
   }
 }
 
@@ -163,7 +164,7 @@
     if (!settings.told.empty()) CheckAddress(findings, "told", settings.told);
     CheckVoters(settings, findings);
     for (size_t i = 0; i < settings.wants.size(); ++i) {
-      if (std::ranges::find(kWorks, settings.wants[i]) != std::end(kWorks)) continue;
+      if (std::ranges::find(kTasks, settings.wants[i]) != std::end(kTasks)) continue;
       findings.Add("wants[" + std::to_string(i) + "]", "freeze, ejection or list_call",
                    Quoted(settings.wants[i]));
     }
--- a/src/config/council_settings.h
+++ b/src/config/council_settings.h
@@ -1,5 +1,7 @@
-// What `serve --council FILE` reads: who agrees on the site's log, and what this balancer does with it
-// (src/council, docs/council.md). A TOML file, deploy/council.toml; without one, nothing of it is on.
+// Settings of `serve --council FILE`: the voters of the site's replicated log (the council), and what this
+// balancer does with it (src/council, docs/council.md). The file is TOML, see deploy/council.toml. Without a
+// file, the council is off. Fields have the names of their keys in the file; the meanings are in
+// council_settings.cpp.
 #ifndef BURLFALL_CONFIG_COUNCIL_SETTINGS_H_
 #define BURLFALL_CONFIG_COUNCIL_SETTINGS_H_
 
@@ -16,7 +18,7 @@
   std::string address;
 };
 
-// What an incident forbids; an empty kind stands for all. The first that fits decides.
+// A rule about which changes an incident forbids; empty fields match all. The first match applies.
 struct CouncilForbids {
   std::string incident;
   std::string change;
@@ -51,7 +53,7 @@
 };
 
 Schema<CouncilSettings> CouncilSchema();
-// `file` is the name to blame in errors.
+// `file` is the file's name for error messages.
 Loaded<CouncilSettings> ParseCouncil(std::string_view file, std::string_view text);
 
 }  // namespace burlfall
--- a/src/config/explain.cpp
+++ b/src/config/explain.cpp
@@ -31,18 +31,18 @@
     if (row.is_table) row.table = key.table->meaning;
     if (!row.is_table) {
       const TomlValue value = key.get(defaults);
-      if (!key.is_required && value.type != TomlValue::Type::kNothing) row.by_default = ShowToml(value);
+      if (!key.is_required && value.type != TomlValue::Type::kNothing) row.default_value = ShowToml(value);
       continue;
     }
-    // What a table holds by default is for the struct around it to say, unless there may be none or many.
+    // The defaults of a table come from the enclosing struct, unless the table is optional or a list.
     void* inner = key.is_list ? nullptr : key.at(defaults, 0);
     const std::shared_ptr<void> fresh = key.table->make();
-    const std::string inner_path = row.path;  // `row` moves as more are added
+    const std::string inner_path = row.path;  // a copy, because `row` is invalidated as rows are added
     AddRows(*key.table, inner == nullptr ? fresh.get() : inner, inner_path, rows);
   }
 }
 
-// `given` is the file's table, or nullptr where the file gives none.
+// `given` is the file's table, or nullptr if the file has none.
 void AddValues(const TableSpec& table, void* object, const TomlValue* given, const std::string& path,
                std::vector<ValueRow>& rows) {
   for (const KeySpec& key : table.keys) {
@@ -70,11 +70,11 @@
 
 std::string DefaultText(const KeyRow& row) {
   if (row.is_required) return "none: required";
-  if (!row.by_default.empty()) return row.by_default;
+  if (!row.default_value.empty()) return row.default_value;
   return row.is_table ? "may be left out" : "not set";
 }
 
-// `text` as one cell of a markdown table.
+// Escapes `text` as one cell of a markdown table.
 std::string Cell(std::string_view text) {
   std::string cell;
   for (const char c : text) {
@@ -93,7 +93,7 @@
 
 std::string Header(const KeyRow& row) { return row.is_list ? "[[" + row.path + "]]" : "[" + row.path + "]"; }
 
-// The keys that stand directly in the table at `path`, and then a section for each table in it.
+// Appends the keys directly in the table at `path`, and then a section for each table in it.
 void AddSections(const std::vector<KeyRow>& rows, const std::string& path, std::string& page) {
   std::string lines;
   const auto is_child = [&](const KeyRow& row) {
@@ -103,8 +103,8 @@
   for (const KeyRow& row : rows) {
     if (row.is_table || !is_child(row)) continue;
     const std::string name = row.path.substr(path.empty() ? 0 : path.size() + 1);
-    const std::string by_default = row.by_default.empty() ? DefaultText(row) : Code(row.by_default);
-    lines += "| `" + name + "` | " + Cell(row.type) + " | " + row.unit + " | " + Cell(by_default) + " | " +
+    const std::string default_value = row.default_value.empty() ? DefaultText(row) : Code(row.default_value);
+    lines += "| `" + name + "` | " + Cell(row.type) + " | " + row.unit + " | " + Cell(default_value) + " | " +
              Cell(row.range) + " | " + Cell(row.meaning) + " |\n";
   }
   if (!lines.empty()) {
@@ -145,7 +145,8 @@
   std::string text = kind.name + ": " + kind.what + "\n";
   for (const KeyRow& row : KeyRows(kind.schema)) {
     text += "\n" + (row.is_table ? Header(row) : row.path) + "  ";
-    text += row.by_default.empty() ? std::string("(").append(DefaultText(row)) + ")" : "= " + row.by_default;
+    text += row.default_value.empty() ? std::string("(").append(DefaultText(row)) + ")"
+                                      : "= " + row.default_value;
     text += "\n    " + row.type;
     if (!row.unit.empty()) text += ", in " + row.unit;
     if (!row.range.empty()) text += ", " + row.range;
@@ -175,7 +176,7 @@
   for (const ValueRow& row : rows) {
     const bool is_set = row.value.type != TomlValue::Type::kNothing;
     lines.push_back(row.path + (is_set ? " = " + ShowToml(row.value) : "  (not set)"));
-    // One long value must not push all the others' marks out of sight.
+    // Lines over 60 bytes are not counted, so that one long value does not shift the notes of all others.
     if (lines.back().size() <= 60) width = std::max(width, lines.back().size());
   }
   std::string text;
--- a/src/config/kinds.h
+++ b/src/config/kinds.h
@@ -1,4 +1,5 @@
-// The kinds of files that `burlfall-config` knows. A room adds its own by one line in src/tools/kinds.cpp:
+// The kinds of configuration files that `burlfall-config` supports. A library adds its own
+// with one line in src/tools/kinds.cpp:
 //
 //   {"experiment", "what the laboratory plays", ExperimentSchema().Spec()},
 #ifndef BURLFALL_CONFIG_KINDS_H_
@@ -13,18 +14,18 @@
 namespace burlfall {
 
 struct Kind {
-  std::string name;  // names its reference page, and its files: NAME.toml and anything.NAME.toml
-  std::string what;  // one line for people
+  std::string name;  // of its reference page, and of its files: NAME.toml and anything.NAME.toml
+  std::string what;  // description in one line
   TableSpec schema;
-  std::string top_key =
-      "";  // a top-level key by which its files are known whatever their name; empty: `name`
+  // A top-level key that identifies files of this kind, whatever their name; empty: `name`.
+  std::string top_key = "";
 };
 
-// Defined by the program, not here, for its list reaches into the rooms above.
+// Defined by each program, because the list depends on libraries that depend on this one.
 const std::vector<Kind>& Kinds();
 
-// The kind of a file by its name or, failing that, by the first top-level key that tells one; nullptr if
-// neither does. `text` need not be right TOML.
+// Returns the kind of a file by its name or, failing that, by the first top-level key that identifies one;
+// nullptr if neither does. `text` need not be valid TOML.
 const Kind* KindOfFile(const std::vector<Kind>& kinds, std::string_view file, std::string_view text);
 
 }  // namespace burlfall
--- a/src/config/name_index.h
+++ b/src/config/name_index.h
@@ -1,4 +1,4 @@
-// Where a name stands in a list of the settings, found alike fast among three and among many thousand.
+// Finds the index of a name in a list of the settings, in constant time for lists of any length.
 #ifndef BURLFALL_CONFIG_NAME_INDEX_H_
 #define BURLFALL_CONFIG_NAME_INDEX_H_
 
@@ -11,19 +11,20 @@
 
 class NameIndex {
  public:
-  // Of elements with a `name`, which outlive this and stay as they are. Of equal ones the first counts.
+  // Indexes elements with a `name`, which must outlive this and not change. Find() gives the
+  // first of equal names.
   template <typename Named>
   explicit NameIndex(const std::vector<Named>& all) {
-    places_.reserve(all.size());
-    for (std::size_t i = 0; i < all.size(); ++i) places_.emplace(all[i].name, static_cast<int>(i));
+    index_.reserve(all.size());
+    for (std::size_t i = 0; i < all.size(); ++i) index_.emplace(all[i].name, static_cast<int>(i));
   }
-  int Find(std::string_view name) const {  // -1: it is none of them
-    const auto it = places_.find(name);
-    return it == places_.end() ? -1 : it->second;
+  int Find(std::string_view name) const {  // -1: not in the list
+    const auto it = index_.find(name);
+    return it == index_.end() ? -1 : it->second;
   }
 
  private:
-  std::unordered_map<std::string_view, int> places_;
+  std::unordered_map<std::string_view, int> index_;
 };
 
 }  // namespace burlfall
--- a/src/config/platform_config.cpp
+++ b/src/config/platform_config.cpp
@@ -18,11 +18,11 @@
 using simdjson::dom::element;
 using simdjson::dom::element_type;
 
-// The process itself needs some: listener, epoll, signals, discovery, the standard streams.
-constexpr int kFewestSockets = 16;
-constexpr double kLatestStart = 4e12;  // ms; a date
-constexpr int kMostCells = 65535;      // the wire's u16
-constexpr char kAnAddress[] = "an address such as 10.0.0.4:9000";
+// The process itself needs some sockets: listener, epoll, signals, discovery, the standard streams.
+constexpr int kMinSockets = 16;
+constexpr double kMaxStartTimeMs = 4e12;  // ms since the epoch (year 2096)
+constexpr int kMaxCell = 65535;           // the largest u16, the type in the wire format
+constexpr char kExpectedAddress[] = "an address such as 10.0.0.4:9000";
 
 std::string Digits(double number) { return std::to_string(static_cast<int64_t>(number)); }
 
@@ -40,7 +40,7 @@
   return root;
 }
 
-// A value as it is told: on one line, cut short. One that is not there is nothing.
+// Formats a value for an error message: on one line, truncated. A missing value is "nothing".
 std::string Shown(simdjson::simdjson_result<element> value) {
   return value.error() ? "nothing" : simdjson::minify(value.value_unsafe()).substr(0, 60);
 }
@@ -56,8 +56,8 @@
   throw BadConfig(what + ": expected " + expected + ", found " + found);
 }
 
-// Whether a key has no value. The platform may write null for it.
-bool LeftOut(simdjson::simdjson_result<element> value) { return value.error() || value.is_null(); }
+// Whether a key is missing or null; the platform may write null for a missing value.
+bool IsMissing(simdjson::simdjson_result<element> value) { return value.error() || value.is_null(); }
 
 element Object(element object, const char* key, const std::string& what) {
   const auto value = object[key];
@@ -71,34 +71,34 @@
   return text;
 }
 
-// Empty where it is left out.
+// Returns an empty text if the key is missing.
 std::string_view OptionalText(element object, const char* key, const std::string& what) {
-  return LeftOut(object[key]) ? std::string_view() : Text(object, key, what);
+  return IsMissing(object[key]) ? std::string_view() : Text(object, key, what);
 }
 
-// Guards what is told by the platform against being cut to a range, or replaced, in silence.
-double Number(element object, const char* key, const std::string& what, double fallback, double least,
-              double most) {
+// Refuses a value out of range, rather than clamping or replacing it silently.
+double Number(element object, const char* key, const std::string& what, double fallback, double min,
+              double max) {
   const auto value = object[key];
-  if (LeftOut(value)) return fallback;
+  if (IsMissing(value)) return fallback;
   double number = 0;
-  if (value.get(number) || !(number >= least && number <= most)) {
-    Refuse(what + key, "a number from " + Digits(least) + " to " + Digits(most), Shown(value));
+  if (value.get(number) || !(number >= min && number <= max)) {
+    Refuse(what + key, "a number from " + Digits(min) + " to " + Digits(max), Shown(value));
   }
   return number;
 }
 
-int Whole(element object, const char* key, const std::string& what, int fallback, int least, int most) {
+int WholeNumber(element object, const char* key, const std::string& what, int fallback, int min, int max) {
   const auto value = object[key];
-  if (LeftOut(value)) return fallback;
+  if (IsMissing(value)) return fallback;
   double number = 0;
-  if (value.get(number) || !(number >= least && number <= most) || number != std::floor(number)) {
-    Refuse(what + key, "a whole number from " + Digits(least) + " to " + Digits(most), Shown(value));
+  if (value.get(number) || !(number >= min && number <= max) || number != std::floor(number)) {
+    Refuse(what + key, "a whole number from " + Digits(min) + " to " + Digits(max), Shown(value));
   }
   return static_cast<int>(number);
 }
 
-std::string Plain(element value) {
+std::string PlainValue(element value) {
   switch (value.type()) {
     case element_type::STRING:
       return PlainName(std::string_view(value));
@@ -132,18 +132,18 @@
       if (objects) {
         Flatten(path + "." + std::to_string(n), item, out);
       } else {
-        list.append(n > 0 ? "," : "").append(Plain(item));
+        list.append(n > 0 ? "," : "").append(PlainValue(item));
       }
       ++n;
     }
     out += objects ? path + ".count=" + std::to_string(n) + "\n" : path + "=" + list + "\n";
   } else if (value.type() != element_type::NULL_VALUE) {
-    out += path + "=" + Plain(value) + "\n";
+    out += path + "=" + PlainValue(value) + "\n";
   }
 }
 
-// The position of a name in the settings; one that they don't name comes after all.
-int Position(const std::vector<std::string>& names, std::string_view name) {
+// Returns the index of a name in the settings' list, or the list's size if it is not in it.
+int IndexIn(const std::vector<std::string>& names, std::string_view name) {
   return static_cast<int>(std::find(names.begin(), names.end(), PlainName(name)) - names.begin());
 }
 
@@ -165,20 +165,21 @@
   if (const std::string_view address = OptionalText(e, "addr", what); !address.empty()) {
     const std::string text(address);
     const std::optional<Address> read = ReadAddress(text);
-    if (!read) Refuse(what + "addr", kAnAddress, Shown(text));
+    if (!read) Refuse(what + "addr", kExpectedAddress, Shown(text));
     host.address = *read;
   } else if (host.entry.state != meadowslip::BackendState::kGone) {
-    Refuse(what + "addr", kAnAddress, Shown(e["addr"]));
+    Refuse(what + "addr", kExpectedAddress, Shown(e["addr"]));
   }
-  // Zones, cells and starts bear on the rules: repeats stay in a group, and a cold node gets little.
-  if (!LeftOut(e["zone"])) host.entry.zone = Position(settings.zones, Text(e, "zone", what));
-  if (!LeftOut(e["kind"])) host.entry.kind = Position(settings.kinds, Text(e, "kind", what));
-  host.entry.cell = Whole(e, "cell", what, 0, 0, kMostCells);
+  // Zones, cells and start times affect safety rules (a request may be repeated only within a group; a cold
+  // node gets less load), so invalid values are errors.
+  if (!IsMissing(e["zone"])) host.entry.zone = IndexIn(settings.zones, Text(e, "zone", what));
+  if (!IsMissing(e["kind"])) host.entry.kind = IndexIn(settings.kinds, Text(e, "kind", what));
+  host.entry.cell = WholeNumber(e, "cell", what, 0, 0, kMaxCell);
   host.entry.started_at =
-      static_cast<meadowslip::Micros>(Number(e, "started_ms", what, 0, 0, kLatestStart) * 1000);
-  // A weight bears on none: one that says nothing is no ground for not hearing the list.
+      static_cast<meadowslip::Micros>(Number(e, "started_ms", what, 0, 0, kMaxStartTimeMs) * 1000);
+  // A weight affects no safety rule: one that is not positive counts as 1, and the list is accepted.
   double weight = 1;
-  if (!LeftOut(e["weight"]) && e["weight"].get(weight))
+  if (!IsMissing(e["weight"]) && e["weight"].get(weight))
     Refuse(what + "weight", "a number", Shown(e["weight"]));
   host.entry.size = weight > 0 ? weight : 1;
   return host;
@@ -228,38 +229,38 @@
   simdjson::dom::parser parser;
   element root = ParseJson(parser, text, path);
   const std::string what = std::string(path) + ": ";
-  // What is given by a variable or by a key, and how that is called where it can't be used.
-  struct Given {
+  // A value from an environment variable or a key, and the name of its source for error messages.
+  struct Source {
     std::string text;
     std::string where;
   };
-  auto given = [&](const char* variable, const char* key) -> Given {
+  auto given = [&](const char* variable, const char* key) -> Source {
     const char* value = environment(variable);
     if (value != nullptr) return {value, variable};
     return {std::string(Text(root, key, what)), what + key};
   };
-  auto address = [](const Given& one) {
+  auto address = [](const Source& one) {
     std::optional<Address> read = ReadAddress(one.text);
-    if (!read) Refuse(one.where, kAnAddress, Shown(one.text));
+    if (!read) Refuse(one.where, kExpectedAddress, Shown(one.text));
     return *read;
   };
   Config config;
-  const Given name = given(platform::kNameVariable, "name");
+  const Source name = given(platform::kNameVariable, "name");
   if (name.text.empty()) Refuse(name.where, "a name", Shown(name.text));
   config.name = name.text;
   config.listen = address(given(platform::kListenVariable, "listen"));
   config.discovery = address(given(platform::kDiscoveryVariable, "discovery"));
-  if (environment(platform::kAdminVariable) != nullptr || !LeftOut(root["admin"])) {
+  if (environment(platform::kAdminVariable) != nullptr || !IsMissing(root["admin"])) {
     config.admin = address(given(platform::kAdminVariable, "admin"));
   }
   if (const char* passed = environment(platform::kPassedVariable)) {
     const std::string number = passed;
-    auto [stop, wrong] = std::from_chars(passed, passed + number.size(), config.passed);
-    if (wrong != std::errc() || stop != passed + number.size() || config.passed < 0) {
+    auto [stop, wrong] = std::from_chars(passed, passed + number.size(), config.passed_listener);
+    if (wrong != std::errc() || stop != passed + number.size() || config.passed_listener < 0) {
       throw BadConfig(std::string(platform::kPassedVariable) + ": not a descriptor: " + number.substr(0, 60));
     }
   }
-  config.in_service = config.admin.length > 0 || config.passed >= 0;
+  config.in_service = config.admin.length > 0 || config.passed_listener >= 0;
   const char* folder = environment(platform::kFolderVariable);
   if (folder != nullptr && config.in_service) {
     std::string why;
@@ -273,12 +274,12 @@
   if (error != std::errc() || end != seed.data() + seed.size()) {
     Refuse(what + "seed", "1 to 16 hexadecimal digits", Shown(seed));
   }
-  if (!LeftOut(root["limits"])) {
-    constexpr int kMost = std::numeric_limits<int>::max();
+  if (!IsMissing(root["limits"])) {
+    constexpr int kMaxInt = std::numeric_limits<int>::max();
     const element limits = Object(root, "limits", what);
-    config.sockets = Whole(limits, "sockets", what + "limits.", config.sockets, kFewestSockets, kMost);
+    config.sockets = WholeNumber(limits, "sockets", what + "limits.", config.sockets, kMinSockets, kMaxInt);
     config.memory_mb =
-        static_cast<int>(Number(limits, "memory_mb", what + "limits.", config.memory_mb, 1, kMost));
+        static_cast<int>(Number(limits, "memory_mb", what + "limits.", config.memory_mb, 1, kMaxInt));
   }
   const element settings = Object(root, "settings", what);
   config.settings_json = simdjson::minify(settings);
@@ -289,7 +290,7 @@
   } catch (const meadowslip::BadInput& e) {
     throw BadConfig(what + e.what());
   }
-  config.known = ReadHostList(Object(root, "known", what), config.settings);
+  config.initial_hosts = ReadHostList(Object(root, "known", what), config.settings);
   return config;
 }
 
--- a/src/config/platform_config.h
+++ b/src/config/platform_config.h
@@ -1,4 +1,5 @@
-// What the program is told at its start: its addresses and limits, the list it last had, and the settings.
+// The platform's configuration of the program: addresses, limits, the initial server list and the settings.
+// It is read from environment variables and a JSON file.
 #ifndef BURLFALL_CONFIG_PLATFORM_CONFIG_H_
 #define BURLFALL_CONFIG_PLATFORM_CONFIG_H_
 
@@ -15,7 +16,7 @@
 
 namespace burlfall {
 
-// What is wrong with the configuration or with a list, in plain words.
+// Thrown for an invalid configuration or server list; the message is one line for operators.
 class BadConfig : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -23,12 +24,13 @@
 
 Address ParseAddress(const std::string& text);  // "10.0.0.4:9000" or "[::1]:9000"; throws BadConfig
 
-// Discovery's list, or what has changed in it.
+// A server of discovery's list.
 struct HostEntry {
   std::string name;
   Address address;
   meadowslip::BackendEntry entry;  // without its id
 };
+// Discovery's complete list (`full`), or the servers that have changed.
 struct HostList {
   uint64_t version = 0;
   bool full = false;
@@ -40,28 +42,29 @@
   std::string name;
   Address listen;
   Address discovery;
-  Address admin;  // of length 0: there is no second address
-  // The platform names a second address or passes a listener: then bodies may be large and slow.
+  Address admin;  // length 0: there is no admin address
+  // Whether the platform sets an admin address or passes a listener. Request bodies may then be large and
+  // slow to arrive.
   bool in_service = false;
-  int passed = -1;  // a descriptor that is the clients' listener; -1: none was passed
-  // Where small files may be kept between two processes; empty: nowhere.
+  int passed_listener = -1;  // inherited descriptor of the clients' listener; -1: none
+  // Folder for small files that outlive the process; empty: none.
   std::string folder;
   uint64_t seed = 0;
   int sockets = 1024;
   int memory_mb = 192;
-  HostList known;
+  HostList initial_hosts;
   meadowslip::Settings settings;
-  std::string settings_json;  // as they were given
+  std::string settings_json;  // the settings as minified JSON
 };
 
-// Returns nullptr for a variable that is not set.
+// Looks up an environment variable; returns nullptr if it is not set.
 using Environment = std::function<const char*(const char*)>;
 Config LoadConfig(const Environment& environment, Files& files);  // throws BadConfig
 
-// The nested JSON of the settings as the path=value lines that ParseSettings reads.
+// Converts the nested JSON of the settings to the path=value lines that ParseSettings() reads.
 std::string FlattenSettings(std::string_view json);
 
-// A name as it stands in path=value lines: no spaces, commas or line breaks.
+// Replaces spaces, commas and control characters, which a name in path=value lines can't contain, by `_`.
 std::string PlainName(std::string_view name);
 
 }  // namespace burlfall
--- a/src/config/properties.cpp
+++ b/src/config/properties.cpp
@@ -15,11 +15,11 @@
 
 namespace options = boost::program_options;
 
-constexpr size_t kMostKeyId = 16;
+constexpr size_t kMaxKeyIdBytes = 16;
 
 std::string Short(std::string_view text) { return std::string(text.substr(0, 40)); }
 
-// A key as it is told. A long one may be a secret that stands on the wrong side.
+// Formats a key for an error message. A long key is truncated: it may be a misplaced secret.
 std::string ShownKey(const std::string& key) {
   return key.size() <= 60 ? key.substr(0, key.size()) : key.substr(0, 14) + "...";
 }
@@ -35,23 +35,23 @@
   return value == "true";
 }
 
-int64_t Whole(const std::string& value, int64_t least, int64_t most) {
+int64_t Whole(const std::string& value, int64_t min, int64_t max) {
   int64_t number = 0;
   auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), number);
-  if (error != std::errc() || end != value.data() + value.size() || number < least || number > most) {
-    throw BadConfig("not a whole number from " + std::to_string(least) + " to " + std::to_string(most) +
-                    ": " + Short(value));
+  if (error != std::errc() || end != value.data() + value.size() || number < min || number > max) {
+    throw BadConfig("not a whole number from " + std::to_string(min) + " to " + std::to_string(max) + ": " +
+                    Short(value));
   }
   return number;
 }
 
-double Decimal(const std::string& value, double least, double most) {
+double Decimal(const std::string& value, double min, double max) {
   double number = 0;
   auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), number);
-  if (error != std::errc() || end != value.data() + value.size() || !std::isfinite(number) ||
-      number < least || number > most) {
+  if (error != std::errc() || end != value.data() + value.size() || !std::isfinite(number) || number < min ||
+      number > max) {
     std::ostringstream range;
-    range << "not a number from " << least << " to " << most << ": " << Short(value);
+    range << "not a number from " << min << " to " << max << ": " << Short(value);
     throw BadConfig(range.str());
   }
   return number;
@@ -62,11 +62,11 @@
   return value;
 }
 
-// What each key sets; a name that ends in a star stands for all that begin so, and is told the rest.
+// Setters by key. A name that ends in `*` matches all keys with that prefix; its setter receives the rest.
 using Setter = std::function<void(const std::string& value, const std::string& rest)>;
 using Setters = std::map<std::string, Setter>;
 
-void FiguresKeys(Setters& keys, FiguresSettings& figures) {
+void AddFiguresKeys(Setters& keys, FiguresSettings& figures) {
   keys["figures.format"] = [&](const std::string& value, const std::string&) {
     if (value != "statsd" && value != "influx") throw BadConfig("neither statsd nor influx: " + Short(value));
     figures.influx = value == "influx";
@@ -85,37 +85,38 @@
   };
 }
 
-// Rates and bursts come in any order, and where a caller has only one of the two the other is that of
-// `default`.
-struct DoorLines {
+// Collects rates and bursts, which may come in any order. If a caller has only one of the two, the other is
+// that of `default`.
+struct RateLimitLines {
   std::map<std::string, double> rates;
   std::map<std::string, double> bursts;
 
-  void Into(DoorSettings& door) const {
+  void ApplyTo(RateLimitSettings& rate_limits) const {
     auto given = [](const std::map<std::string, double>& all, const std::string& key, double fallback) {
       auto it = all.find(key);
       return it == all.end() ? fallback : it->second;
     };
-    door.others.per_s = given(rates, "default", door.others.per_s);
-    door.others.burst = given(bursts, "default", door.others.burst);
+    rate_limits.default_rate.per_s = given(rates, "default", rate_limits.default_rate.per_s);
+    rate_limits.default_rate.burst = given(bursts, "default", rate_limits.default_rate.burst);
     for (const auto* all : {&rates, &bursts}) {
       for (const auto& [key, value] : *all) {
         if (key == "default") continue;
-        door.own[key] = {given(rates, key, door.others.per_s), given(bursts, key, door.others.burst)};
+        rate_limits.rates_by_key[key] = {given(rates, key, rate_limits.default_rate.per_s),
+                                         given(bursts, key, rate_limits.default_rate.burst)};
       }
     }
   }
 };
 
-void DoorKeys(Setters& keys, DoorSettings& door, DoorLines& lines) {
+void AddRateLimitKeys(Setters& keys, RateLimitSettings& rate_limits, RateLimitLines& lines) {
   keys["door.key"] = [&](const std::string& value, const std::string&) {
     if (value != "tenant" && value != "address") {
       throw BadConfig("neither tenant nor address: " + Short(value));
     }
-    door.by_address = value == "address";
+    rate_limits.by_address = value == "address";
   };
   keys["door.max_keys"] = [&](const std::string& value, const std::string&) {
-    door.max_keys = static_cast<size_t>(Whole(value, 1, 1000000));
+    rate_limits.max_keys = static_cast<size_t>(Whole(value, 1, 1000000));
   };
   keys["door.rate.*"] = [&](const std::string& value, const std::string& key) {
     lines.rates[key] = Decimal(value, 0, 1e6);
@@ -125,7 +126,7 @@
   };
 }
 
-void CaptureKeys(Setters& keys, CaptureSettings& capture) {
+void AddCaptureKeys(Setters& keys, CaptureSettings& capture) {
   keys["capture.memory_kb"] = [&](const std::string& value, const std::string&) {
     capture.memory_kb = static_cast<size_t>(Whole(value, 64, 1048576));
   };
@@ -140,8 +141,8 @@
   };
 }
 
-// What is wrong with a key is told without showing it.
-std::string Secret(const std::string& value) {
+// Parses a secret key of 32 bytes in hexadecimal. The error message does not show the value.
+std::string ParseSecret(const std::string& value) {
   constexpr size_t kBytes = 32;
   std::string bytes;
   for (size_t i = 0; i + 2 <= value.size() && value.size() == 2 * kBytes; i += 2) {
@@ -153,7 +154,7 @@
   return bytes;
 }
 
-void TokensKeys(Setters& keys, TokensSettings& tokens) {
+void AddTokensKeys(Setters& keys, TokensSettings& tokens) {
   keys["tokens.required"] = [&](const std::string& value, const std::string&) {
     tokens.required = Flag(value);
   };
@@ -164,12 +165,12 @@
     const bool plain =
         id.find_first_not_of("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789_-") ==
         std::string::npos;
-    if (!plain || id.size() > kMostKeyId) throw BadConfig("an id is 1 to 16 letters, digits, - or _");
-    tokens.keys[id] = Secret(value);
+    if (!plain || id.size() > kMaxKeyIdBytes) throw BadConfig("an id is 1 to 16 letters, digits, - or _");
+    tokens.keys[id] = ParseSecret(value);
   };
 }
 
-const Setters::value_type* Match(const Setters& keys, const std::string& key) {
+const Setters::value_type* FindSetter(const Setters& keys, const std::string& key) {
   for (const auto& entry : keys) {
     std::string_view name = entry.first;
     if (name == key) return &entry;
@@ -180,13 +181,13 @@
 
 }  // namespace
 
-std::string Properties::On() const {
+std::string Properties::EnabledFeatures() const {
   std::string names;
   auto add = [&names](bool on, const char* name) {
     if (on) names.append(names.empty() ? "" : ", ").append(name);
   };
   add(figures.on, "figures");
-  add(door.on, "door");
+  add(rate_limits.on, "door");
   add(capture.on, "capture");
   add(tokens.on, "tokens");
   return names.empty() ? "none" : names;
@@ -195,13 +196,13 @@
 Properties LoadProperties(const std::string& path, Files& files) {
   Properties properties;
   Setters keys;
-  FiguresKeys(keys, properties.figures);
-  CaptureKeys(keys, properties.capture);
-  TokensKeys(keys, properties.tokens);
-  DoorLines door;
-  DoorKeys(keys, properties.door, door);
+  AddFiguresKeys(keys, properties.figures);
+  AddCaptureKeys(keys, properties.capture);
+  AddTokensKeys(keys, properties.tokens);
+  RateLimitLines rate_limit_lines;
+  AddRateLimitKeys(keys, properties.rate_limits, rate_limit_lines);
   const std::map<std::string, bool*> features = {{"figures", &properties.figures.on},
-                                                 {"door", &properties.door.on},
+                                                 {"door", &properties.rate_limits.on},
                                                  {"capture", &properties.capture.on},
                                                  {"tokens", &properties.tokens.on}};
 
@@ -217,7 +218,7 @@
     parsed = options::parse_config_file(text, known);
   } catch (const options::unknown_option& e) {
     throw BadConfig(path + ": unknown key " + ShownKey(e.get_option_name()));
-  } catch (const options::error&) {  // its own words would show the line, and with it perhaps a secret
+  } catch (const options::error&) {  // its message would show the line, which may hold a secret
     throw BadConfig(path + ": a line that is not key = value");
   }
   std::map<std::string, int> seen;
@@ -230,7 +231,7 @@
       bool* on = features.at(feature);
       if (key == feature + ".enabled") {
         enabled[feature] = Flag(value);
-      } else if (const auto* entry = Match(keys, key)) {
+      } else if (const auto* entry = FindSetter(keys, key)) {
         entry->second(value, key.substr(std::min(key.size(), entry->first.size() - 1)));
       }
       *on = true;
@@ -239,7 +240,7 @@
     }
   }
   for (const auto& [feature, on] : enabled) *features.at(feature) = on;
-  door.Into(properties.door);
+  rate_limit_lines.ApplyTo(properties.rate_limits);
   if (properties.tokens.on && properties.tokens.required && properties.tokens.keys.empty()) {
     throw BadConfig(path + ": tokens.required: there is no tokens.key to check them by");
   }
--- a/src/config/schema.cpp
+++ b/src/config/schema.cpp
@@ -13,10 +13,10 @@
 
 using Type = KeySpec::Type;
 
-constexpr size_t kMaxShownBytes = 60;    // of a value, in an error
-constexpr size_t kMaxListedBytes = 200;  // of the keys or words that would do
+constexpr size_t kMaxShownBytes = 60;    // of a value in an error message
+constexpr size_t kMaxListedBytes = 200;  // of the list of valid keys or words in an error message
 
-// Units a key may end in; the longest that fits is the key's.
+// Units that a key may end in; the longest match is the key's unit.
 constexpr std::array<std::string_view, 9> kUnits = {"ns",    "us",     "ms",      "s", "bytes",
                                                     "per_s", "per_ms", "percent", "hz"};
 
@@ -33,13 +33,14 @@
 
 std::string ShowBound(const Bound& bound, bool whole) {
   if (whole || bound.is_whole) return ShowToml(TomlValue::Whole(bound.whole));
-  // 1e6 was written for a million, and reads best as 1000000.
+  // A whole number given as a double (1e6) is shown as an integer (1000000).
   const bool reads_whole = std::abs(bound.number) < 1e15 && std::trunc(bound.number) == bound.number;
   return ShowToml(reads_whole ? TomlValue::Whole(static_cast<int64_t>(bound.number))
                               : TomlValue::Number(bound.number));
 }
 
-// "1 to 64", "above 0"; empty if every number will do. Members narrower than 64 bits limit their keys too.
+// Returns the limits of a number, such as "1 to 64" or "above 0"; empty without limits. The type of a member
+// narrower than 64 bits is a limit too.
 std::string NumberRange(const KeySpec& key) {
   const bool whole = key.type == Type::kWhole;
   std::optional<Bound> low = key.low;
@@ -74,7 +75,7 @@
   return text;
 }
 
-// `max_bytes` bounds the words that are listed, 0 meaning all.
+// `max_bytes` limits the length of the list of words; 0: no limit.
 std::string ElementType(const KeySpec& key, size_t max_bytes) {
   switch (key.type) {
     case Type::kFlag:
@@ -93,7 +94,7 @@
   return "";
 }
 
-// What an element of the key should have been: its type and its limits.
+// Returns what is expected of an element of the key: its type and limits.
 std::string ElementWanted(const KeySpec& key) {
   std::string text = ElementType(key, kMaxListedBytes);
   if (key.type == Type::kText && !key.is_list) {
@@ -116,7 +117,8 @@
   }
 }
 
-// How many single characters part `a` from `b`, a swap of neighbours being one; at most `bound` + 1.
+// Returns the edit distance between `a` and `b`, where a swap of adjacent characters is one edit; at most
+// `bound` + 1.
 size_t Distance(std::string_view a, std::string_view b, size_t bound) {
   constexpr size_t kMax = 48;
   if (a.size() > kMax || b.size() > kMax) return bound + 1;
@@ -138,7 +140,7 @@
   return std::min(d[a.size()][b.size()], bound + 1);
 }
 
-// Whether a number is of the key's type and within its limits.
+// Whether a number has the key's type and is within its limits.
 bool NumberFits(const KeySpec& key, const TomlValue& value) {
   if (key.type == Type::kWhole) {
     const int64_t n = value.whole;
@@ -152,7 +154,7 @@
          (!key.high || n <= key.high->number);
 }
 
-// What is wrong with one element of whatever type but a table, as `found` says it; empty if nothing is.
+// Returns the `found` part of the error for an element that is not a table; empty if the element is valid.
 std::string BadElement(const KeySpec& key, const TomlValue& value) {
   switch (key.type) {
     case Type::kFlag:
@@ -183,8 +185,8 @@
 
 std::string Element(const std::string& path, size_t i) { return path + "[" + std::to_string(i) + "]"; }
 
-// Reads one file into its struct. Errors pile up; what hangs on a wrong value is left unread, never guessed
-// at.
+// Parses one file into its struct and collects the errors. What depends on an invalid value is not read, and
+// no value is guessed.
 class Reader {
  public:
   explicit Reader(std::string_view file) : file_(file) {}
@@ -211,7 +213,7 @@
     }
   }
 
-  // By itself, what a value should be: used for the file's values and for defaults.
+  // Checks one value by itself; used for the file's values and for defaults.
   void Value(const KeySpec& key, const TomlValue& value, void* object, const std::string& path) {
     if (key.type == Type::kTable && !key.is_list) {
       if (value.type != TomlValue::Type::kTable) return Add(value.line, path, "a table", Found(value));
@@ -287,7 +289,7 @@
     }
 
    private:
-    // Follows "nodes[2].name" as far as the file goes; `line` becomes that of the last value on the way.
+    // Follows a path such as "nodes[2].name" as far as the file has it; sets `line` to the last value's line.
     bool Walk(std::string_view key, int& line) const {
       const TomlValue* value = &table_;
       while (!key.empty()) {
@@ -316,7 +318,7 @@
     int line_;
   };
 
-  // All that is to be said of a key's value: type and limits.
+  // Describes a key's valid values: type and limits.
   static std::string Wanted(const KeySpec& key) {
     if (!key.is_list) return ElementWanted(key);
     const std::string length = LengthRange(key);
@@ -324,7 +326,7 @@
   }
 
   void Unknown(const TableSpec& spec, const TomlValue& value, const std::string& path) {
-    // Looking for what was meant costs the most of all, so it is not done for errors that are only counted.
+    // The search for a similar name is the most expensive step, so errors that are only counted skip it.
     if (count_ >= kMaxConfigErrors) return Add(value.line, "", "", "");
     std::vector<std::string> names;
     for (const KeySpec& key : spec.keys) names.push_back(key.name);
@@ -335,7 +337,7 @@
   }
 
   std::string file_;
-  size_t count_ = 0;  // of all errors, kept or not
+  size_t count_ = 0;  // of all errors, including those that are not reported
   std::vector<ConfigError> errors_;
 };
 
@@ -373,7 +375,7 @@
     if (key.type == Type::kTable) AddFaults(*key.table, key.is_list ? at + "[]" : at, faults);
     if (key.is_required) {
       if (key.is_optional) fault("is both required and optional");
-      continue;  // no default counts
+      continue;  // its default is not used
     }
     if (key.type == Type::kTable) {
       size_t count = 0;
@@ -416,9 +418,9 @@
   size_t best_distance = 1 + std::max<size_t>(1, meant.size() / 3);
   for (const std::string& candidate : candidates) {
     size_t distance = Distance(meant, plain(candidate), best_distance);
-    // Another unit, or none, is the commonest slip of all.
+    // A wrong or missing unit is the most common mistake.
     if (without_unit(meant) == without_unit(candidate)) distance = std::min<size_t>(distance, 1);
-    // Words that share nothing are no slip of each other, however short.
+    // Words without a common character are not similar, however short they are.
     if (distance < best_distance && distance < std::max(meant.size(), candidate.size())) {
       best = &candidate;
       best_distance = distance;
--- a/src/config/schema.h
+++ b/src/config/schema.h
@@ -1,16 +1,16 @@
-// One definition of a TOML file, from which come its parser, its checks, `burlfall-config explain` and its
-// reference page. A complete use, from the struct to the value:
+// Defines a TOML file once; its parser, its checks, `burlfall-config explain` and its reference page are
+// derived from the definition. A complete example, from the struct to the value:
 //
 //   enum class Order { kFair, kFirstCome };
 //   struct Node {
 //     std::string name;
-//     double speed = 1.0;                     // defaults stand here, and only here
+//     double speed = 1.0;                     // the only place of the default
 //   };
 //   struct Site {
 //     int balancers = 3;
 //     Range<int64_t> delay_us = {200, 400};
 //     Order order = Order::kFair;
-//     std::optional<double> loss;             // may be left out, and then has no value
+//     std::optional<double> loss;             // optional; without a value if it is left out
 //     std::vector<Node> nodes;
 //   };
 //
@@ -24,16 +24,21 @@
 //   Schema<Site> SiteSchema() {
 //     Schema<Site> s("a site of the laboratory");
 //     s.Key("balancers", &Site::balancers, "balancers that the site starts").Between(1, 64);
-//     s.Key("delay_us", &Site::delay_us, "what a packet takes, drawn evenly").Unit("us").Between(0,
-//     1'000'000); s.Words("order", &Site::order, {{"fair", Order::kFair}, {"first-come", Order::kFirstCome}},
-//     "who is next"); s.Key("loss", &Site::loss, "the share of packets that is lost").Between(0, 1);
-//     s.Tables("nodes", &Site::nodes, NodeSchema(), "the nodes behind the balancers").Required().Length(1,
-//     1000); s.Check([](const Site& site, Findings& findings) {
+//     s.Key("delay_us", &Site::delay_us, "what a packet takes, drawn evenly")
+//         .Unit("us")
+//         .Between(0, 1'000'000);
+//     s.Words("order", &Site::order, {{"fair", Order::kFair}, {"first-come", Order::kFirstCome}},
+//             "who is next");
+//     s.Key("loss", &Site::loss, "the share of packets that is lost").Between(0, 1);
+//     s.Tables("nodes", &Site::nodes, NodeSchema(), "the nodes behind the balancers")
+//         .Required()
+//         .Length(1, 1000);
+//     s.Check([](const Site& site, Findings& findings) {
 //       std::set<std::string> names;
 //       for (size_t i = 0; i < site.nodes.size(); i++) {
 //         if (names.insert(site.nodes[i].name).second) continue;
 //         findings.Add("nodes[" + std::to_string(i) + "].name", "a name of its own",
-//         Quoted(site.nodes[i].name));
+//                      Quoted(site.nodes[i].name));
 //       }
 //     });
 //     return s;
@@ -43,19 +48,19 @@
 //   for (const ConfigError& error : loaded.errors) std::cerr << error.Line() << "\n";
 //   if (loaded.value) Run(*loaded.value);
 //
-// which takes
+// which accepts
 //
 //   balancers = 2
 //   delay_us = [100, 300]
 //   [[nodes]]
 //   name = "north"
 //
-// and says of a slip: `site.toml:2: delay_ms: expected a known key, found "delay_ms" (did you mean
+// and reports an error as `site.toml:2: delay_ms: expected a known key, found "delay_ms" (did you mean
 // "delay_us"?)`.
 //
 // Members may be any whole number but bool and char, double, bool, std::string, Range<int64_t>,
 // Range<double>, an enum (by Words), a struct with a schema of its own (by Table), and std::optional or
-// std::vector of any of these. A whole number in the file does for a double, never the other way round; NaN
+// std::vector of any of these. A whole number in the file is accepted for a double, but not the reverse; NaN
 // and infinities are refused.
 #ifndef BURLFALL_CONFIG_SCHEMA_H_
 #define BURLFALL_CONFIG_SCHEMA_H_
@@ -73,7 +78,7 @@
 
 namespace burlfall {
 
-// `[low, high]` in the file, low <= high.
+// A pair written `[low, high]` in the file, with low <= high.
 template <class N>
 struct Range {
   N low{};
@@ -81,11 +86,11 @@
   friend bool operator==(const Range&, const Range&) = default;
 };
 
-// All of a file or none of it.
+// The result of parsing a file: either a value or errors.
 template <class T>
 struct Loaded {
   std::optional<T> value;
-  std::vector<ConfigError> errors;  // by line; empty exactly when there is a value
+  std::vector<ConfigError> errors;  // in order of lines; empty if and only if there is a value
 };
 
 namespace schema_internal {
@@ -110,23 +115,23 @@
 
 }  // namespace schema_internal
 
-// What more there is to say about a key, chained to its definition.
+// Further options of a key, chained to its definition.
 class KeyOptions {
  public:
   explicit KeyOptions(KeySpec& key) : key_(key) {}
 
-  // Limits of a number, of each one in a list or a range.
+  // Limits of a number, or of each number in a list or a range.
   KeyOptions& Between(Bound low, Bound high) { return AtLeast(low), AtMost(high); }
   KeyOptions& AtLeast(Bound low) { return key_.low = low, *this; }
   KeyOptions& AtMost(Bound high) { return key_.high = high, *this; }
   KeyOptions& Above(Bound low) { return key_.low = low, key_.is_low_open = true, *this; }
-  // Limits of a text, in bytes, or of how many elements a list has.
+  // Limits of the length of a text in bytes, or of the number of elements of a list.
   KeyOptions& Length(size_t least, size_t most) {
     key_.min_length = least;
     key_.max_length = most;
     return *this;
   }
-  // "ms", "us", "s", "bytes", "per_s", ...; the key must end in it, as `wait_ms` does.
+  // "ms", "us", "s", "bytes", "per_s", ...; the key must end in it, as in `wait_ms`.
   KeyOptions& Unit(std::string_view unit) { return key_.unit = std::string(unit), *this; }
   KeyOptions& Required() { return key_.is_required = true, *this; }
 
@@ -138,7 +143,7 @@
 template <class T>
 class Schema {
  public:
-  // `meaning` is what such a table is, "a node of the site"; the reference page says it.
+  // `meaning` describes the table on the reference page, for example "a node of the site".
   explicit Schema(std::string meaning = "") {
     spec_.meaning = std::move(meaning);
     spec_.make = [] { return std::make_shared<T>(); };
@@ -148,13 +153,13 @@
   template <class M>
   KeyOptions Key(std::string name, M T::*member, std::string meaning);
 
-  // A key whose value is one of some words, each standing for a value of an enum.
+  // A key whose value is one of the given words, each for one value of an enum.
   template <class M>
   KeyOptions Words(std::string name, M T::*member,
                    std::vector<std::pair<std::string, schema_internal::ElementOf<M>>> words,
                    std::string meaning);
 
-  // A table of its own, `[name]`; an optional one has a value only if the file gives the table.
+  // A table `[name]`; an optional one has a value only if the file has the table.
   template <class M>
   KeyOptions Table(std::string name, M T::*member, const Schema<schema_internal::ElementOf<M>>& schema,
                    std::string meaning) {
@@ -169,7 +174,7 @@
     return AddTable(std::move(name), member, schema, std::move(meaning));
   }
 
-  // A check across keys. It runs once all below the table is right by itself, so it may trust what it sees.
+  // A check across keys. It runs only if every value in the table is valid by itself.
   template <class F>
   requires std::invocable<F, const T&, Findings&>
   void Check(F check) {
@@ -178,7 +183,7 @@
     });
   }
 
-  // `file` is the name to blame in errors; `text` is what it holds.
+  // `file` is the file's name for error messages; `text` is its content.
   Loaded<T> Parse(std::string_view file, std::string_view text) const {
     Loaded<T> loaded;
     T object;
@@ -197,7 +202,7 @@
     return key;
   }
 
-  // Sets how the member is written and read, given how one element is.
+  // Sets the accessors of the member, given the conversions of one element.
   template <class M, class From, class To>
   static void Bind(KeySpec& key, M T::*member, From from, To to);
 
@@ -208,11 +213,11 @@
   TableSpec spec_;
 };
 
-// ---- How members are bound; nothing below is needed to use a schema. ----
+// ---- Binding of members; not needed to use a schema ----
 
 namespace schema_internal {
 
-// How one element is written down and read: From sees only values that were checked against the key.
+// Conversions of one element. From() receives only values that were checked against the key.
 template <class E>
 struct Codec;
 
@@ -320,13 +325,13 @@
         for (const auto& [word, e] : *table) {
           if (word == value.text) return e;
         }
-        return E{};  // never: only words of the table pass the check
+        return E{};  // unreachable: only defined words pass the check
       },
       [table](const E& e) {
         for (const auto& [word, value] : *table) {
           if (value == e) return TomlValue::Text(word);
         }
-        return TomlValue::Text("");  // no word for it: SchemaFaults says so of a default
+        return TomlValue::Text("");  // the value has no word: SchemaFaults reports this for a default
       });
   return KeyOptions(key);
 }
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -12,10 +12,10 @@
 namespace meadowslip {
 namespace {
 
-// Settings by path, with typed access that names the key at fault.
-class Paths {
+// Values by path, with typed access; errors name the key.
+class PathValues {
  public:
-  explicit Paths(std::string_view text) {
+  explicit PathValues(std::string_view text) {
     while (!text.empty()) {
       size_t end = std::min(text.find('\n'), text.size());
       std::string_view line = text.substr(0, end);
@@ -36,7 +36,7 @@
     double value = 0;
     auto [end, error] = std::from_chars(s->data(), s->data() + s->size(), value);
     if (error != std::errc() || end != s->data() + s->size() || !(value >= low && value <= high)) {
-      Bad(key, Range(expected, low, high), *s);
+      Refuse(key, Range(expected, low, high), *s);
     }
     return value;
   }
@@ -47,16 +47,16 @@
   }
   int Count(const std::string& key, int fallback, int low = 0, int high = 65535) const {
     const double value = Number(key, fallback, low, high, "a whole number");
-    if (value != std::floor(value)) Bad(key, Range("a whole number", low, high), *Find(key));
+    if (value != std::floor(value)) Refuse(key, Range("a whole number", low, high), *Find(key));
     return static_cast<int>(value);
   }
   bool Flag(const std::string& key, bool fallback) const {
     const std::string* s = Find(key);
     if (s == nullptr) return fallback;
-    if (*s != "true" && *s != "false") Bad(key, "true or false", *s);
+    if (*s != "true" && *s != "false") Refuse(key, "true or false", *s);
     return *s == "true";
   }
-  // The position of the value among the words.
+  // Returns the index of the value in `words`.
   int Word(const std::string& key, int fallback, const std::vector<std::string_view>& words) const {
     const std::string* s = Find(key);
     if (s == nullptr) return fallback;
@@ -66,26 +66,26 @@
       for (size_t i = 0; i < words.size(); ++i) {
         expected.append(i == 0 ? "" : i + 1 < words.size() ? ", " : " or ").append(words[i]);
       }
-      Bad(key, expected, *s);
+      Refuse(key, expected, *s);
     }
     return static_cast<int>(it - words.begin());
   }
-  // Guards a deployment against being left without its classes or rules, where what is of another shape would
-  // be passed over as keys that are not known.
+  // Refuses a value that is not an object. Otherwise the keys expected below it would be missing, the value
+  // ignored as an unknown key, and the deployment left without its classes or rules.
   void Object(const std::string& key) const {
     const std::string* s = Find(key);
-    if (s != nullptr && !s->empty()) Bad(key, "an object", *s);
+    if (s != nullptr && !s->empty()) Refuse(key, "an object", *s);
   }
   int Objects(const std::string& key) const {
     const std::string* s = Find(key);
-    if (s != nullptr && !s->empty()) Bad(key, "a list of objects", *s);
-    if (Below(key) && Find(key + ".count") == nullptr) Bad(key, "a list of objects", "an object");
+    if (s != nullptr && !s->empty()) Refuse(key, "a list of objects", *s);
+    if (HasKeysBelow(key) && Find(key + ".count") == nullptr) Refuse(key, "a list of objects", "an object");
     const int n = Count(key + ".count", 0);
     for (int i = 0; i < n; ++i) Object(key + "." + std::to_string(i));
     return n;
   }
   std::string_view Names(const std::string& key) const {
-    if (Below(key)) Bad(key, "a list of names", "objects");
+    if (HasKeysBelow(key)) Refuse(key, "a list of names", "objects");
     return Text(key);
   }
   std::string_view Text(const std::string& key) const {
@@ -98,7 +98,7 @@
     auto it = values_.find(key);
     return it == values_.end() ? nullptr : &it->second;
   }
-  bool Below(const std::string& key) const {
+  bool HasKeysBelow(const std::string& key) const {
     const auto it = values_.lower_bound(key + ".");
     return it != values_.end() && it->first.starts_with(key + ".");
   }
@@ -107,8 +107,8 @@
     range << std::setprecision(10) << what << " from " << low << " to " << high;
     return range.str();
   }
-  [[noreturn]] static void Bad(const std::string& key, const std::string& expected,
-                               const std::string& found) {
+  [[noreturn]] static void Refuse(const std::string& key, const std::string& expected,
+                                  const std::string& found) {
     throw BadInput("settings." + key + ": expected " + expected + ", found " + found.substr(0, 60));
   }
   std::map<std::string, std::string> values_;
@@ -135,7 +135,7 @@
 }  // namespace
 
 Settings ParseSettings(std::string_view text) {
-  Paths in(text);
+  PathValues in(text);
   for (const char* group : {"Caps", "Rules", "Report", "Prices"}) in.Object(group);
   Settings s;
   s.nodes = in.Count("Balancers", 1, 1);
@@ -172,7 +172,7 @@
   s.gone_binds = !in.Flag("Rules.SoftRemoval", false);
   s.must_ask_within = in.Time("Rules.MustAskIn", 10000000);
   s.overload_factor = in.Number("Rules.OverloadFactor", s.overload_factor);
-  // At once, or warm from the start: a microsecond, the smallest time, is the same.
+  // 0 means at once (Fall) or warm from the start (WarmAfter); 1 us, the smallest time, has the same effect.
   s.overload_window = std::max<Micros>(1, in.Time("Rules.Fall", s.overload_window));
   s.start_capacity = in.Share("Rules.StartCapacity", s.start_capacity);
   s.warm_after = std::max<Micros>(1, in.Time("Rules.WarmAfter", s.warm_after));
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -1,4 +1,4 @@
-// The settings of a deployment, as the simulator's wire and the platform's configuration write them.
+// Parses the settings of a deployment as the simulator's wire and the platform's configuration write them.
 #ifndef MEADOWSLIP_CONFIG_SETTINGS_H_
 #define MEADOWSLIP_CONFIG_SETTINGS_H_
 
@@ -9,13 +9,13 @@
 
 namespace meadowslip {
 
-// What is wrong with an input, in plain words.
+// Thrown for invalid input; the message is one line for operators.
 class BadInput : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// From path=value lines; keys that it does not know are passed over. Throws BadInput.
+// Parses path=value lines; unknown keys are ignored. Throws BadInput.
 Settings ParseSettings(std::string_view text);
 
 }  // namespace meadowslip
--- a/src/config/start_settings.h
+++ b/src/config/start_settings.h
@@ -1,5 +1,6 @@
-// What `serve --start FILE` reads: how a balancer that starts spares the list service, the nodes and its
-// clients (src/start, docs/start.md). A TOML file, deploy/start.toml; without one, nothing of this is on.
+// Settings of `serve --start FILE`: how a starting balancer limits its load on the list service and the
+// nodes, and protects its clients (src/start, docs/start.md). The file is TOML, see deploy/start.toml.
+// Without a file, none of this is on. Fields have the names of their keys in the file.
 #ifndef BURLFALL_CONFIG_START_SETTINGS_H_
 #define BURLFALL_CONFIG_START_SETTINGS_H_
 
@@ -29,9 +30,9 @@
 };
 
 Schema<StartSettings> StartSchema();
-// As a file that reads back as the same.
+// Returns the settings as the text of a file; ParseStart() reads the same settings from it.
 std::string WriteStart(const StartSettings& settings);
-// `file` is the name to blame in errors.
+// `file` is the file's name for error messages.
 Loaded<StartSettings> ParseStart(std::string_view file, std::string_view text);
 
 }  // namespace burlfall
--- a/src/config/toml_file.cpp
+++ b/src/config/toml_file.cpp
@@ -1,15 +1,15 @@
 #include "config/toml_file.h"
 
-// The whole of toml++ is compiled here, once, and without exceptions: an error is a value like any other.
+// toml++ (header-only) is compiled only here, without exceptions: errors are return values.
 #define TOML_HEADER_ONLY 1
 #define TOML_EXCEPTIONS 0
 #define TOML_ENABLE_UNRELEASED_FEATURES 0
-// toml++ asserts, or assumes where NDEBUG stands, what a broken file can break ("[" and a control character);
-// the checks behind its asserts report that well, so in this file there are none, in any build.
+// toml++ asserts, or with NDEBUG assumes, conditions that a malformed file can violate ("[" and a control
+// character). The checks after its asserts report such files correctly, so asserts are off in this file.
 #undef NDEBUG
 #define TOML_ASSERT(expr) static_assert(true)
-// Its tables of white space mark what is none as unreachable, and "\u046E" outside a string does reach it.
-// None it is.
+// The white space tables of toml++ mark other characters as unreachable, but "\u046E" outside a string
+// reaches that code. Such a character is no white space.
 #include <toml++/impl/preprocessor.h>
 #pragma push_macro("TOML_UNREACHABLE")
 #undef TOML_UNREACHABLE
@@ -29,8 +29,8 @@
 namespace burlfall {
 namespace {
 
-constexpr size_t kMaxNameBytes = 300;  // of a file or a key, in an error
-constexpr size_t kMaxSaidBytes = 400;  // of what was expected or found
+constexpr size_t kMaxNameBytes = 300;    // of the name of a file or key in an error message
+constexpr size_t kMaxDetailBytes = 400;  // of what was expected or found in an error message
 
 struct Character {
   uint32_t code = 0;
@@ -38,7 +38,7 @@
   bool valid = false;
 };
 
-// The character at the head of a text that isn't empty. Bytes that are no UTF-8 count one by one.
+// Returns the first character of a non-empty text. A byte that is not valid UTF-8 is one character.
 Character Head(std::string_view text) {
   const auto byte = [&](size_t i) { return static_cast<uint32_t>(static_cast<unsigned char>(text[i])); };
   if (byte(0) < 0x80) return {byte(0), 1, true};
@@ -52,14 +52,14 @@
   return {code, bytes, true};
 }
 
-// Whether a character would break the line it stands on, hide, or turn the text around it.
+// Whether a character breaks the line, is invisible, or changes the direction of the text around it.
 bool MustEscape(const Character& c) {
   return !c.valid || c.code < 0x20 || (c.code >= 0x7F && c.code < 0xA0) ||
          (c.code >= 0x200B && c.code <= 0x200F) || (c.code >= 0x2028 && c.code <= 0x202E) ||
          (c.code >= 0x2060 && c.code <= 0x206F) || c.code == 0xFEFF;
 }
 
-// `text` fit for one line. Quotes and backslashes are escaped only if it goes between quotes.
+// Escapes `text` for one line. Quotes and backslashes are escaped only if it goes between quotes.
 std::string OneLine(std::string_view text, size_t max_bytes, bool for_quotes) {
   std::string line;
   while (!text.empty()) {
@@ -95,9 +95,9 @@
   return {digits, std::to_chars(digits, digits + sizeof digits, number).ptr};
 }
 
-// Where a text nests deeper than the bounds allow. toml++ and all that walks its tree recurse, so this is
-// looked at before anything else. It follows strings and comments, and counts brackets and the dots of each
-// key.
+// Finds the position where a text nests deeper than the limits allow. toml++ and the code that walks its tree
+// are recursive, so this is checked before anything else. The scan skips strings and comments, and counts
+// brackets and the dots of each key.
 std::optional<ConfigError> FindTooDeep(std::string_view text) {
   size_t depth = 0;
   size_t dots = 0;
@@ -134,12 +134,13 @@
         } else if (text[i] == c && (!is_long || text.substr(i, 3) == std::string(3, c))) {
           if (is_long) {
             i += 2;
-            while (i + 1 < text.size() && text[i + 1] == c) i++;  // up to two quotes may stand before the end
+            while (i + 1 < text.size() && text[i + 1] == c)
+              i++;  // up to two quotes may precede the closing ones
           }
           break;
         }
       }
-      if (i < text.size() && text[i] == '\n') i--;  // an unended string: let the outer loop count the line
+      if (i < text.size() && text[i] == '\n') i--;  // an unterminated string: the outer loop counts the line
     } else if (c == '[' || c == '{') {
       if (++depth > kMaxTomlNesting) return error(i, "lists and tables", kMaxTomlNesting);
     } else if (c == ']' || c == '}') {
@@ -198,7 +199,7 @@
   return value;
 }
 
-// toml++ says "Error while parsing SCOPE: REASON", and often "expected A, saw B" for a reason.
+// Splits a message of toml++: "Error while parsing SCOPE: REASON", where REASON is often "expected A, saw B".
 ConfigError FromTomlError(const toml::parse_error& error) {
   ConfigError e;
   e.line = static_cast<int>(error.source().begin.line);
@@ -282,8 +283,8 @@
   if (line > 0) text += std::to_string(line) + ":";
   if (column > 0) text += std::to_string(column) + ":";
   if (!key.empty()) text += " " + OneLine(key, kMaxNameBytes, false) + ":";
-  return text + " expected " + OneLine(expected, kMaxSaidBytes, false) + ", found " +
-         OneLine(found, kMaxSaidBytes, false);
+  return text + " expected " + OneLine(expected, kMaxDetailBytes, false) + ", found " +
+         OneLine(found, kMaxDetailBytes, false);
 }
 
 TomlText ReadToml(std::string_view file, std::string_view text) {
@@ -318,11 +319,13 @@
     case TomlValue::Type::kWhole:
       return Digits(value.whole);
     case TomlValue::Type::kNumber:
-      // Finite numbers come as short as they can be read back; TOML knows neither "-nan" nor "infinity".
+      // Finite numbers are as short as they can be without loss; TOML has neither "-nan" nor "infinity".
       if (std::isnan(value.number)) return "nan";
       if (std::isinf(value.number)) return value.number > 0 ? "inf" : "-inf";
       shown = Digits(value.number);
-      return shown.find_first_of(".e") == std::string::npos ? shown + ".0" : shown;  // else it read as kWhole
+      return shown.find_first_of(".e") == std::string::npos
+                 ? shown + ".0"
+                 : shown;  // otherwise it would be parsed as kWhole
     case TomlValue::Type::kText:
       return Quoted(value.text, max_bytes);
     case TomlValue::Type::kDate:
--- a/tests/config/sample.h
+++ b/tests/config/sample.h
@@ -1,4 +1,4 @@
-// A kind of file with a key of every type, for the tests, the fuzzer and the sample tool.
+// A sample kind of file with a key of every type, for the tests, the fuzzer and the sample tool.
 #ifndef BURLFALL_TESTS_CONFIG_SAMPLE_H_
 #define BURLFALL_TESTS_CONFIG_SAMPLE_H_
 
--- a/tests/config/schema_test.cpp
+++ b/tests/config/schema_test.cpp
@@ -1,3 +1,4 @@
+// Schemas, TOML parsing, `burlfall-config` with the sample kind of sample.h, and properties for random input.
 #include "config/schema.h"
 
 #include <gtest/gtest.h>
@@ -30,7 +31,7 @@
   return kSchema.Parse("f.toml", text);
 }
 
-// The errors of a file, a line each; "" if it is right.
+// Returns the errors of a file, one per line; "" if it is valid.
 std::string Errors(const std::string& text) {
   std::string lines;
   const Loaded<Site> loaded = Read(text);
@@ -39,7 +40,7 @@
   return lines;
 }
 
-// The one error of a file whose node is right, without the file's name.
+// Returns the single error of a file that consists of `text` and a valid node, without the file's name.
 std::string Error(const std::string& text) {
   const std::string lines = Errors(text + "\n" + kNode);
   EXPECT_EQ(std::count(lines.begin(), lines.end(), '\n'), 1) << lines;
@@ -96,13 +97,13 @@
   ASSERT_TRUE(loaded.value);
   EXPECT_EQ(loaded.value->balancers, 3);
   EXPECT_EQ(loaded.value->weights, (std::vector<int8_t>{1, 2}));
-  EXPECT_EQ(loaded.value->queue.limit, 50);  // the struct around it says so, whatever Queue itself does
+  EXPECT_EQ(loaded.value->queue.limit, 50);  // the enclosing struct's default overrides Queue's own
   EXPECT_FALSE(loaded.value->loss);
   EXPECT_FALSE(loaded.value->spare);
   EXPECT_EQ(loaded.value->nodes[0].speed, 1.0);
 }
 
-// One thing wrong each: the text, and all that is said of it behind "f.toml:".
+// Texts with one error each, and the whole message after "f.toml:".
 struct Slip {
   const char* text;
   const char* error;
@@ -149,11 +150,11 @@
      "found \"to many a title this would be far too long\" of 42"},
     {"order = 'fiar'", R"(1: order: expected one of fair, first-come, found "fiar" (did you mean "fair"?))"},
     {"order = 'x'", R"(1: order: expected one of fair, first-come, found "x")"},
-    // what the members can't hold
+    // numbers that the members can't hold
     {"weights = [127, 128]", "1: weights[1]: expected a whole number from -128 to 127, found 128"},
     {"queue.limit = 65536", "1: queue.limit: expected a whole number from 1 to 65535, found 65536"},
     {"seed = -1", "1: seed: expected a whole number, at least 0, found -1"},
-    // what is no TOML
+    // invalid TOML
     {"seed = 9223372036854775808",
      "1:27: expected valid TOML, found '9223372036854775808' is not representable in 64 bits"},
     {"seed = 1\nseed = 2", "2:8: seed: expected each key once, found this one again"},
@@ -164,11 +165,11 @@
      "1:11: expected valid TOML, found control characters other than TAB (U+0009) are explicitly "
      "prohibited"}};
 
-TEST(Schema, GivesEachSlipOneLine) {
+TEST(Schema, ReportsEachErrorInOneLine) {
   for (const Slip& slip : kSlips) EXPECT_EQ(Error(slip.text), slip.error) << slip.text;
 }
 
-TEST(Schema, FindsWhatIsMissing) {
+TEST(Schema, ReportsMissingKeys) {
   EXPECT_EQ(Errors("order = 'fair'"),
             "f.toml:1: nodes: expected an array of tables with 1 to 3 tables, found nothing\n");
   EXPECT_EQ(Errors("\n[[nodes]]\nspeed = 1\n[[nodes.faults]]"),
@@ -182,10 +183,10 @@
 TEST(Schema, NamesTheLineOfACrossCheck) {
   EXPECT_EQ(Errors(kNode + "\n[[nodes]]\nspeed = 1\nname = 'n'"),
             "f.toml:6: nodes[1].name: expected a name of its own, found \"n\"\n");
-  // The key that is missed has no line; the table that should have it does.
+  // A missing key has no line; the error has the line of the table.
   EXPECT_EQ(Errors(kNode + "[queue]\nstrict = true"),
             "f.toml:3: queue.limit: expected a limit, for the queue is strict, found nothing\n");
-  // No cross check sees values that are wrong by themselves.
+  // Cross checks don't run on values that are invalid by themselves.
   EXPECT_EQ(Errors(kNode + kNode + "speed = 0"),
             "f.toml:5: nodes[1].speed: expected a number from 0.1 to 100, found 0\n");
 }
@@ -215,8 +216,8 @@
   EXPECT_EQ(error.Line(), "a\\u000Ab:1: expected x, found y");
 }
 
-// toml++ 3.3 by itself overflows the stack, trips an assertion or runs into "unreachable" code on these.
-TEST(Toml, SurvivesWhatBreaksTheParser) {
+// On these texts toml++ 3.3 by itself overflows the stack, fails an assertion or reaches "unreachable" code.
+TEST(Toml, SurvivesTextsThatCrashTheParser) {
   std::string dots = "a";
   for (int i = 0; i < 100'000; i++) dots += ".a";
   EXPECT_EQ(Error(dots + " = 1"), "1:64: expected dotted keys at most 32 deep, found more");
@@ -240,11 +241,11 @@
             "");
   EXPECT_EQ(Error("tags = ['''a'''', " + deep),
             "1:50: expected lists and tables at most 32 deep, found more");
-  // An unended string hides nothing that follows its line.
+  // An unterminated string does not hide the lines after it.
   EXPECT_EQ(Error("title = \"\nx = " + deep), "2:37: expected lists and tables at most 32 deep, found more");
 }
 
-// ---- the definition itself ----
+// ---- Faults of the definition itself ----
 
 struct Bad {
   int a = 0;
@@ -256,7 +257,7 @@
   sample::Node g = {};
 };
 
-TEST(Schema, KnowsItsOwnFaults) {
+TEST(Schema, ReportsFaultsOfItsDefinition) {
   EXPECT_EQ(SchemaFaults(sample::SiteSchema().Spec()), std::vector<std::string>());
   Schema<Bad> s;
   s.Key("a", &Bad::a, "m").Unit("ms").Between(0.5, 2);
@@ -289,11 +290,11 @@
   EXPECT_EQ(SchemaFaults(s.Spec()), expected);
 }
 
-// ---- explain ----
+// ---- Explain ----
 
 Kind SampleKind() { return {"sample", "what the tests read", sample::SiteSchema().Spec(), "nodes"}; }
 
-TEST(Explain, TellsOneKey) {
+TEST(Explain, DescribesOneKey) {
   for (const KeyRow& row : KeyRows(SampleKind().schema)) {
     if (row.path != "nodes.speed") continue;
     EXPECT_EQ(ExplainKey(SampleKind(), row),
@@ -304,7 +305,7 @@
   FAIL() << "no such key";
 }
 
-TEST(Explain, TellsTheValuesInForce) {
+TEST(Explain, ListsTheValuesInForce) {
   const FileValues values = ValuesInForce(sample::SiteSchema().Spec(), "f.toml",
                                           "order = 'first-come'\nqueue.strict = false\n" + kNode);
   EXPECT_TRUE(values.errors.empty());
@@ -328,7 +329,7 @@
   EXPECT_TRUE(ValuesInForce(sample::SiteSchema().Spec(), "f.toml", "x = 1").rows.empty());
 }
 
-TEST(Kinds, AreKnownByNameOrKey) {
+TEST(Kinds, AreIdentifiedByNameOrKey) {
   const std::vector<Kind> kinds = {SampleKind(), {"other", "", {}}};
   EXPECT_EQ(KindOfFile(kinds, "a/sample.toml", ""), &kinds[0]);
   EXPECT_EQ(KindOfFile(kinds, "a/x.other.toml", "nodes = 1"), &kinds[1]);
@@ -337,21 +338,21 @@
   EXPECT_EQ(KindOfFile(kinds, "another.toml", "x = 1"), nullptr);
 }
 
-// ---- the program ----
+// ---- The program ----
 
-struct Ran {
+struct ToolResult {
   int code;
-  std::string out;  // and what it said on standard error
+  std::string out;  // standard output and standard error
 };
-Ran Tool(const std::string& arguments) {
-  Ran ran{-1, ""};
+ToolResult RunTool(const std::string& arguments) {
+  ToolResult result{-1, ""};
   FILE* pipe = popen((std::string(SAMPLE_TOOL) + " " + arguments + " 2>&1").c_str(), "r");
-  if (pipe == nullptr) return ran;
+  if (pipe == nullptr) return result;
   char buffer[4096];
-  for (size_t n = 0; (n = fread(buffer, 1, sizeof buffer, pipe)) > 0;) ran.out.append(buffer, n);
+  for (size_t n = 0; (n = fread(buffer, 1, sizeof buffer, pipe)) > 0;) result.out.append(buffer, n);
   const int status = pclose(pipe);
-  ran.code = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
-  return ran;
+  result.code = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
+  return result;
 }
 
 class Program : public testing::Test {
@@ -373,57 +374,57 @@
 TEST_F(Program, ChecksFiles) {
   const std::string good = File("a.sample.toml", kNode);
   const std::string bad = File("b.toml", "balancers = 0\n" + kNode);
-  EXPECT_EQ(Tool("check " + good).out, good + ": a right sample\n");
-  EXPECT_EQ(Tool("check " + good).code, 0);
-  const Ran ran = Tool("check " + bad);
-  EXPECT_EQ(ran.code, 2);
-  EXPECT_EQ(ran.out, bad + ":1: balancers: expected a whole number from 1 to 64, found 0\n");
-  EXPECT_NE(Tool("check --json " + bad).out.find("\"line\": 1,"), std::string::npos);
-  EXPECT_EQ(Tool("check " + dir_.string()).code, 2);
-  EXPECT_NE(Tool("check " + dir_.string() + "/none.toml").out.find("No such file"), std::string::npos);
+  EXPECT_EQ(RunTool("check " + good).out, good + ": a right sample\n");
+  EXPECT_EQ(RunTool("check " + good).code, 0);
+  const ToolResult result = RunTool("check " + bad);
+  EXPECT_EQ(result.code, 2);
+  EXPECT_EQ(result.out, bad + ":1: balancers: expected a whole number from 1 to 64, found 0\n");
+  EXPECT_NE(RunTool("check --json " + bad).out.find("\"line\": 1,"), std::string::npos);
+  EXPECT_EQ(RunTool("check " + dir_.string()).code, 2);
+  EXPECT_NE(RunTool("check " + dir_.string() + "/none.toml").out.find("No such file"), std::string::npos);
   const std::string unknown = File("c.toml", "");
-  EXPECT_EQ(Tool("check " + unknown).code, 2);
-  EXPECT_NE(Tool("check --kind sample " + unknown).out.find("nodes: expected"), std::string::npos);
+  EXPECT_EQ(RunTool("check " + unknown).code, 2);
+  EXPECT_NE(RunTool("check --kind sample " + unknown).out.find("nodes: expected"), std::string::npos);
 }
 
 TEST_F(Program, ExplainsFileKeyAndKind) {
-  EXPECT_NE(Tool("explain " + File("a.toml", kNode)).out.find("nodes[0].name = \"n\""), std::string::npos);
-  EXPECT_NE(Tool("explain 'nodes[3].speed'").out.find("0.1 to 100"), std::string::npos);
-  EXPECT_NE(Tool("explain sample").out.find("\n[[nodes.faults]]  (may be left out)\n"), std::string::npos);
-  EXPECT_EQ(Tool("explain").out, "sample: what the tests read\n");
-  EXPECT_NE(Tool("explain --json nodes.speed").out.find("\"default\": \"1.0\""), std::string::npos);
-  const Ran ran = Tool("explain nodes.sped");
-  EXPECT_EQ(ran.code, 2);
-  EXPECT_NE(ran.out.find("did you mean \"nodes.speed\"?"), std::string::npos);
+  EXPECT_NE(RunTool("explain " + File("a.toml", kNode)).out.find("nodes[0].name = \"n\""), std::string::npos);
+  EXPECT_NE(RunTool("explain 'nodes[3].speed'").out.find("0.1 to 100"), std::string::npos);
+  EXPECT_NE(RunTool("explain sample").out.find("\n[[nodes.faults]]  (may be left out)\n"), std::string::npos);
+  EXPECT_EQ(RunTool("explain").out, "sample: what the tests read\n");
+  EXPECT_NE(RunTool("explain --json nodes.speed").out.find("\"default\": \"1.0\""), std::string::npos);
+  const ToolResult result = RunTool("explain nodes.sped");
+  EXPECT_EQ(result.code, 2);
+  EXPECT_NE(result.out.find("did you mean \"nodes.speed\"?"), std::string::npos);
 }
 
-TEST_F(Program, KeepsReferencePagesTrue) {
+TEST_F(Program, ChecksAndWritesReferencePages) {
   const std::string dir = (dir_ / "pages").string();
-  EXPECT_EQ(Tool("reference --check " + dir).code, 1);
-  EXPECT_EQ(Tool("reference --write " + dir).code, 0);
-  EXPECT_EQ(Tool("reference --check " + dir).code, 0);
+  EXPECT_EQ(RunTool("reference --check " + dir).code, 1);
+  EXPECT_EQ(RunTool("reference --write " + dir).code, 0);
+  EXPECT_EQ(RunTool("reference --check " + dir).code, 0);
   std::filesystem::copy(dir + "/sample.md", dir + "/gone.md");
-  EXPECT_NE(Tool("reference --check " + dir).out.find("gone.md: of a kind that is no more"),
+  EXPECT_NE(RunTool("reference --check " + dir).out.find("gone.md: of a kind that is no more"),
             std::string::npos);
   File("pages/gone.md", "by hand");
-  EXPECT_EQ(Tool("reference --check " + dir).code, 0);
+  EXPECT_EQ(RunTool("reference --check " + dir).code, 0);
   File("pages/sample.md", "x");
-  EXPECT_EQ(Tool("reference --check " + dir).code, 1);
+  EXPECT_EQ(RunTool("reference --check " + dir).code, 1);
 }
 
-TEST_F(Program, TellsWrongUsage) {
+TEST_F(Program, RefusesWrongUsage) {
   for (const char* arguments :
        {"", "nonsense", "check", "reference", "reference --write a --check b", "explain a b"}) {
-    EXPECT_EQ(Tool(arguments).code, 2) << arguments;
+    EXPECT_EQ(RunTool(arguments).code, 2) << arguments;
   }
   for (const char* arguments : {"--help", "explain --help", "check --help", "reference --help"}) {
-    EXPECT_EQ(Tool(arguments).code, 0) << arguments;
+    EXPECT_EQ(RunTool(arguments).code, 0) << arguments;
   }
 }
 
-// ---- properties ----
+// ---- Properties ----
 
-void HoldsForAnyText(const std::string& text) {
+void CheckInvariants(const std::string& text) {
   const Loaded<Site> loaded = Read(text);
   RC_ASSERT(loaded.value.has_value() == loaded.errors.empty());
   RC_ASSERT(loaded.errors.size() <= kMaxConfigErrors + 1);
@@ -436,7 +437,7 @@
   }
 }
 
-RC_GTEST_PROP(Property, AnyBytes, (const std::string& text)) { HoldsForAnyText(text); }
+RC_GTEST_PROP(Property, RandomBytes, (const std::string& text)) { CheckInvariants(text); }
 
 rc::Gen<std::string> Line() {
   return rc::gen::element<std::string>("balancers = 2", "delay_us = [100, 300]", "load = [0.5, 1.5]",
@@ -446,20 +447,20 @@
                                        "name = 'a'", "speed = 4", "[[nodes.faults]]", "at_ms = 5", "[queue]");
 }
 
-RC_GTEST_PROP(Property, AnyLinesWithSlips, ()) {
+RC_GTEST_PROP(Property, RandomLinesWithChangedBytes, ()) {
   std::string text;
   for (const std::string& line : *rc::gen::container<std::vector<std::string>>(Line())) text += line + "\n";
-  const auto slips = *rc::gen::container<std::vector<std::pair<size_t, char>>>(rc::gen::pair(
+  const auto changes = *rc::gen::container<std::vector<std::pair<size_t, char>>>(rc::gen::pair(
       rc::gen::arbitrary<size_t>(), rc::gen::element('\n', '[', '"', '\'', '=', '.', '9', '\x80', '\0')));
-  for (const auto& [at, byte] : slips) {
+  for (const auto& [at, byte] : changes) {
     if (!text.empty()) text[at % text.size()] = byte;
   }
-  HoldsForAnyText(text);
+  CheckInvariants(text);
 }
 
-// What is explained of a right file says it all: read again, it is the same file.
-RC_GTEST_PROP(Property, ValuesComeBackAsWritten, (double load, int64_t seed)) {
-  // Only ASCII: bytes that are no UTF-8 are shown as escapes, and so come back as other characters.
+// Values survive formatting as TOML and parsing.
+RC_GTEST_PROP(Property, ValuesRoundTrip, (double load, int64_t seed)) {
+  // Only ASCII: bytes that are not UTF-8 are written as escapes, and are parsed as other characters.
   const std::string title = (*rc::gen::container<std::string>(rc::gen::inRange<char>(0, 127))).substr(0, 40);
   const double low = 1e-300 + std::abs(load);
   RC_PRE(low < 1.7e308);
