--- a/src/observe/capture.cpp
+++ b/src/observe/capture.cpp
@@ -34,8 +34,8 @@
       file_prefix_("capture-"),
       tick_(scheduler_),
       dump_tick_(scheduler_) {
-  for (char c :
-       config.name) {  // several balancers may share the folder, so the name is part of the file name
+  // Several balancers may share the folder, so the balancer's name is part of the file name.
+  for (char c : config.name) {
     bool plain = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '_';
     file_prefix_ += plain ? c : '_';
   }
--- a/src/observe/capture_record.cpp
+++ b/src/observe/capture_record.cpp
@@ -27,8 +27,7 @@
     "ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot"};
 constexpr int kMaxNumber = 65535;  // largest number of a zone, cell or kind of machine
 
-// ---- Field lists, shared by all formats
-// -----------------------------------------------------------------------
+// ---- Field lists, shared by all formats ------------------------------------------------------------------
 
 template <typename Form>
 void ServerFields(Form& f, Record::Server& s, bool name_only) {
--- a/src/observe/counters.h
+++ b/src/observe/counters.h
@@ -49,7 +49,7 @@
   uint64_t council_flushes = 0;    // flushes of a voter's log to disk
   uint64_t council_acts = 0;       // acts sent as the owner of a task
   uint64_t council_obeyed = 0;     // owners' acts that were carried out
-  uint64_t council_fenced = 0;     // owners' acts refused because their epoch is outdated
+  uint64_t council_fenced = 0;     // owners' acts that were refused (fenced)
   uint64_t council_bytes_out = 0;
   uint64_t log_dropped = 0;  // log lines dropped because the output was full
 
--- a/tests/lab/experiment_file_test.cpp
+++ b/tests/lab/experiment_file_test.cpp
@@ -248,19 +248,19 @@
   EXPECT_EQ(config.seed, 0xabu);
   EXPECT_EQ(config.sockets, 1024);
   EXPECT_EQ(config.settings.node_index, 2);
-  EXPECT_EQ(config.known.version, 7u);
-  EXPECT_TRUE(config.known.full);
-  ASSERT_EQ(config.known.hosts.size(), 3u);
-  EXPECT_EQ(config.known.hosts[0].name, "std-1");
-  EXPECT_EQ(config.known.hosts[1].name, "slow-5");
-  EXPECT_EQ(config.known.hosts[1].address.text, "127.0.0.1:9002");
-  EXPECT_EQ(config.known.hosts[1].entry.state, BackendState::kDraining);
-  EXPECT_EQ(config.known.hosts[1].entry.started_at, 1234567 * kMs);
-  EXPECT_EQ(config.known.hosts[1].entry.zone, script.nodes[11].zone);
-  EXPECT_EQ(config.known.hosts[1].entry.kind, 1);
-  EXPECT_FLOAT_EQ(static_cast<float>(config.known.hosts[1].entry.size),
+  EXPECT_EQ(config.initial_hosts.version, 7u);
+  EXPECT_TRUE(config.initial_hosts.full);
+  ASSERT_EQ(config.initial_hosts.hosts.size(), 3u);
+  EXPECT_EQ(config.initial_hosts.hosts[0].name, "std-1");
+  EXPECT_EQ(config.initial_hosts.hosts[1].name, "slow-5");
+  EXPECT_EQ(config.initial_hosts.hosts[1].address.text, "127.0.0.1:9002");
+  EXPECT_EQ(config.initial_hosts.hosts[1].entry.state, BackendState::kDraining);
+  EXPECT_EQ(config.initial_hosts.hosts[1].entry.started_at, 1234567 * kMs);
+  EXPECT_EQ(config.initial_hosts.hosts[1].entry.zone, script.nodes[11].zone);
+  EXPECT_EQ(config.initial_hosts.hosts[1].entry.kind, 1);
+  EXPECT_FLOAT_EQ(static_cast<float>(config.initial_hosts.hosts[1].entry.size),
                   static_cast<float>(script.nodes[11].weight));
-  EXPECT_EQ(config.known.hosts[2].name, script.spares[0].name);
+  EXPECT_EQ(config.initial_hosts.hosts[2].name, script.spares[0].name);
 }
 
 }  // namespace
