--- a/src/council/council.cpp
+++ b/src/council/council.cpp
@@ -167,16 +167,16 @@
       why = e.what();
     }
     if (open_) break;
-    if (!std::exchange(told, true)) log_.Tell<"council_unavailable">(settings_.listen, why);
+    if (!std::exchange(told, true)) log_.Emit<"council_unavailable">(settings_.listen, why);
     co_await late_.Wait(machine_.Now() + kBindAgain);
   }
   const std::optional<std::string> kept = machine_.files().Read(setup_.stem + ".epochs");
   executor_.emplace(owner::ExecutorRules{.disk = true},
                     kept ? std::optional<std::string_view>(*kept) : std::nullopt);
-  if (executor_->damaged()) log_.Tell<"council_disk">("damaged", setup_.stem + ".epochs");
+  if (executor_->damaged()) log_.Emit<"council_disk">("damaged", setup_.stem + ".epochs");
   if (const std::optional<std::string> told_not = machine_.files().Read(setup_.stem + ".emergencies");
       told_not && !gate_.Take(*told_not)) {
-    log_.Tell<"council_disk">("damaged", setup_.stem + ".emergencies");
+    log_.Emit<"council_disk">("damaged", setup_.stem + ".emergencies");
   }
   hearing_epochs_ = HearEpochDisk();
   hearing_epochs_.Start();
@@ -195,9 +195,9 @@
     awaiting_ = Await();
     awaiting_.Start();
   } else {
-    log_.Tell<"council_socket_unavailable">(setup_.stem + ".council", why);
+    log_.Emit<"council_socket_unavailable">(setup_.stem + ".council", why);
   }
-  log_.Tell<"council_serving">(settings_.site, settings_.told.empty() ? settings_.listen : settings_.told,
+  log_.Emit<"council_serving">(settings_.site, settings_.told.empty() ? settings_.listen : settings_.told,
                                votes ? "votes" : "follows", store_ ? store_->disk() : 0);
   for (const std::string& work : settings_.wants) {
     held_.push_back(std::make_unique<Held>(machine_.scheduler(), owner::Holder(self_, work, {})));
@@ -218,14 +218,14 @@
   const bool fit = opened.fault == council::StoreFault::kNone;
   if (!fit) {
     fault_ = std::string(council::NameOf(opened.fault)) + ", " + opened.why;
-    log_.Tell<"council_disk">(council::NameOf(opened.fault), opened.why);
+    log_.Emit<"council_disk">(council::NameOf(opened.fault), opened.why);
     opened.held = {};
   } else {
     disk_ = machine_.Durable();
     hearing_disk_ = HearDisk();
     hearing_disk_.Start();
   }
-  if (opened.cut > 0) log_.Tell<"council_disk_cut">(opened.cut);
+  if (opened.cut > 0) log_.Emit<"council_disk_cut">(opened.cut);
   BeginCore(std::move(opened.held), fit);
 }
 
@@ -277,7 +277,7 @@
     }
     if (const std::string why = disk_->Why(); !why.empty() && fault_.empty()) {
       fault_ = "failed, " + why;
-      log_.Tell<"council_disk">("failed", why);
+      log_.Emit<"council_disk">("failed", why);
       if (core_ && !writing_.empty()) core_->OnWritten(machine_.Now(), writing_.front(), false);
       begun_.Notify();
     }
@@ -299,7 +299,7 @@
       epochs_writing_.pop_front();
     }
     if (const std::string why = epoch_disk_->Why(); !why.empty()) {
-      log_.Tell<"council_disk">("failed", why);
+      log_.Emit<"council_disk">("failed", why);
       while (!epochs_writing_.empty()) {
         executor_->Written(epochs_writing_.front(), false);
         epochs_writing_.pop_front();
@@ -314,7 +314,7 @@
 }
 
 void Council::Dropped(const char* why, const std::string& from) {
-  if (dropped_.insert(why).second) log_.Tell<"council_dropped">(why, from);
+  if (dropped_.insert(why).second) log_.Emit<"council_dropped">(why, from);
 }
 
 void Council::Heard(council::Links::Link& from, std::string_view frame) {
@@ -353,7 +353,7 @@
     case Word::Kind::kHelloBack:
       if (word.kind == Word::Kind::kHelloBack && word.error == Error::kVoterUnknown && fault_.empty()) {
         fault_ = "older, than what it promised to " + word.name;
-        log_.Tell<"council_disk">("older", fault_);
+        log_.Emit<"council_disk">("older", fault_);
         return;
       }
       from.name = word.name;
@@ -521,7 +521,7 @@
       if (effect.what == What::kOver) lapse_.Ended(effect.work);
     }
     if (effect.what == What::kGranted) {
-      log_.Tell<"council_granted">(effect.work, effect.who.name, effect.epoch);
+      log_.Emit<"council_granted">(effect.work, effect.who.name, effect.epoch);
       Note(effect.work + " goes to " + effect.who.name + ", epoch " + std::to_string(effect.epoch));
     }
     if (effect.what == What::kOver) {
@@ -532,8 +532,8 @@
       const uint64_t had = held->holder.epoch();
       held->holder.Heard(now, effect);
       const bool owns = held->holder.owns();
-      if (owns && held->holder.epoch() != had) log_.Tell<"council_owns">(effect.work, held->holder.epoch());
-      if (!owns && had != 0) log_.Tell<"council_lost">(effect.work, had, owner::NameOf(effect.error));
+      if (owns && held->holder.epoch() != had) log_.Emit<"council_owns">(effect.work, held->holder.epoch());
+      if (!owns && had != 0) log_.Emit<"council_lost">(effect.work, had, owner::NameOf(effect.error));
       held->moved.Notify();
     }
   }
@@ -555,7 +555,7 @@
       freeze_leases_.clear();
       SyncLapse();
       led_on_at_ = 0;
-      log_.Tell<"council_leads">(notice.term);
+      log_.Emit<"council_leads">(notice.term);
       ++counters_.council_led;
       break;
     }
@@ -563,26 +563,26 @@
       lapse_.TakeOffice(machine_.Now(), {});
       freeze_lapse_.TakeOffice(machine_.Now(), {});
       joining_.clear();
-      log_.Tell<"council_stepped_down">(notice.term, notice.text);
+      log_.Emit<"council_stepped_down">(notice.term, notice.text);
       break;
     case Kind::kFollowsLeader:
-      log_.Tell<"council_follows">(notice.who.name, notice.term);
+      log_.Emit<"council_follows">(notice.who.name, notice.term);
       break;
     case Kind::kNoLeader:
-      log_.Tell<"council_no_leader">(notice.term);
+      log_.Emit<"council_no_leader">(notice.term);
       break;
     case Kind::kVotersChanged: {
       std::string names;
       for (const consensus::Voter& voter : core_->voters())
         names += (names.empty() ? "" : ", ") + voter.id.name;
-      log_.Tell<"council_voters">(names, notice.index);
+      log_.Emit<"council_voters">(names, notice.index);
       break;
     }
     case Kind::kMessageDropped:
       Dropped(notice.text.c_str(), notice.who.name);
       break;
     case Kind::kJoinFailed:
-      log_.Tell<"council_join_failed">(notice.who.name, notice.text);
+      log_.Emit<"council_join_failed">(notice.who.name, notice.text);
       break;
     case Kind::kOlderDisk:  // its own log says so too
       Dropped("what rests on an older disk", notice.who.name);
@@ -590,7 +590,7 @@
     case Kind::kDiskLost:  // told where it was found; but others may have found it
       if (!fault_.empty()) break;
       fault_ = "older, " + notice.text;
-      log_.Tell<"council_disk">("older", notice.text);
+      log_.Emit<"council_disk">("older", notice.text);
       break;
     case Kind::kJoined:
     case Kind::kTransferFailed:
@@ -929,7 +929,7 @@
       std::string why;
       machine_.files().Replace(setup_.stem + ".emergencies", gate_.Save(), why);
       permission.error = Error::kNone;
-      log_.Tell<"council_emergency">(freeze::NameOf(kind), freeze::TextOf(scope), by, reason);
+      log_.Emit<"council_emergency">(freeze::NameOf(kind), freeze::TextOf(scope), by, reason);
       co_return permission;
     }
     for (const std::string& name : local.missing)
@@ -949,7 +949,7 @@
       permission.text.append(freeze::TextOf(effect->scope)).append(")");
     }
   }
-  log_.Tell<"council_change_refused">(freeze::NameOf(kind), freeze::TextOf(scope),
+  log_.Emit<"council_change_refused">(freeze::NameOf(kind), freeze::TextOf(scope),
                                       owner::NameOf(permission.error), permission.text);
   co_return permission;
 }
@@ -1003,13 +1003,13 @@
     const auto incident = state_.freeze().incidents().find(effect.incident);
     if (incident != state_.freeze().incidents().end()) scope = freeze::TextOf(incident->second.scope);
     if (effect.what == What::kOpened)
-      log_.Tell<"council_incident">(effect.incident, "opened", scope, effect.pending);
+      log_.Emit<"council_incident">(effect.incident, "opened", scope, effect.pending);
     if (effect.what == What::kIncidentYes)
-      log_.Tell<"council_incident">(effect.incident, "in force", scope, 0);
-    if (effect.what == What::kIncidentOver) log_.Tell<"council_incident">(effect.incident, "over", scope, 0);
-    if (effect.what == What::kGlass) log_.Tell<"council_glass">(effect.change, effect.by, effect.reason);
+      log_.Emit<"council_incident">(effect.incident, "in force", scope, 0);
+    if (effect.what == What::kIncidentOver) log_.Emit<"council_incident">(effect.incident, "over", scope, 0);
+    if (effect.what == What::kGlass) log_.Emit<"council_glass">(effect.change, effect.by, effect.reason);
     if (effect.what == What::kHold && effect.who == self_)
-      log_.Tell<"council_hold">(effect.change, effect.incident,
+      log_.Emit<"council_hold">(effect.change, effect.incident,
                                 effect.how == freeze::UnderWay::kUndo ? "undo" : "finish");
   }
 }
@@ -1120,7 +1120,7 @@
       held.act_at = now + every;
       if (permit.ok()) {
         if (settings_.step_ms > 0) {
-          log_.Tell<"council_step">("act", permit.epoch);
+          log_.Emit<"council_step">("act", permit.epoch);
           const Micros until = now + settings_.step_ms * kMs;
           while (machine_.Now() < until) co_await held.moved.Wait(until);
         }
@@ -1133,7 +1133,7 @@
           Post(council::Envelope(command));
         }
       } else {
-        log_.Tell<"council_lost">(WorkOf(held), had, owner::NameOf(permit.error));
+        log_.Emit<"council_lost">(WorkOf(held), had, owner::NameOf(permit.error));
       }
     }
     Micros next = held.holder.next_at();
@@ -1185,10 +1185,10 @@
       ++counters_.council_obeyed;
       uint64_t& told = obeys_[act.word.work];
       if (std::exchange(told, act.word.epoch) != act.word.epoch)
-        log_.Tell<"council_obeys">(act.word.work, act.word.name, act.word.epoch);
+        log_.Emit<"council_obeys">(act.word.work, act.word.name, act.word.epoch);
     } else {
       ++counters_.council_fenced;
-      log_.Tell<"council_refuses">(act.word.work, act.word.name, act.word.epoch, verdict.highest,
+      log_.Emit<"council_refuses">(act.word.work, act.word.name, act.word.epoch, verdict.highest,
                                    owner::NameOf(verdict.error));
     }
     Word back{.kind = Word::Kind::kActBack,
--- a/src/handover/handover.cpp
+++ b/src/handover/handover.cpp
@@ -47,7 +47,7 @@
     }
   }
   before_.reset();
-  log_.Tell<"handover_refused">(why);
+  log_.Emit<"handover_refused">(why);
   co_return none;
 }
 
@@ -64,7 +64,7 @@
   std::string why;
   listener_ = machine_.network().Await(path_, why);
   if (!listener_) {
-    log_.Tell<"handover_unavailable">(path_, why);
+    log_.Emit<"handover_unavailable">(path_, why);
     return;
   }
   await_ = Await();
@@ -231,7 +231,7 @@
   Bad("a message that can't be read");
 }
 
-void Handover::Bad(std::string_view what) { log_.Tell<"handover_message_refused">(what); }
+void Handover::Bad(std::string_view what) { log_.Emit<"handover_message_refused">(what); }
 
 void Handover::Send(Other& other, std::string message) {
   if (other.broken) return;
--- a/src/member/member.cpp
+++ b/src/member/member.cpp
@@ -110,12 +110,12 @@
       why = e.what();
     }
     if (socket_) break;
-    if (!std::exchange(reported, true)) log_.Tell<"cluster_unavailable">(settings_.listen, why);
+    if (!std::exchange(reported, true)) log_.Emit<"cluster_unavailable">(settings_.listen, why);
     co_await capacity_event_.Wait(machine_.Now() + kRetryInterval);
   }
   detector_.SetFacts(setup_.facts());
   detector_.Start(machine_.Now());
-  log_.Tell<"cluster_serving">(settings_.site, detector_.self().address);
+  log_.Emit<"cluster_serving">(settings_.site, detector_.self().address);
   if (!setup_.socket.empty()) {
     std::string why;
     command_listener_ = machine_.network().Await(setup_.socket, why);
@@ -123,7 +123,7 @@
       command_accept_task_ = AcceptCommandClients();
       command_accept_task_.Start();
     } else {
-      log_.Tell<"cluster_socket_unavailable">(setup_.socket, why);
+      log_.Emit<"cluster_socket_unavailable">(setup_.socket, why);
     }
   }
   receive_task_ = ReceiveLoop();
@@ -291,7 +291,7 @@
     if (behind_since_ > 0 && machine_.Now() - behind_since_ >= kListBehindDelay &&
         newest > reported_list_version_) {
       reported_list_version_ = newest;
-      log_.Tell<"cluster_list_behind">(detector_.facts().list_version, newest);
+      log_.Emit<"cluster_list_behind">(detector_.facts().list_version, newest);
       setup_.on_list_behind();
     }
     co_await refresh_event_.Wait(machine_.Now() + kRefreshInterval);
@@ -305,45 +305,45 @@
   std::string line;
   switch (notice.what) {
     case What::kJoined:
-      log_.Tell<"member_joined">(notice.who, notice.by, start, alive);
+      log_.Emit<"member_joined">(notice.who, notice.by, start, alive);
       line = "joined, reported by ";
       break;
     case What::kSuspected:
-      log_.Tell<"member_suspected">(notice.who, notice.by);
+      log_.Emit<"member_suspected">(notice.who, notice.by);
       line = "suspected, by ";
       break;
     case What::kCleared:
-      log_.Tell<"member_cleared">(notice.who, notice.generation.incarnation);
+      log_.Emit<"member_cleared">(notice.who, notice.generation.incarnation);
       line = "refuted the suspicion, reported by ";
       break;
     case What::kDied:
-      log_.Tell<"member_died">(notice.who, notice.by, alive);
+      log_.Emit<"member_died">(notice.who, notice.by, alive);
       line = "held dead; no way to it by ";
       break;
     case What::kReturned:
-      log_.Tell<"member_returned">(notice.who, alive);
+      log_.Emit<"member_returned">(notice.who, alive);
       line = "alive again after it was held dead, reported by ";
       break;
     case What::kLeft:
-      log_.Tell<"member_left">(notice.who, alive);
+      log_.Emit<"member_left">(notice.who, alive);
       line = "left, reported by ";
       break;
     case What::kSelfSuspected:
-      log_.Tell<"cluster_accused">(notice.by, detector_.self().generation.incarnation);
+      log_.Emit<"cluster_accused">(notice.by, detector_.self().generation.incarnation);
       line = "is suspected by ";
       break;
     case What::kSelfStatus:
-      log_.Tell<"cluster_standing">(NameOf(detector_.status()), alive - 1);
+      log_.Emit<"cluster_standing">(NameOf(detector_.status()), alive - 1);
       line = "changed status: ";
       break;
     case What::kPaused:
-      log_.Tell<"cluster_paused">(notice.span / kMs);
+      log_.Emit<"cluster_paused">(notice.span / kMs);
       line = "stood still ";
       break;
     case What::kForgotten:
       return;
     case What::kDropped:
-      log_.Tell<"cluster_dropped">(notice.by, notice.who);
+      log_.Emit<"cluster_dropped">(notice.by, notice.who);
       line = "a message was dropped: ";
       break;
   }
--- a/src/membership/list_log.cpp
+++ b/src/membership/list_log.cpp
@@ -17,7 +17,7 @@
 
 void ListLog::Heard() {
   if (std::exchange(failing_told_, false)) {
-    log_.Tell<"list_back">(failed_, (clock_.Now() - failing_since_) / kMs);
+    log_.Emit<"list_back">(failed_, (clock_.Now() - failing_since_) / kMs);
   }
   failed_ = 0;
   Tell();
@@ -29,14 +29,14 @@
   if (now < tell_failed_at_) return;
   tell_failed_at_ = now + kFailedEvery;
   failing_told_ = true;
-  log_.Tell<"list_failed">(failed_, why);
+  log_.Emit<"list_failed">(failed_, why);
 }
 
 void ListLog::Tell() {
   const HostChanges& all = hosts_.changes();
   if (!all.any() || clock_.Now() < tell_changes_at_) return;
   tell_changes_at_ = clock_.Now() + kChangesEvery;
-  log_.Tell<"list_heard">(hosts_.version(), hosts_.Ready(), all.added, all.removed, all.draining,
+  log_.Emit<"list_heard">(hosts_.version(), hosts_.Ready(), all.added, all.removed, all.draining,
                           all.restarted);
   hosts_.ForgetChanges();
 }
--- a/src/observe/capture.cpp
+++ b/src/observe/capture.cpp
@@ -244,7 +244,7 @@
   if (to_files()) {
     WritePending();
   } else if (!dumping_.Done()) {
-    log_.Tell<"capture_busy">();
+    log_.Emit<"capture_busy">();
   } else {
     dump_.assign(segments_.begin(), segments_.end());  // a copy, because recording continues
     dump_segment_ = dump_offset_ = 0;
@@ -366,7 +366,7 @@
 void Capture::DiskError(const std::string& what, const std::string& why) {
   ++counters_.capture_errors;
   if (!std::exchange(disk_error_logged_, true)) {
-    log_.Tell<"capture_disk_error">(what, why);
+    log_.Emit<"capture_disk_error">(what, why);
   }
   file_.reset();
   pending_.clear();
--- a/src/observe/log.cpp
+++ b/src/observe/log.cpp
@@ -199,7 +199,7 @@
   }
 }
 
-void Log::ReportDropped() { Tell<"log_dropped">(std::exchange(unreported_, 0)); }
+void Log::ReportDropped() { Emit<"log_dropped">(std::exchange(unreported_, 0)); }
 
 // Writes buffered lines and reports dropped ones as soon as there is room, not only with the next event.
 Task<> Log::FlushBuffered() {
--- a/src/observe/log.h
+++ b/src/observe/log.h
@@ -58,7 +58,7 @@
   std::variant<int64_t, uint64_t, std::string_view, const Counters*> value_;
 };
 
-// The name of an event as a template argument, as in Tell<"serving">.
+// The name of an event as a template argument, as in Emit<"serving">.
 template <size_t n>
 struct LogName {
   constexpr LogName(const char (&text)[n]) { std::copy_n(text, n, chars.data()); }  // NOLINT
@@ -75,7 +75,7 @@
   // Logs an event of the table, with the values of its fields in the table's order. A tool may pass a table
   // of its own.
   template <LogName name, const auto& table = events::kAll, typename... Values>
-  void Tell(const Values&... values) {
+  void Emit(const Values&... values) {
     constexpr size_t at = EventAt(table, name.view());
     static_assert(at < std::size(table), "the table of events has none of this name");
     constexpr const LogEvent& event = table[at];
--- a/src/serve/program.cpp
+++ b/src/serve/program.cpp
@@ -222,7 +222,7 @@
   if (figures_) figures_->Start();
   if (control_) {
     control_->Open();
-    log_.Tell<"admin_serving">(Shown(config_.admin, control_->port()));
+    log_.Emit<"admin_serving">(Shown(config_.admin, control_->port()));
   }
   begin_ = Begin();
   begin_.Start();
@@ -263,10 +263,10 @@
   }
   if (handover_) handover_->Serve();
   Join();
-  log_.Tell<"serving">(config_.name, Shown(config_.listen, front_.port()));
+  log_.Emit<"serving">(config_.name, Shown(config_.listen, front_.port()));
   if (asking_) {
     told_phase_ = asking_->phase();
-    log_.Tell<"start_phase">(start::NameOf(told_phase_), 0, (asking_->next_at() - began_at_) / kMs,
+    log_.Emit<"start_phase">(start::NameOf(told_phase_), 0, (asking_->next_at() - began_at_) / kMs,
                              asking_->window() / kMs, counters_.list_calls);
   }
   if (told_to_end_at_) Drain();
@@ -305,7 +305,7 @@
   }
   if (!Serving()) return;
   phase_ = Phase::kDraining;
-  log_.Tell<"draining">(front_.open());
+  log_.Emit<"draining">(front_.open());
   front_.StartLeaving();
   moved_.Notify();
 }
@@ -396,7 +396,7 @@
 }
 
 Task<> Program::Closing() {
-  log_.Tell<"closing">(front_.open());
+  log_.Emit<"closing">(front_.open());
   front_.Close();
   // Links that linger are waited for, from the last answer on. Guards that answer: an end of the process over
   // bytes that were not read would reset its link.
@@ -433,10 +433,10 @@
   const size_t open = budget_.open(), most = budget_.max_links();
   if (!descriptors_tight_ && budget_.tight()) {
     descriptors_tight_ = true;
-    log_.Tell<"descriptors_tight">(open, most);
+    log_.Emit<"descriptors_tight">(open, most);
   } else if (descriptors_tight_ && open < most / 2) {
     descriptors_tight_ = false;
-    log_.Tell<"descriptors_enough">(open, most);
+    log_.Emit<"descriptors_enough">(open, most);
   }
 }
 
--- a/src/serve/program_handover.cpp
+++ b/src/serve/program_handover.cpp
@@ -16,12 +16,12 @@
 // Where another left off. False where nothing of it can be used.
 bool Program::TakeOver(const Estate& estate) {
   if (!hosts_.TakeOver(estate.hosts, estate.list)) {
-    log_.Tell<"handover_refused">("nodes that can't be");
+    log_.Emit<"handover_refused">("nodes that can't be");
     return false;
   }
   if (keeper_) FindSavedList();
   list_log_.emplace(machine_.scheduler(), hosts_, log_);
-  log_.Tell<"taken_over">(estate.hosts.size(), hosts_.Out().size(), estate.carried.queries.size());
+  log_.Emit<"taken_over">(estate.hosts.size(), hosts_.Out().size(), estate.carried.queries.size());
   std::string why;
   if (estate.settings != config_.settings_json) {
     why = "other settings";
@@ -30,7 +30,7 @@
   } else if (!dispatcher_.ImportState(estate.carried)) {
     why = "a state of another format";
   }
-  if (!why.empty()) log_.Tell<"state_refused">(why);
+  if (!why.empty()) log_.Emit<"state_refused">(why);
   // The process before may have found no room to say who is out.
   const std::string path = OutPath(config_);
   const std::optional<std::string> text = path.empty() ? std::nullopt : machine_.files().Read(path);
@@ -57,7 +57,7 @@
 
 void Program::KeepDoor() {
   if (!Serving() && phase_ != Phase::kDraining) return;
-  if (front_.StartAccepting()) log_.Tell<"door_kept">();  // an heir that came no further may be told of twice
+  if (front_.StartAccepting()) log_.Emit<"door_kept">();  // an heir that came no further may be told of twice
 }
 
 void Program::HandOn() {
@@ -66,7 +66,7 @@
     before_hand_on_ = phase_;
     phase_ = Phase::kHandedOver;
   }
-  log_.Tell<"handed_over">(front_.open(), dispatcher_.open());
+  log_.Emit<"handed_over">(front_.open(), dispatcher_.open());
   front_.StopAccepting();
   member_.reset();  // without a word: the heir goes on in its place, and nobody misses it
   if (council_) {   // likewise; its disk and its address are the heir's
@@ -89,7 +89,7 @@
 
 void Program::TakeBack() {
   if (phase_ != Phase::kHandedOver) return;
-  log_.Tell<"taken_back">(handover_->links_lost());
+  log_.Emit<"taken_back">(handover_->links_lost());
   phase_ = before_hand_on_;
   front_.HandOverLinks(nullptr);
   front_.StartAccepting();
@@ -116,7 +116,7 @@
   other_ = use;
   Allow();
   if (!first) return;
-  log_.Tell<"two_processes">(use.descriptors, use.memory_kb, budget_.open() + LinkBudget::kSpareDescriptors,
+  log_.Emit<"two_processes">(use.descriptors, use.memory_kb, budget_.open() + LinkBudget::kSpareDescriptors,
                              machine_.ResidentBytes() / 1024, descriptors());
 }
 
@@ -129,7 +129,7 @@
   if (hosts_.IsOut(call.name) || !hosts_.TakeOut(call.name, call.since)) return;
   HostsChanged();
   handover_->TellOut(call);
-  log_.Tell<"node_out">(call.name, hosts_.Out().size());
+  log_.Emit<"node_out">(call.name, hosts_.Out().size());
 }
 
 void Program::OtherPutBack(const NodeCall& call) {
@@ -137,7 +137,7 @@
   hosts_.PutBack(call.name, call.since);
   HostsChanged();
   handover_->TellBack(call);
-  log_.Tell<"node_back">(call.name, hosts_.Out().size());
+  log_.Emit<"node_back">(call.name, hosts_.Out().size());
 }
 
 void Program::OtherDrains(bool drains) { SetAside(drains); }
--- a/src/serve/program_operations.cpp
+++ b/src/serve/program_operations.cpp
@@ -16,12 +16,12 @@
   if (!text) return;  // none was ever out
   const std::optional<std::vector<OutHost>> out = ReadOutFile(*text);
   if (!out) {
-    log_.Tell<"out_file_refused">(path);
+    log_.Emit<"out_file_refused">(path);
     return;
   }
   if (out->empty()) return;
   for (const OutHost& host : *out) hosts_.TakeOutUnseen(host.name, host.since);
-  log_.Tell<"nodes_kept_out">(out->size());
+  log_.Emit<"nodes_kept_out">(out->size());
 }
 
 // Nothing to keep it in is no failure: it then holds as long as this process.
@@ -29,7 +29,7 @@
   const std::string path = OutPath(config_);
   std::string why;
   if (path.empty() || machine_.files().Replace(path, WriteOutFile(out), why)) return out_kept_ = true;
-  log_.Tell<"out_file_error">(path, why);
+  log_.Emit<"out_file_error">(path, why);
   return false;
 }
 
@@ -39,7 +39,7 @@
   std::string why;
   if (out_kept_ || !machine_.files().Replace(path, WriteOutFile(hosts_.Out()), why)) return;
   out_kept_ = true;
-  log_.Tell<"out_file_written">(path);
+  log_.Emit<"out_file_written">(path);
 }
 
 void Program::HostsChanged() {
@@ -58,7 +58,7 @@
   hosts_.TakeOut(server, now);
   HostsChanged();
   if (handover_) handover_->TellOut({std::string(server), now});
-  log_.Tell<"node_out">(server, out.size());
+  log_.Emit<"node_out">(server, out.size());
   return Verdict::kDone;
 }
 
@@ -73,7 +73,7 @@
   hosts_.PutBack(server, now);
   HostsChanged();
   if (handover_) handover_->TellBack({std::string(server), now});
-  log_.Tell<"node_back">(server, out.size());
+  log_.Emit<"node_back">(server, out.size());
   return Verdict::kDone;
 }
 
@@ -151,10 +151,10 @@
   phase = aside ? Phase::kAside : Phase::kServing;
   if (aside) {
     aside_since_ = machine_.Now();
-    log_.Tell<"drained">(front_.open());
+    log_.Emit<"drained">(front_.open());
     front_.DrainManually();
   } else {
-    log_.Tell<"back_to_work">((machine_.Now() - aside_since_) / kMs);
+    log_.Emit<"back_to_work">((machine_.Now() - aside_since_) / kMs);
     front_.EndManualDrain();
   }
   moved_.Notify();
--- a/src/serve/program_saved_list.cpp
+++ b/src/serve/program_saved_list.cpp
@@ -33,7 +33,7 @@
 bool Program::UseSavedList() {
   if (!keeper_) return false;
   const start::SavedChoice choice = FindSavedList();
-  for (const auto& [path, why] : choice.refused) log_.Tell<"saved_list_refused">(path, why);
+  for (const auto& [path, why] : choice.refused) log_.Emit<"saved_list_refused">(path, why);
   if (!choice.list) return false;
   if (choice.list->version < config_.initial_hosts.version && !config_.initial_hosts.hosts.empty())
     return false;
@@ -52,7 +52,7 @@
     entry.entry.size = node.size;
   }
   hosts_.Take(list, machine_.Now());
-  log_.Tell<"saved_list_used">(list.hosts.size(), list.version, choice.age / kMs);
+  log_.Emit<"saved_list_used">(list.hosts.size(), list.version, choice.age / kMs);
   return true;
 }
 
@@ -72,7 +72,7 @@
   std::string why;
   const bool done = list.nodes.empty() || machine_.files().Replace(path, start::WriteSavedList(list), why);
   keeper_->Wrote(machine_.Now(), done);
-  if (!done && !std::exchange(list_file_bad_, true)) log_.Tell<"saved_list_error">(path, why);
+  if (!done && !std::exchange(list_file_bad_, true)) log_.Emit<"saved_list_error">(path, why);
   if (done) list_file_bad_ = false;
 }
 
@@ -85,9 +85,9 @@
   book.Add(wall);
   std::string why;
   if (!machine_.files().Replace(path, book.Text(), why) && !std::exchange(list_file_bad_, true)) {
-    log_.Tell<"saved_list_error">(path, why);
+    log_.Emit<"saved_list_error">(path, why);
   }
-  if (before > 0) log_.Tell<"start_again">(before, asking_->loop_span() / kMs);
+  if (before > 0) log_.Emit<"start_again">(before, asking_->loop_span() / kMs);
   return before;
 }
 
@@ -96,7 +96,7 @@
   if (!asking_ || asking_->phase() == told_phase_) return;
   told_phase_ = asking_->phase();
   const Micros now = machine_.Now();
-  log_.Tell<"start_phase">(start::NameOf(told_phase_), (now - began_at_) / kMs,
+  log_.Emit<"start_phase">(start::NameOf(told_phase_), (now - began_at_) / kMs,
                            std::max<Micros>(0, asking_->next_at() - now) / kMs, asking_->window() / kMs,
                            counters_.list_calls);
 }
--- a/src/serve/serve.cpp
+++ b/src/serve/serve.cpp
@@ -20,7 +20,7 @@
 constexpr int kUnusableFile = 2;
 
 void TellCounters(const Program& program, Log& log) {
-  log.Tell<"counters">(program.counters(), static_cast<int>(program.phase()));
+  log.Emit<"counters">(program.counters(), static_cast<int>(program.phase()));
 }
 
 // The operators' own settings; without a file, every feature is off.
@@ -36,16 +36,16 @@
       return std::string_view(name) == platform::kConfigVariable ? std::getenv(name) : nullptr;
     };
     const bool all = program.Reload(LoadConfig(file, files));
-    log.Tell<"config_read">(all ? "" : "name, listen and settings");
+    log.Emit<"config_read">(all ? "" : "name, listen and settings");
   } catch (const std::exception& e) {
-    log.Tell<"config_kept">(e.what());
+    log.Emit<"config_kept">(e.what());
   }
   if (path.empty()) return;
   try {
     program.Reload(LoadProperties(path, files));
-    log.Tell<"properties_read">("those of figures and capture");
+    log.Emit<"properties_read">("those of figures and capture");
   } catch (const std::exception& e) {
-    log.Tell<"properties_kept">(e.what());
+    log.Emit<"properties_kept">(e.what());
   }
 }
 
@@ -128,7 +128,7 @@
   Counters counters;
   Log log(machine.scheduler(), errors, format, counters);
   Program program(machine, config, properties, log, counters, start, cluster, council);
-  log.Tell<"starting">(config.name, BURLFALL_VERSION, config.discovery.text,
+  log.Emit<"starting">(config.name, BURLFALL_VERSION, config.discovery.text,
                        config.initial_hosts.hosts.size(), program.descriptors(),
                        properties.EnabledFeatures());
   Task<> hearing = HearSignals(signals, program, path, machine.files(), log);
@@ -138,7 +138,7 @@
   machine.scheduler().Run();
   program.Finish();
   TellCounters(program, log);
-  log.Tell<"stopped">((machine.Now() - began) / kMs);
+  log.Emit<"stopped">((machine.Now() - began) / kMs);
   log.Finish(kLastLines);
   return 0;
 }
--- a/tests/stories/log_test.cpp
+++ b/tests/stories/log_test.cpp
@@ -129,12 +129,12 @@
   Piped text(LogFormat::kText), json(LogFormat::kJson);
   const std::string odd = "a \"b\\\n\x01 \xc3\xbc";
   for (Piped* piped : {&text, &json}) {
-    piped->log->Tell<"serving">("n1", "127.0.0.1:9000");
-    piped->log->Tell<"config_read">("");
-    piped->log->Tell<"list_heard">(41u, 12u, 0u, 2u, 0u, 1u);
-    piped->log->Tell<"config_kept">(odd);
-    piped->log->Tell<"config_kept">(odd + "\xff");
-    piped->log->Tell<"capture_busy">();
+    piped->log->Emit<"serving">("n1", "127.0.0.1:9000");
+    piped->log->Emit<"config_read">("");
+    piped->log->Emit<"list_heard">(41u, 12u, 0u, 2u, 0u, 1u);
+    piped->log->Emit<"config_kept">(odd);
+    piped->log->Emit<"config_kept">(odd + "\xff");
+    piped->log->Emit<"capture_busy">();
   }
   CHECK(text.Heard() ==
         "burlfall: n1 serves at 127.0.0.1:9000\n"
@@ -155,7 +155,7 @@
 TEST_CASE("lines that find no room are counted, and told of once there is some") {
   Piped piped(LogFormat::kJson, 4096);
   constexpr int kTold = 400;
-  for (int i = 0; i < kTold; ++i) piped.log->Tell<"config_kept">(std::string(100, 'x'));
+  for (int i = 0; i < kTold; ++i) piped.log->Emit<"config_kept">(std::string(100, 'x'));
   const uint64_t dropped = piped.counters.log_dropped;
   CHECK(dropped > 0);
   CHECK(piped.counters.Text().ends_with(" log_dropped=" + std::to_string(dropped)));
@@ -164,18 +164,18 @@
     piped.sink->Flush();
     more = piped.Heard();
   }
-  piped.log->Tell<"capture_busy">();
+  piped.log->Emit<"capture_busy">();
   const std::vector<std::string> lines = LinesOf(heard + piped.Heard());
   CHECK(lines.size() + dropped == kTold + 2);
   CHECK(ordered_json::parse(lines.back()).at("event") == "log_dropped");
   CHECK(ordered_json::parse(lines.back()).at("lines") == dropped);
-  piped.log->Tell<"capture_busy">();
+  piped.log->Emit<"capture_busy">();
   CHECK(LinesOf(piped.Heard()).size() == 1);  // and told once
   CHECK(piped.counters.log_dropped == dropped);
 
   signal(SIGPIPE, SIG_IGN);
   piped.in = Descriptor();  // nobody is there any more: every line is lost, and none of them makes another
-  for (int i = 0; i < 5; ++i) piped.log->Tell<"capture_busy">();
+  for (int i = 0; i < 5; ++i) piped.log->Emit<"capture_busy">();
   CHECK(piped.counters.log_dropped == dropped + 5);
 }
 
