--- a/tests/config/sample_kinds.cpp
+++ b/tests/config/sample_kinds.cpp
@@ -1,3 +1,4 @@
+// The list of kinds for burlfall-config-sample: only the sample kind of file.
 #include "config/kinds.h"
 #include "config/sample.h"
 
