--- a/src/replay/replay.cpp
+++ b/src/replay/replay.cpp
@@ -39,7 +39,7 @@
 }
 
 struct Decision {
-  Choice choice = Choice::kSend;
+  Choice did = Choice::kSend;
   RequestId id = 0;
   BackendId backend = 0;
   int attempt = 0;
