--- a/src/council/coordinator_member.cpp
+++ b/src/council/coordinator_member.cpp
@@ -169,17 +169,17 @@
       why = e.what();
     }
     if (open_) break;
-    if (!std::exchange(bind_failure_logged, true)) log_.Tell<"council_unavailable">(settings_.listen, why);
+    if (!std::exchange(bind_failure_logged, true)) log_.Emit<"council_unavailable">(settings_.listen, why);
     co_await delay_.Wait(machine_.Now() + kBindRetryInterval);
   }
   const std::optional<std::string> saved_epochs = machine_.files().Read(setup_.stem + ".epochs");
   executor_.emplace(owner::ExecutorRules{.disk = true},
                     saved_epochs ? std::optional<std::string_view>(*saved_epochs) : std::nullopt);
-  if (executor_->damaged()) log_.Tell<"council_disk">("damaged", setup_.stem + ".epochs");
+  if (executor_->damaged()) log_.Emit<"council_disk">("damaged", setup_.stem + ".epochs");
   if (const std::optional<std::string> saved_emergencies =
           machine_.files().Read(setup_.stem + ".emergencies");
       saved_emergencies && !local_gate_.Load(*saved_emergencies)) {
-    log_.Tell<"council_disk">("damaged", setup_.stem + ".emergencies");
+    log_.Emit<"council_disk">("damaged", setup_.stem + ".emergencies");
   }
   epoch_disk_task_ = WatchEpochDisk();
   epoch_disk_task_.Start();
@@ -198,9 +198,9 @@
     accept_operators_task_ = AcceptOperators();
     accept_operators_task_.Start();
   } else {
-    log_.Tell<"council_socket_unavailable">(setup_.stem + ".council", why);
+    log_.Emit<"council_socket_unavailable">(setup_.stem + ".council", why);
   }
-  log_.Tell<"council_serving">(settings_.site, settings_.told.empty() ? settings_.listen : settings_.told,
+  log_.Emit<"council_serving">(settings_.site, settings_.told.empty() ? settings_.listen : settings_.told,
                                votes ? "votes" : "follows", store_ ? store_->disk() : 0);
   for (const std::string& work : settings_.wants) {
     wanted_tasks_.push_back(
@@ -222,14 +222,14 @@
   const bool usable = opened.fault == council::StoreFault::kNone;
   if (!usable) {
     disk_fault_ = std::string(council::NameOf(opened.fault)) + ", " + opened.reason;
-    log_.Tell<"council_disk">(council::NameOf(opened.fault), opened.reason);
+    log_.Emit<"council_disk">(council::NameOf(opened.fault), opened.reason);
     opened.state = {};
   } else {
     log_disk_ = machine_.Durable();
     log_disk_task_ = WatchLogDisk();
     log_disk_task_.Start();
   }
-  if (opened.truncated_bytes > 0) log_.Tell<"council_disk_cut">(opened.truncated_bytes);
+  if (opened.truncated_bytes > 0) log_.Emit<"council_disk_cut">(opened.truncated_bytes);
   BeginCore(std::move(opened.state), usable);
 }
 
@@ -284,7 +284,7 @@
     }
     if (const std::string why = log_disk_->Why(); !why.empty() && disk_fault_.empty()) {
       disk_fault_ = "failed, " + why;
-      log_.Tell<"council_disk">("failed", why);
+      log_.Emit<"council_disk">("failed", why);
       if (core_ && !pending_log_writes_.empty())
         core_->OnWritten(machine_.Now(), pending_log_writes_.front(), false);
       bootstrap_event_.Notify();
@@ -307,7 +307,7 @@
       pending_epoch_writes_.pop_front();
     }
     if (const std::string why = epoch_disk_->Why(); !why.empty()) {
-      log_.Tell<"council_disk">("failed", why);
+      log_.Emit<"council_disk">("failed", why);
       while (!pending_epoch_writes_.empty()) {
         executor_->OnWritten(pending_epoch_writes_.front(), false);
         pending_epoch_writes_.pop_front();
@@ -322,7 +322,7 @@
 }
 
 void CoordinatorMember::LogDropped(const char* why, const std::string& from) {
-  if (logged_drops_.insert(why).second) log_.Tell<"council_dropped">(why, from);
+  if (logged_drops_.insert(why).second) log_.Emit<"council_dropped">(why, from);
 }
 
 void CoordinatorMember::OnFrame(council::MemberConnections::Connection& from, std::string_view frame) {
@@ -363,7 +363,7 @@
       if (message.kind == MemberMessage::Kind::kHelloReply && message.error == Error::kVoterUnknown &&
           disk_fault_.empty()) {
         disk_fault_ = "older, it lost what it acknowledged to " + message.name;
-        log_.Tell<"council_disk">("older", disk_fault_);
+        log_.Emit<"council_disk">("older", disk_fault_);
         return;
       }
       from.name = message.name;
@@ -540,7 +540,7 @@
       if (effect.what == What::kEnded) lease_expiry_.OnEnded(effect.task);
     }
     if (effect.what == What::kGranted) {
-      log_.Tell<"council_granted">(effect.task, effect.who.name, effect.epoch);
+      log_.Emit<"council_granted">(effect.task, effect.who.name, effect.epoch);
       AddHistory(effect.task + " is granted to " + effect.who.name + ", epoch " +
                  std::to_string(effect.epoch));
     }
@@ -553,9 +553,9 @@
       wanted->holder.OnEffect(now, effect);
       const bool owns = wanted->holder.owns();
       if (owns && wanted->holder.epoch() != previous_epoch)
-        log_.Tell<"council_owns">(effect.task, wanted->holder.epoch());
+        log_.Emit<"council_owns">(effect.task, wanted->holder.epoch());
       if (!owns && previous_epoch != 0)
-        log_.Tell<"council_lost">(effect.task, previous_epoch, owner::NameOf(effect.error));
+        log_.Emit<"council_lost">(effect.task, previous_epoch, owner::NameOf(effect.error));
       wanted->changed.Notify();
     }
   }
@@ -577,7 +577,7 @@
       freeze_leases_.clear();
       SyncFreezeLeases();
       last_leader_proposals_at_ = 0;
-      log_.Tell<"council_leads">(notice.term);
+      log_.Emit<"council_leads">(notice.term);
       ++counters_.council_led;
       break;
     }
@@ -585,26 +585,26 @@
       lease_expiry_.BecomeLeader(machine_.Now(), {});
       freeze_lease_expiry_.BecomeLeader(machine_.Now(), {});
       joining_.clear();
-      log_.Tell<"council_stepped_down">(notice.term, notice.text);
+      log_.Emit<"council_stepped_down">(notice.term, notice.text);
       break;
     case Kind::kFollowsLeader:
-      log_.Tell<"council_follows">(notice.who.name, notice.term);
+      log_.Emit<"council_follows">(notice.who.name, notice.term);
       break;
     case Kind::kNoLeader:
-      log_.Tell<"council_no_leader">(notice.term);
+      log_.Emit<"council_no_leader">(notice.term);
       break;
     case Kind::kVotersChanged: {
       std::string names;
       for (const consensus::Voter& voter : core_->voters())
         names += (names.empty() ? "" : ", ") + voter.id.name;
-      log_.Tell<"council_voters">(names, notice.index);
+      log_.Emit<"council_voters">(names, notice.index);
       break;
     }
     case Kind::kMessageDropped:
       LogDropped(notice.text.c_str(), notice.who.name);
       break;
     case Kind::kJoinFailed:
-      log_.Tell<"council_join_failed">(notice.who.name, notice.text);
+      log_.Emit<"council_join_failed">(notice.who.name, notice.text);
       break;
     case Kind::kOlderDisk:  // the voter concerned logs it as well
       LogDropped("a message that relies on an older disk", notice.who.name);
@@ -612,7 +612,7 @@
     case Kind::kDiskLost:  // already logged if this member found it itself; otherwise another voter did
       if (!disk_fault_.empty()) break;
       disk_fault_ = "older, " + notice.text;
-      log_.Tell<"council_disk">("older", notice.text);
+      log_.Emit<"council_disk">("older", notice.text);
       break;
     case Kind::kJoined:
     case Kind::kTransferFailed:
@@ -956,7 +956,7 @@
       std::string why;
       machine_.files().Replace(setup_.stem + ".emergencies", local_gate_.Save(), why);
       permission.error = Error::kNone;
-      log_.Tell<"council_emergency">(freeze::NameOf(kind), freeze::TextOf(scope), by, reason);
+      log_.Emit<"council_emergency">(freeze::NameOf(kind), freeze::TextOf(scope), by, reason);
       co_return permission;
     }
     for (const std::string& name : local.missing)
@@ -976,7 +976,7 @@
       permission.text.append(freeze::TextOf(effect->scope)).append(")");
     }
   }
-  log_.Tell<"council_change_refused">(freeze::NameOf(kind), freeze::TextOf(scope),
+  log_.Emit<"council_change_refused">(freeze::NameOf(kind), freeze::TextOf(scope),
                                       owner::NameOf(permission.error), permission.text);
   co_return permission;
 }
@@ -1030,14 +1030,14 @@
     const auto incident = state_.freeze().incidents().find(effect.incident);
     if (incident != state_.freeze().incidents().end()) scope = freeze::TextOf(incident->second.scope);
     if (effect.what == What::kOpened)
-      log_.Tell<"council_incident">(effect.incident, "opened", scope, effect.pending);
+      log_.Emit<"council_incident">(effect.incident, "opened", scope, effect.pending);
     if (effect.what == What::kIncidentInForce)
-      log_.Tell<"council_incident">(effect.incident, "in force", scope, 0);
+      log_.Emit<"council_incident">(effect.incident, "in force", scope, 0);
     if (effect.what == What::kIncidentClosed)
-      log_.Tell<"council_incident">(effect.incident, "over", scope, 0);
-    if (effect.what == What::kOverride) log_.Tell<"council_glass">(effect.change, effect.by, effect.reason);
+      log_.Emit<"council_incident">(effect.incident, "over", scope, 0);
+    if (effect.what == What::kOverride) log_.Emit<"council_glass">(effect.change, effect.by, effect.reason);
     if (effect.what == What::kHold && effect.who == self_)
-      log_.Tell<"council_hold">(effect.change, effect.incident,
+      log_.Emit<"council_hold">(effect.change, effect.incident,
                                 effect.step_policy == freeze::StepPolicy::kUndo ? "undo" : "finish");
   }
 }
@@ -1150,7 +1150,7 @@
       wanted.next_action_at = now + every;
       if (permit.ok()) {
         if (settings_.step_ms > 0) {
-          log_.Tell<"council_step">("act", permit.epoch);
+          log_.Emit<"council_step">("act", permit.epoch);
           const Micros until = now + settings_.step_ms * kMs;
           while (machine_.Now() < until) co_await wanted.changed.Wait(until);
         }
@@ -1164,7 +1164,7 @@
           ProposeWithoutReply(council::Envelope(command));
         }
       } else {
-        log_.Tell<"council_lost">(TaskNameOf(wanted), previous_epoch, owner::NameOf(permit.error));
+        log_.Emit<"council_lost">(TaskNameOf(wanted), previous_epoch, owner::NameOf(permit.error));
       }
     }
     Micros next = wanted.holder.next_at();
@@ -1220,10 +1220,10 @@
       ++counters_.council_obeyed;
       uint64_t& logged_epoch = logged_epochs_[action.message.owned_task];
       if (std::exchange(logged_epoch, action.message.epoch) != action.message.epoch)
-        log_.Tell<"council_obeys">(action.message.owned_task, action.message.name, action.message.epoch);
+        log_.Emit<"council_obeys">(action.message.owned_task, action.message.name, action.message.epoch);
     } else {
       ++counters_.council_fenced;
-      log_.Tell<"council_refuses">(action.message.owned_task, action.message.name, action.message.epoch,
+      log_.Emit<"council_refuses">(action.message.owned_task, action.message.name, action.message.epoch,
                                    verdict.highest_epoch, owner::NameOf(verdict.error));
     }
     MemberMessage reply{.kind = MemberMessage::Kind::kActionReply,
--- a/src/handover/handover.cpp
+++ b/src/handover/handover.cpp
@@ -47,7 +47,7 @@
     }
   }
   predecessor_.reset();
-  log_.Tell<"handover_refused">(why);
+  log_.Emit<"handover_refused">(why);
   co_return none;
 }
 
@@ -64,7 +64,7 @@
   std::string why;
   listener_ = machine_.network().Await(path_, why);
   if (!listener_) {
-    log_.Tell<"handover_unavailable">(path_, why);
+    log_.Emit<"handover_unavailable">(path_, why);
     return;
   }
   accept_ = AcceptSuccessors();
@@ -234,7 +234,7 @@
   LogRefused("a message that can't be read");
 }
 
-void Handover::LogRefused(std::string_view what) { log_.Tell<"handover_message_refused">(what); }
+void Handover::LogRefused(std::string_view what) { log_.Emit<"handover_message_refused">(what); }
 
 void Handover::Send(Peer& peer, std::string message) {
   if (peer.broken) return;
--- a/src/membership/list_log.cpp
+++ b/src/membership/list_log.cpp
@@ -17,7 +17,7 @@
 
 void ListLog::OnListApplied() {
   if (std::exchange(failure_logged_, false)) {
-    log_.Tell<"list_back">(failed_, (clock_.Now() - failing_since_) / kMs);
+    log_.Emit<"list_back">(failed_, (clock_.Now() - failing_since_) / kMs);
   }
   failed_ = 0;
   LogChanges();
@@ -29,14 +29,14 @@
   if (now < log_failure_at_) return;
   log_failure_at_ = now + kFailuresInterval;
   failure_logged_ = true;
-  log_.Tell<"list_failed">(failed_, why);
+  log_.Emit<"list_failed">(failed_, why);
 }
 
 void ListLog::LogChanges() {
   const HostChanges& all = hosts_.changes();
   if (!all.any() || clock_.Now() < log_changes_at_) return;
   log_changes_at_ = clock_.Now() + kChangesInterval;
-  log_.Tell<"list_heard">(hosts_.version(), hosts_.Ready(), all.added, all.removed, all.draining,
+  log_.Emit<"list_heard">(hosts_.version(), hosts_.Ready(), all.added, all.removed, all.draining,
                           all.restarted);
   hosts_.ForgetChanges();
 }
--- a/src/serve/program.cpp
+++ b/src/serve/program.cpp
@@ -85,7 +85,7 @@
       log_(log),
       counters_(counters),
       figures_(properties.figures.on ? std::make_unique<Figures>(machine, properties.figures,
-                                                                 config_.settings, log.outlet(), counters_)
+                                                                 config_.settings, log.sink(), counters_)
                                      : nullptr),
       start_(start.value_or(StartSettings())),
       hosts_(config_.settings),
@@ -106,7 +106,7 @@
   if (config_.admin.length > 0)
     control_.emplace(machine_, config_.admin, MaxOperatorConnections(descriptors()),
                      static_cast<Operations&>(*this));
-  if (config_.passed >= 0 && !config_.folder.empty()) {
+  if (config_.passed_listener >= 0 && !config_.folder.empty()) {
     handover_.emplace(machine_, PathFor(config_, config_.folder, ".sock"), config_.name,
                       static_cast<HandoverHandler&>(*this), log_);
   }
@@ -114,7 +114,7 @@
   budget_.Add(front_);
   budget_.Add(upstream_);
   tokens_.Configure(properties.tokens);
-  rate_limiter_.Configure(properties.door);
+  rate_limiter_.Configure(properties.rate_limits);
   if (properties.capture.on) {
     capture_ = std::make_unique<Capture>(
         machine, properties.capture, config_, hosts_, [this] { return dispatcher_.Save(); }, log, counters_);
@@ -237,7 +237,7 @@
   if (figures_) figures_->Start();
   if (control_) {
     control_->Open();
-    log_.Tell<"admin_serving">(AddressWithPort(config_.admin, control_->port()));
+    log_.Emit<"admin_serving">(AddressWithPort(config_.admin, control_->port()));
   }
   start_task_ = RunStart();
   start_task_.Start();
@@ -280,10 +280,10 @@
   }
   if (handover_) handover_->Serve();
   Join();
-  log_.Tell<"serving">(config_.name, AddressWithPort(config_.listen, front_.port()));
+  log_.Emit<"serving">(config_.name, AddressWithPort(config_.listen, front_.port()));
   if (list_pacing_) {
     logged_phase_ = list_pacing_->phase();
-    log_.Tell<"start_phase">(start::NameOf(logged_phase_), 0,
+    log_.Emit<"start_phase">(start::NameOf(logged_phase_), 0,
                              (list_pacing_->next_at() - start_began_at_) / kMs, list_pacing_->window() / kMs,
                              counters_.list_calls);
   }
@@ -292,7 +292,7 @@
 
 // Starts without a predecessor: from the saved list, or else from the list in the configuration.
 void Program::StartFresh() {
-  if (!ApplySavedList()) hosts_.ApplyList(config_.known, machine_.Now());
+  if (!ApplySavedList()) hosts_.ApplyList(config_.initial_hosts, machine_.Now());
   list_log_.emplace(machine_.scheduler(), hosts_, log_);
   LoadOutFile();
 }
@@ -323,7 +323,7 @@
   }
   if (!Serving()) return;
   phase_ = Phase::kDraining;
-  log_.Tell<"draining">(front_.open());
+  log_.Emit<"draining">(front_.open());
   front_.StartLeaving();
   phase_event_.Notify();
 }
@@ -346,7 +346,7 @@
 
 void Program::Reload(const Properties& properties) {
   tokens_.Configure(properties.tokens);
-  rate_limiter_.Configure(properties.door);
+  rate_limiter_.Configure(properties.rate_limits);
   if (figures_) figures_->Reopen();
 }
 
@@ -417,7 +417,7 @@
 }
 
 Task<> Program::RunClosing() {
-  log_.Tell<"closing">(front_.open());
+  log_.Emit<"closing">(front_.open());
   front_.Close();
   // Lingering links are waited for, counted from the last answer. If the process ended while a link has
   // unread bytes, the kernel would reset the link and the client could lose that answer.
@@ -456,10 +456,10 @@
   const size_t open = budget_.open(), most = budget_.max_links();
   if (!descriptors_tight_ && budget_.tight()) {
     descriptors_tight_ = true;
-    log_.Tell<"descriptors_tight">(open, most);
+    log_.Emit<"descriptors_tight">(open, most);
   } else if (descriptors_tight_ && open < most / 2) {
     descriptors_tight_ = false;
-    log_.Tell<"descriptors_enough">(open, most);
+    log_.Emit<"descriptors_enough">(open, most);
   }
 }
 
--- a/src/serve/program_handover.cpp
+++ b/src/serve/program_handover.cpp
@@ -17,12 +17,12 @@
 // Continues from the predecessor's state. Returns false if none of it can be used.
 bool Program::TakeOver(const HandoverState& estate) {
   if (!hosts_.Restore(estate.hosts, estate.list)) {
-    log_.Tell<"handover_refused">("nodes that can't be");
+    log_.Emit<"handover_refused">("nodes that can't be");
     return false;
   }
   if (list_saver_) ReadSavedLists();
   list_log_.emplace(machine_.scheduler(), hosts_, log_);
-  log_.Tell<"taken_over">(estate.hosts.size(), hosts_.Out().size(), estate.dispatcher.queries.size());
+  log_.Emit<"taken_over">(estate.hosts.size(), hosts_.Out().size(), estate.dispatcher.queries.size());
   std::string why;
   if (estate.settings != config_.settings_json) {
     why = "other settings";
@@ -31,7 +31,7 @@
   } else if (!dispatcher_.ImportState(estate.dispatcher)) {
     why = "a state of another format";
   }
-  if (!why.empty()) log_.Tell<"state_refused">(why);
+  if (!why.empty()) log_.Emit<"state_refused">(why);
   // The predecessor may have failed to write the out file, for example because the disk was full.
   const std::string path = OutFilePath(config_);
   const std::optional<std::string> text = path.empty() ? std::nullopt : machine_.files().Read(path);
@@ -58,7 +58,7 @@
 
 void Program::KeepListener() {
   if (!Serving() && phase_ != Phase::kDraining) return;
-  if (front_.StartAccepting()) log_.Tell<"door_kept">();  // KeepDoor() may be called twice for one successor
+  if (front_.StartAccepting()) log_.Emit<"door_kept">();  // KeepDoor() may be called twice for one successor
 }
 
 void Program::OnSuccessorServing() {
@@ -67,7 +67,7 @@
     phase_before_handover_ = phase_;
     phase_ = Phase::kHandedOver;
   }
-  log_.Tell<"handed_over">(front_.open(), dispatcher_.open());
+  log_.Emit<"handed_over">(front_.open(), dispatcher_.open());
   front_.StopAccepting();
   member_.reset();  // without an announcement: the successor continues as the same member
   if (council_) {   // likewise; the successor now uses its disk and its address
@@ -90,7 +90,7 @@
 
 void Program::OnSuccessorLost() {
   if (phase_ != Phase::kHandedOver) return;
-  log_.Tell<"taken_back">(handover_->links_lost());
+  log_.Emit<"taken_back">(handover_->links_lost());
   phase_ = phase_before_handover_;
   front_.HandOverLinks(nullptr);
   front_.StartAccepting();
@@ -117,7 +117,7 @@
   other_use_ = use;
   UpdateDescriptorLimits();
   if (!first) return;
-  log_.Tell<"two_processes">(use.descriptors, use.memory_kb, budget_.open() + LinkBudget::kSpareDescriptors,
+  log_.Emit<"two_processes">(use.descriptors, use.memory_kb, budget_.open() + LinkBudget::kSpareDescriptors,
                              machine_.ResidentBytes() / 1024, descriptors());
 }
 
@@ -130,7 +130,7 @@
   if (hosts_.IsOut(call.name) || !hosts_.TakeOut(call.name, call.since)) return;
   OnHostsChanged();
   handover_->SendTakenOut(call);
-  log_.Tell<"node_out">(call.name, hosts_.Out().size());
+  log_.Emit<"node_out">(call.name, hosts_.Out().size());
 }
 
 void Program::OnPeerPutBack(const NodeChange& call) {
@@ -138,7 +138,7 @@
   hosts_.PutBack(call.name, call.since);
   OnHostsChanged();
   handover_->SendPutBack(call);
-  log_.Tell<"node_back">(call.name, hosts_.Out().size());
+  log_.Emit<"node_back">(call.name, hosts_.Out().size());
 }
 
 void Program::OnPeerDrain(bool drains) { SetManualDrain(drains); }
--- a/src/serve/program_operations.cpp
+++ b/src/serve/program_operations.cpp
@@ -16,12 +16,12 @@
   if (!text) return;  // no node was ever out of service
   const std::optional<std::vector<OutHost>> out = ReadOutFile(*text);
   if (!out) {
-    log_.Tell<"out_file_refused">(path);
+    log_.Emit<"out_file_refused">(path);
     return;
   }
   if (out->empty()) return;
   for (const OutHost& host : *out) hosts_.TakeOutUnlisted(host.name, host.since);
-  log_.Tell<"nodes_kept_out">(out->size());
+  log_.Emit<"nodes_kept_out">(out->size());
 }
 
 // Returns false if the file can't be written. Without a file the state lasts as long as this process, which
@@ -30,7 +30,7 @@
   const std::string path = OutFilePath(config_);
   std::string why;
   if (path.empty() || machine_.files().Replace(path, WriteOutFile(out), why)) return out_file_current_ = true;
-  log_.Tell<"out_file_error">(path, why);
+  log_.Emit<"out_file_error">(path, why);
   return false;
 }
 
@@ -41,7 +41,7 @@
   std::string why;
   if (out_file_current_ || !machine_.files().Replace(path, WriteOutFile(hosts_.Out()), why)) return;
   out_file_current_ = true;
-  log_.Tell<"out_file_written">(path);
+  log_.Emit<"out_file_written">(path);
 }
 
 void Program::OnHostsChanged() {
@@ -60,7 +60,7 @@
   hosts_.TakeOut(server, now);
   OnHostsChanged();
   if (handover_) handover_->SendTakenOut({std::string(server), now});
-  log_.Tell<"node_out">(server, out.size());
+  log_.Emit<"node_out">(server, out.size());
   return Verdict::kDone;
 }
 
@@ -75,7 +75,7 @@
   hosts_.PutBack(server, now);
   OnHostsChanged();
   if (handover_) handover_->SendPutBack({std::string(server), now});
-  log_.Tell<"node_back">(server, out.size());
+  log_.Emit<"node_back">(server, out.size());
   return Verdict::kDone;
 }
 
@@ -154,10 +154,10 @@
   phase = drained ? Phase::kDrainedManually : Phase::kServing;
   if (drained) {
     manual_drain_since_ = machine_.Now();
-    log_.Tell<"drained">(front_.open());
+    log_.Emit<"drained">(front_.open());
     front_.DrainManually();
   } else {
-    log_.Tell<"back_to_work">((machine_.Now() - manual_drain_since_) / kMs);
+    log_.Emit<"back_to_work">((machine_.Now() - manual_drain_since_) / kMs);
     front_.EndManualDrain();
   }
   phase_event_.Notify();
--- a/src/serve/program_saved_list.cpp
+++ b/src/serve/program_saved_list.cpp
@@ -33,9 +33,10 @@
 bool Program::ApplySavedList() {
   if (!list_saver_) return false;
   const start::SavedChoice choice = ReadSavedLists();
-  for (const auto& [path, why] : choice.refused) log_.Tell<"saved_list_refused">(path, why);
+  for (const auto& [path, why] : choice.refused) log_.Emit<"saved_list_refused">(path, why);
   if (!choice.list) return false;
-  if (choice.list->version < config_.known.version && !config_.known.hosts.empty()) return false;
+  if (choice.list->version < config_.initial_hosts.version && !config_.initial_hosts.hosts.empty())
+    return false;
   HostList list;
   list.version = choice.list->version;
   list.full = true;
@@ -51,7 +52,7 @@
     entry.entry.size = node.size;
   }
   hosts_.ApplyList(list, machine_.Now());
-  log_.Tell<"saved_list_used">(list.hosts.size(), list.version, choice.age / kMs);
+  log_.Emit<"saved_list_used">(list.hosts.size(), list.version, choice.age / kMs);
   return true;
 }
 
@@ -71,7 +72,7 @@
   std::string why;
   const bool done = list.nodes.empty() || machine_.files().Replace(path, start::WriteSavedList(list), why);
   list_saver_->OnWritten(machine_.Now(), done);
-  if (!done && !std::exchange(list_file_error_logged_, true)) log_.Tell<"saved_list_error">(path, why);
+  if (!done && !std::exchange(list_file_error_logged_, true)) log_.Emit<"saved_list_error">(path, why);
   if (done) list_file_error_logged_ = false;
 }
 
@@ -84,9 +85,9 @@
   book.Add(wall);
   std::string why;
   if (!machine_.files().Replace(path, book.Text(), why) && !std::exchange(list_file_error_logged_, true)) {
-    log_.Tell<"saved_list_error">(path, why);
+    log_.Emit<"saved_list_error">(path, why);
   }
-  if (before > 0) log_.Tell<"start_again">(before, list_pacing_->loop_span() / kMs);
+  if (before > 0) log_.Emit<"start_again">(before, list_pacing_->loop_span() / kMs);
   return before;
 }
 
@@ -95,7 +96,7 @@
   if (!list_pacing_ || list_pacing_->phase() == logged_phase_) return;
   logged_phase_ = list_pacing_->phase();
   const Micros now = machine_.Now();
-  log_.Tell<"start_phase">(start::NameOf(logged_phase_), (now - start_began_at_) / kMs,
+  log_.Emit<"start_phase">(start::NameOf(logged_phase_), (now - start_began_at_) / kMs,
                            std::max<Micros>(0, list_pacing_->next_at() - now) / kMs,
                            list_pacing_->window() / kMs, counters_.list_calls);
 }
--- a/src/serve/serve.cpp
+++ b/src/serve/serve.cpp
@@ -21,7 +21,7 @@
 constexpr int kExitBadSettings = 2;
 
 void LogCounters(const Program& program, Log& log) {
-  log.Tell<"counters">(program.counters(), static_cast<int>(program.phase()));
+  log.Emit<"counters">(program.counters(), static_cast<int>(program.phase()));
 }
 
 // The operators' own settings; without a file, every feature is off.
@@ -37,16 +37,16 @@
       return std::string_view(name) == platform::kConfigVariable ? std::getenv(name) : nullptr;
     };
     const bool all = program.Reload(LoadConfig(file, files));
-    log.Tell<"config_read">(all ? "" : "name, listen and settings");
+    log.Emit<"config_read">(all ? "" : "name, listen and settings");
   } catch (const std::exception& e) {
-    log.Tell<"config_kept">(e.what());
+    log.Emit<"config_kept">(e.what());
   }
   if (path.empty()) return;
   try {
     program.Reload(LoadProperties(path, files));
-    log.Tell<"properties_read">("those of figures and capture");
+    log.Emit<"properties_read">("those of figures and capture");
   } catch (const std::exception& e) {
-    log.Tell<"properties_kept">(e.what());
+    log.Emit<"properties_kept">(e.what());
   }
 }
 
@@ -125,12 +125,13 @@
     std::fputs(settings_errors.c_str(), stderr);
     return kExitBadSettings;
   }
-  Outlet errors(machine.scheduler(), machine.StandardError());
+  LineSink errors(machine.scheduler(), machine.StandardError());
   Counters counters;
   Log log(machine.scheduler(), errors, format, counters);
   Program program(machine, config, properties, log, counters, start, cluster, council);
-  log.Tell<"starting">(config.name, BURLFALL_VERSION, config.discovery.text, config.known.hosts.size(),
-                       program.descriptors(), properties.On());
+  log.Emit<"starting">(config.name, BURLFALL_VERSION, config.discovery.text,
+                       config.initial_hosts.hosts.size(), program.descriptors(),
+                       properties.EnabledFeatures());
   Task<> signal_task = HandleSignals(signals, program, path, machine.files(), log);
   signal_task.Start();
   program.Start();
@@ -138,7 +139,7 @@
   machine.scheduler().Run();
   program.Finish();
   LogCounters(program, log);
-  log.Tell<"stopped">((machine.Now() - began) / kMs);
+  log.Emit<"stopped">((machine.Now() - began) / kMs);
   log.Finish(kLogFlushTimeout);
   return 0;
 }
--- a/tests/histories/virtual_run.h
+++ b/tests/histories/virtual_run.h
@@ -66,7 +66,7 @@
   struct Process {
     std::unique_ptr<world::VirtualMachine> machine;
     std::unique_ptr<Counters> counters;
-    std::unique_ptr<Outlet> errors;
+    std::unique_ptr<LineSink> errors;
     std::unique_ptr<Log> log;
     std::unique_ptr<Program> program;
     void End() {
@@ -130,7 +130,7 @@
     process.machine = std::make_unique<world::VirtualMachine>(
         world_, static_cast<std::size_t>(experiment_.site.balancers.descriptors));
     process.counters = std::make_unique<Counters>();
-    process.errors = std::make_unique<Outlet>(world_.scheduler, process.machine->StandardError());
+    process.errors = std::make_unique<LineSink>(world_.scheduler, process.machine->StandardError());
     process.log =
         std::make_unique<Log>(world_.scheduler, *process.errors, LogFormat::kJson, *process.counters);
     process.program = std::make_unique<Program>(*process.machine, ReadConfig(path), Properties(),
--- a/tests/stories/log_test.cpp
+++ b/tests/stories/log_test.cpp
@@ -67,8 +67,8 @@
     in = Descriptor(ends[0]);
     out = Descriptor(ends[1]);
     REQUIRE(fcntl(out.get(), F_SETPIPE_SZ, bytes) == bytes);
-    outlet.emplace(clock, WriteTo(out.get()));
-    log.emplace(clock, *outlet, format, counters);
+    sink.emplace(clock, WriteTo(out.get()));
+    log.emplace(clock, *sink, format, counters);
   }
   std::string ReadAvailable() {  // without waiting
     std::string text;
@@ -80,7 +80,7 @@
   Clock clock;
   Descriptor in, out;
   Counters counters;
-  std::optional<Outlet> outlet;
+  std::optional<LineSink> sink;
   std::optional<Log> log;
 };
 
@@ -129,12 +129,12 @@
   PipedLog text(LogFormat::kText), json(LogFormat::kJson);
   const std::string special_text = "a \"b\\\n\x01 \xc3\xbc";
   for (PipedLog* piped_log : {&text, &json}) {
-    piped_log->log->Tell<"serving">("n1", "127.0.0.1:9000");
-    piped_log->log->Tell<"config_read">("");
-    piped_log->log->Tell<"list_heard">(41u, 12u, 0u, 2u, 0u, 1u);
-    piped_log->log->Tell<"config_kept">(special_text);
-    piped_log->log->Tell<"config_kept">(special_text + "\xff");
-    piped_log->log->Tell<"capture_busy">();
+    piped_log->log->Emit<"serving">("n1", "127.0.0.1:9000");
+    piped_log->log->Emit<"config_read">("");
+    piped_log->log->Emit<"list_heard">(41u, 12u, 0u, 2u, 0u, 1u);
+    piped_log->log->Emit<"config_kept">(special_text);
+    piped_log->log->Emit<"config_kept">(special_text + "\xff");
+    piped_log->log->Emit<"capture_busy">();
   }
   CHECK(text.ReadAvailable() ==
         "burlfall: n1 serves at 127.0.0.1:9000\n"
@@ -155,27 +155,27 @@
 TEST_CASE("lines that do not fit are counted, and reported once there is room") {
   PipedLog piped_log(LogFormat::kJson, 4096);
   constexpr int kEvents = 400;
-  for (int i = 0; i < kEvents; ++i) piped_log.log->Tell<"config_kept">(std::string(100, 'x'));
+  for (int i = 0; i < kEvents; ++i) piped_log.log->Emit<"config_kept">(std::string(100, 'x'));
   const uint64_t dropped = piped_log.counters.log_dropped;
   CHECK(dropped > 0);
   CHECK(piped_log.counters.Text().ends_with(" log_dropped=" + std::to_string(dropped)));
   std::string received = piped_log.ReadAvailable();
   for (std::string more = received; !more.empty(); received += more) {
-    piped_log.outlet->Flush();
+    piped_log.sink->Flush();
     more = piped_log.ReadAvailable();
   }
-  piped_log.log->Tell<"capture_busy">();
+  piped_log.log->Emit<"capture_busy">();
   const std::vector<std::string> lines = LinesOf(received + piped_log.ReadAvailable());
   CHECK(lines.size() + dropped == kEvents + 2);
   CHECK(ordered_json::parse(lines.back()).at("event") == "log_dropped");
   CHECK(ordered_json::parse(lines.back()).at("lines") == dropped);
-  piped_log.log->Tell<"capture_busy">();
+  piped_log.log->Emit<"capture_busy">();
   CHECK(LinesOf(piped_log.ReadAvailable()).size() == 1);  // reported only once
   CHECK(piped_log.counters.log_dropped == dropped);
 
   signal(SIGPIPE, SIG_IGN);
   piped_log.in = Descriptor();  // no reader: every line is lost, and none causes another
-  for (int i = 0; i < 5; ++i) piped_log.log->Tell<"capture_busy">();
+  for (int i = 0; i < 5; ++i) piped_log.log->Emit<"capture_busy">();
   CHECK(piped_log.counters.log_dropped == dropped + 5);
 }
 
