--- a/src/lab/council_judge/play_freeze.cpp
+++ b/src/lab/council_judge/freeze_simulation.cpp
@@ -10,7 +10,7 @@
 #include "freeze/freeze.h"
 #include "freeze/local_gate.h"
 #include "freeze/permit.h"
-#include "lab/council_judge/play.h"
+#include "lab/council_judge/simulation.h"
 #include "lab/council_judge/timeline.h"
 #include "owner/lease_expiry.h"
 
--- a/src/lab/council_judge/judge.cpp
+++ b/src/lab/council_judge/history_checker.cpp
@@ -1,4 +1,4 @@
-#include "lab/council_judge/judge.h"
+#include "lab/council_judge/history_checker.h"
 
 #include <algorithm>
 #include <map>
--- a/src/lab/council_judge/judge.h
+++ b/src/lab/council_judge/history_checker.h
@@ -1,8 +1,8 @@
 // What was seen from outside of owners, executors, changes and incidents, held against invariants 1 to 4 of
 // docs/design/council_freeze.md and council_owner.md. It has its own reading of the rules: of the rooms it
 // judges it uses the plain data and whether two scopes meet. No I/O, no clock.
-#ifndef BURLFALL_LAB_COUNCIL_JUDGE_JUDGE_H_
-#define BURLFALL_LAB_COUNCIL_JUDGE_JUDGE_H_
+#ifndef BURLFALL_LAB_COUNCIL_JUDGE_HISTORY_CHECKER_H_
+#define BURLFALL_LAB_COUNCIL_JUDGE_HISTORY_CHECKER_H_
 
 #include <cstdint>
 #include <string>
@@ -84,4 +84,4 @@
 
 }  // namespace burlfall::lab
 
-#endif  // BURLFALL_LAB_COUNCIL_JUDGE_JUDGE_H_
+#endif  // BURLFALL_LAB_COUNCIL_JUDGE_HISTORY_CHECKER_H_
--- a/src/lab/council_judge/play_owner.cpp
+++ b/src/lab/council_judge/owner_simulation.cpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <utility>
 
-#include "lab/council_judge/play.h"
+#include "lab/council_judge/simulation.h"
 #include "lab/council_judge/timeline.h"
 #include "owner/executor.h"
 #include "owner/holder.h"
--- a/src/lab/council_judge/play.h
+++ b/src/lab/council_judge/simulation.h
@@ -2,8 +2,8 @@
 // with messages that are lost, doubled and late, leaders that fall, processes that stand still or die at
 // marked steps, disks that lose writes, and clocks that drift apart. What was seen goes to the judge. The log
 // itself is one list here: agreeing on it is another room's.
-#ifndef BURLFALL_LAB_COUNCIL_JUDGE_PLAY_H_
-#define BURLFALL_LAB_COUNCIL_JUDGE_PLAY_H_
+#ifndef BURLFALL_LAB_COUNCIL_JUDGE_SIMULATION_H_
+#define BURLFALL_LAB_COUNCIL_JUDGE_SIMULATION_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 #include "freeze/rules.h"
 #include "io/time.h"
-#include "lab/council_judge/judge.h"
+#include "lab/council_judge/history_checker.h"
 
 namespace burlfall::lab {
 
@@ -82,4 +82,4 @@
 
 }  // namespace burlfall::lab
 
-#endif  // BURLFALL_LAB_COUNCIL_JUDGE_PLAY_H_
+#endif  // BURLFALL_LAB_COUNCIL_JUDGE_SIMULATION_H_
--- a/src/lab/council_world/council_judge.cpp
+++ b/src/lab/council_world/consensus_checker.cpp
@@ -1,4 +1,4 @@
-#include "lab/council_world/council_judge.h"
+#include "lab/council_world/consensus_checker.h"
 
 #include <algorithm>
 
--- a/src/lab/council_world/council_judge.h
+++ b/src/lab/council_world/consensus_checker.h
@@ -9,8 +9,8 @@
 //   - a read that claims to be current sees all that was acknowledged, or read by another, before it began
 //   - council time never goes back along the log
 //   - a change of voters changes one, and none is begun before the earlier one is committed
-#ifndef BURLFALL_LAB_COUNCIL_WORLD_COUNCIL_JUDGE_H_
-#define BURLFALL_LAB_COUNCIL_WORLD_COUNCIL_JUDGE_H_
+#ifndef BURLFALL_LAB_COUNCIL_WORLD_CONSENSUS_CHECKER_H_
+#define BURLFALL_LAB_COUNCIL_WORLD_CONSENSUS_CHECKER_H_
 
 #include <cstdint>
 #include <map>
@@ -71,4 +71,4 @@
 
 }  // namespace burlfall::lab
 
-#endif  // BURLFALL_LAB_COUNCIL_WORLD_COUNCIL_JUDGE_H_
+#endif  // BURLFALL_LAB_COUNCIL_WORLD_CONSENSUS_CHECKER_H_
--- a/src/lab/council_world/council_world.cpp
+++ b/src/lab/council_world/consensus_simulation.cpp
@@ -1,4 +1,4 @@
-#include "lab/council_world/council_world.h"
+#include "lab/council_world/consensus_simulation.h"
 
 #include <algorithm>
 #include <variant>
--- a/src/lab/council_world/council_world.h
+++ b/src/lab/council_world/consensus_simulation.h
@@ -1,8 +1,8 @@
 // Voters of a council on a virtual clock, network and disk, with two that only follow. All chance is one
 // seed: the same seed plays the same course. What is done to them comes from outside, call by call, or is
 // drawn by PlayDrawn(); what they do goes to the judge.
-#ifndef BURLFALL_LAB_COUNCIL_WORLD_COUNCIL_WORLD_H_
-#define BURLFALL_LAB_COUNCIL_WORLD_COUNCIL_WORLD_H_
+#ifndef BURLFALL_LAB_COUNCIL_WORLD_CONSENSUS_SIMULATION_H_
+#define BURLFALL_LAB_COUNCIL_WORLD_CONSENSUS_SIMULATION_H_
 
 #include <cstdint>
 #include <deque>
@@ -17,7 +17,7 @@
 
 #include "consensus/core.h"
 #include "io/time.h"
-#include "lab/council_world/council_judge.h"
+#include "lab/council_world/consensus_checker.h"
 
 namespace burlfall::lab {
 
@@ -200,4 +200,4 @@
 
 }  // namespace burlfall::lab
 
-#endif  // BURLFALL_LAB_COUNCIL_WORLD_COUNCIL_WORLD_H_
+#endif  // BURLFALL_LAB_COUNCIL_WORLD_CONSENSUS_SIMULATION_H_
--- a/src/lab/council_world/every_state.cpp
+++ b/src/lab/council_world/state_explorer.cpp
@@ -1,4 +1,4 @@
-#include "lab/council_world/every_state.h"
+#include "lab/council_world/state_explorer.h"
 
 #include <algorithm>
 #include <array>
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "consensus/wire.h"
-#include "lab/council_world/council_judge.h"
+#include "lab/council_world/consensus_checker.h"
 
 namespace burlfall::lab {
 namespace {
--- a/src/lab/council_world/every_state.h
+++ b/src/lab/council_world/state_explorer.h
@@ -1,8 +1,8 @@
 // A small council gone through whole: three voters, a few elections, entries and crashes, and every order in
 // which messages come (or don't), writes are done and crashes fall. Clocks stand still: an election is tried
 // whenever it may be, without a pre-vote, which is more than any clock would allow.
-#ifndef BURLFALL_LAB_COUNCIL_WORLD_EVERY_STATE_H_
-#define BURLFALL_LAB_COUNCIL_WORLD_EVERY_STATE_H_
+#ifndef BURLFALL_LAB_COUNCIL_WORLD_STATE_EXPLORER_H_
+#define BURLFALL_LAB_COUNCIL_WORLD_STATE_EXPLORER_H_
 
 #include <cstdint>
 #include <string>
@@ -30,4 +30,4 @@
 
 }  // namespace burlfall::lab
 
-#endif  // BURLFALL_LAB_COUNCIL_WORLD_EVERY_STATE_H_
+#endif  // BURLFALL_LAB_COUNCIL_WORLD_STATE_EXPLORER_H_
--- a/tests/consensus/every_state_test.cpp
+++ b/tests/consensus/every_state_test.cpp
@@ -1,6 +1,6 @@
 // Exhaustive exploration of the states of small clusters. BURLFALL_ELECTIONS=2 explores the larger one (half
 // a million states).
-#include "lab/council_world/every_state.h"
+#include "lab/council_world/state_explorer.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/consensus/judge_test.cpp
+++ b/tests/consensus/judge_test.cpp
@@ -2,7 +2,7 @@
 #include <gtest/gtest.h>
 
 #include "consensus/wire.h"
-#include "lab/council_world/council_world.h"
+#include "lab/council_world/consensus_simulation.h"
 
 namespace burlfall::lab {
 namespace {
--- a/tests/consensus/seeds_test.cpp
+++ b/tests/consensus/seeds_test.cpp
@@ -6,7 +6,7 @@
 #include <cstdlib>
 #include <string>
 
-#include "lab/council_world/council_world.h"
+#include "lab/council_world/consensus_simulation.h"
 
 namespace burlfall::lab {
 namespace {
--- a/tests/freeze/judge_test.cpp
+++ b/tests/freeze/judge_test.cpp
@@ -1,5 +1,5 @@
 // Tests of the checker of council histories: it accepts a correct history and reports each broken invariant.
-#include "lab/council_judge/judge.h"
+#include "lab/council_judge/history_checker.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/owner/play_test.cpp
+++ b/tests/owner/play_test.cpp
@@ -1,5 +1,5 @@
 // Simulates owners on random schedules and checks their histories; injected faults must be found.
-#include "lab/council_judge/play.h"
+#include "lab/council_judge/simulation.h"
 
 #include <gtest/gtest.h>
 
