--- a/src/lab/council_world/consensus_checker.cpp
+++ b/src/lab/council_world/consensus_checker.cpp
@@ -1,3 +1,4 @@
+// The rules of the safety checker.
 #include "lab/council_world/consensus_checker.h"
 
 #include <algorithm>
@@ -7,7 +8,7 @@
 namespace burlfall::lab {
 namespace {
 
-constexpr size_t kShown = 20;
+constexpr size_t kMaxReportedViolations = 20;
 
 uint64_t Mix(uint64_t a, uint64_t b) {
   uint64_t z = a * 0x9e3779b97f4a7c15 + b + 0x2545f4914f6cdd1d;
@@ -26,62 +27,64 @@
   return next;
 }
 
-void CouncilJudge::Broken(const std::string& what) {
-  ++broken_count_;
-  if (broken_.size() < kShown) broken_.push_back(what);
+void ConsensusChecker::ReportViolation(const std::string& what) {
+  ++violation_count_;
+  if (violations_.size() < kMaxReportedViolations) violations_.push_back(what);
 }
 
-void CouncilJudge::TookOffice(const std::string& run, uint64_t term,
-                              const std::vector<consensus::Entry>& log) {
-  const auto [found, first] = leaders_.emplace(term, run);
+void ConsensusChecker::OnBecameLeader(const std::string& run, uint64_t term,
+                                      const std::vector<consensus::Entry>& log) {
+  const auto [found, first] = leaders_by_term_.emplace(term, run);
   if (!first && found->second != run) {
-    Broken("two leaders in term " + Number(term) + ": " + found->second + " and " + run);
+    ReportViolation("two leaders in term " + Number(term) + ": " + found->second + " and " + run);
   }
-  // What is before the first is in its snapshot, and was committed there.
+  // Entries before the first one of the log are covered by the snapshot, and were committed.
   const uint64_t begin = log.empty() ? UINT64_MAX : log.front().index;
   const uint64_t end = log.empty() ? 0 : log.back().index;
   for (const auto& [index, terms] : acknowledged_) {
-    const auto& [of, led] = terms;
-    if (led >= term || index < begin) continue;
+    const auto& [of, leader_term] = terms;
+    if (leader_term >= term || index < begin) continue;
     if (index > end || log[index - begin].term != of) {
-      Broken("entry " + Number(index) + " was acknowledged in term " + Number(led) + " and " + run +
-             " leads in term " + Number(term) + " without it");
+      ReportViolation("entry " + Number(index) + " was acknowledged in term " + Number(leader_term) +
+                      " and " + run + " leads in term " + Number(term) + " without it");
       break;
     }
   }
 }
 
-void CouncilJudge::InLog(const std::string& run, uint64_t term_before, const consensus::Entry& entry) {
+void ConsensusChecker::OnLogEntry(const std::string& run, uint64_t term_before,
+                                  const consensus::Entry& entry) {
   const std::pair<uint64_t, uint64_t> what{term_before, NextState(0, entry)};
-  const auto [found, first] = entries_.emplace(std::pair{entry.index, entry.term}, what);
+  const auto [found, first] = log_entries_.emplace(std::pair{entry.index, entry.term}, what);
   if (!first && found->second != what) {
-    Broken("logs differ at entry " + Number(entry.index) + " of term " + Number(entry.term) + ": " + run);
+    ReportViolation("logs differ at entry " + Number(entry.index) + " of term " + Number(entry.term) + ": " +
+                    run);
   }
 }
 
-void CouncilJudge::Applied(const std::string& run, const consensus::Entry& entry) {
-  uint64_t& last = runs_[run];
+void ConsensusChecker::OnApplied(const std::string& run, const consensus::Entry& entry) {
+  uint64_t& last = last_applied_by_run_[run];
   if (entry.index != last + 1) {
-    Broken(run + " applies entry " + Number(entry.index) + " after " + Number(last));
+    ReportViolation(run + " applies entry " + Number(entry.index) + " after " + Number(last));
   }
   last = entry.index;
-  if (entry.index <= agreed_.size()) {
-    const Agreed& one = agreed_[entry.index - 1];
-    const uint64_t before = entry.index > 1 ? agreed_[entry.index - 2].state : 0;
+  if (entry.index <= applied_entries_.size()) {
+    const AppliedEntry& one = applied_entries_[entry.index - 1];
+    const uint64_t before = entry.index > 1 ? applied_entries_[entry.index - 2].state : 0;
     if (one.term != entry.term || one.state != NextState(before, entry)) {
-      Broken(run + " applies another entry " + Number(entry.index) + " than was applied before");
+      ReportViolation(run + " applies another entry " + Number(entry.index) + " than was applied before");
     }
     return;
   }
-  if (entry.index != agreed_.size() + 1) return;  // told already
-  const uint64_t before = agreed_.empty() ? 0 : agreed_.back().state;
-  if (!agreed_.empty() && agreed_.back().at > entry.log_time) {
-    Broken("council time goes back at entry " + Number(entry.index));
+  if (entry.index != applied_entries_.size() + 1) return;  // a gap, which is already reported
+  const uint64_t before = applied_entries_.empty() ? 0 : applied_entries_.back().state;
+  if (!applied_entries_.empty() && applied_entries_.back().at > entry.log_time) {
+    ReportViolation("council time goes back at entry " + Number(entry.index));
   }
-  agreed_.push_back({entry.term, NextState(before, entry), entry.log_time});
+  applied_entries_.push_back({entry.term, NextState(before, entry), entry.log_time});
   if (entry.kind != consensus::Entry::Kind::kVoters) return;
   const auto voters = consensus::DecodeVoters(entry.data);
-  if (!voters) return Broken("voters that can't be read at entry " + Number(entry.index));
+  if (!voters) return ReportViolation("voters that can't be read at entry " + Number(entry.index));
   const auto among = [](const auto& all) {
     return [&all](const auto& one) { return std::find(all.begin(), all.end(), one) != all.end(); };
   };
@@ -90,43 +93,43 @@
   const auto came =
       voters->size() - static_cast<size_t>(std::count_if(voters->begin(), voters->end(), among(voters_)));
   if (!voters_.empty() && gone + came > 1) {
-    Broken("more than one voter changes at entry " + Number(entry.index));
+    ReportViolation("more than one voter changes at entry " + Number(entry.index));
   }
   voters_ = *voters;
 }
 
-void CouncilJudge::AppliedSnapshot(const std::string& run, uint64_t index, uint64_t state) {
-  uint64_t& last = runs_[run];
+void ConsensusChecker::OnSnapshotApplied(const std::string& run, uint64_t index, uint64_t state) {
+  uint64_t& last = last_applied_by_run_[run];
   if (index < last)
-    Broken(run + " goes back from entry " + Number(last) + " to a snapshot of " + Number(index));
+    ReportViolation(run + " goes back from entry " + Number(last) + " to a snapshot of " + Number(index));
   last = index;
-  if (index > agreed_.size() || (index > 0 && agreed_[index - 1].state != state)) {
-    Broken(run + " takes a snapshot of entry " + Number(index) + " that is not the state there");
+  if (index > applied_entries_.size() || (index > 0 && applied_entries_[index - 1].state != state)) {
+    ReportViolation(run + " takes a snapshot of entry " + Number(index) + " that is not the state there");
   }
 }
 
-void CouncilJudge::Acknowledged(uint64_t index, uint64_t term, uint64_t led) {
-  acknowledged_[index] = {term, led};
-  shown_ = std::max(shown_, index);
+void ConsensusChecker::OnAcknowledged(uint64_t index, uint64_t term, uint64_t leader_term) {
+  acknowledged_[index] = {term, leader_term};
+  max_shown_index_ = std::max(max_shown_index_, index);
 }
 
-void CouncilJudge::ReadBegan(uint64_t token) { reads_[token] = shown_; }
+void ConsensusChecker::OnReadStarted(uint64_t token) { pending_reads_[token] = max_shown_index_; }
 
-void CouncilJudge::ReadAnswered(uint64_t token, uint64_t index) {
-  const auto found = reads_.find(token);
-  if (found == reads_.end()) return Broken("a read is answered that nobody began");
+void ConsensusChecker::OnReadAnswered(uint64_t token, uint64_t index) {
+  const auto found = pending_reads_.find(token);
+  if (found == pending_reads_.end()) return ReportViolation("a read is answered that nobody began");
   ++reads_answered_;
   if (index < found->second) {
-    Broken("a read shows the state of entry " + Number(index) + " though that of " + Number(found->second) +
-           " was shown before it began");
+    ReportViolation("a read shows the state of entry " + Number(index) + " though that of " +
+                    Number(found->second) + " was shown before it began");
   }
-  shown_ = std::max(shown_, index);
-  reads_.erase(found);
+  max_shown_index_ = std::max(max_shown_index_, index);
+  pending_reads_.erase(found);
 }
 
-void CouncilJudge::ChangeBegan(const std::string& run, uint64_t earlier, uint64_t commit) {
+void ConsensusChecker::OnVoterChangeStarted(const std::string& run, uint64_t earlier, uint64_t commit) {
   if (earlier > commit)
-    Broken(run + " begins a change of voters before entry " + Number(earlier) + " is committed");
+    ReportViolation(run + " begins a change of voters before entry " + Number(earlier) + " is committed");
 }
 
 }  // namespace burlfall::lab
--- a/src/lab/council_world/state_explorer.cpp
+++ b/src/lab/council_world/state_explorer.cpp
@@ -1,3 +1,4 @@
+// Depth-first exploration of the reachable states, with a set of state hashes.
 #include "lab/council_world/state_explorer.h"
 
 #include <algorithm>
@@ -19,44 +20,44 @@
 using consensus::Role;
 
 constexpr size_t kVoters = 3;
-constexpr Micros kLong = 3600 * kSecond;
+constexpr Micros kNoResend = 3600 * kSecond;
 
 struct State {
-  // Shared by the states in which this voter stands the same; copied before it is told anything.
+  // Shared by the states in which this voter is in the same state; copied before an input is delivered.
   std::array<std::shared_ptr<const Core>, kVoters> cores;
   std::array<consensus::PersistentState, kVoters> disks;
   std::array<std::deque<consensus::DiskWrite>, kVoters> pending;
-  std::vector<std::pair<std::string, Message>> messages;  // on their way, sorted by their bytes
+  std::vector<std::pair<std::string, Message>> messages;  // in transit, sorted by their encoding
   int elections = 0, proposals = 0, crashes = 0;
-  // What was committed anywhere: the entry's term, and that of the leader that committed it first.
-  std::vector<std::pair<uint64_t, uint64_t>> agreed;
-  std::vector<std::pair<uint64_t, size_t>> leaders;  // term, who
+  // The entries committed at any voter: the entry's term, and that of the leader that first committed it.
+  std::vector<std::pair<uint64_t, uint64_t>> committed;
+  std::vector<std::pair<uint64_t, size_t>> leaders;  // term, voter
 };
 
-class Walk {
+class StateExplorer {
  public:
-  Walk(const EveryStateBounds& bounds, consensus::Rules rules) : bounds_(bounds), rules_(rules) {
+  StateExplorer(const ExplorationBounds& bounds, consensus::Rules rules) : bounds_(bounds), rules_(rules) {
     rules_.pre_vote = false;
     rules_.check_quorum = false;
-    rules_.resend_timeout = kLong;
+    rules_.resend_timeout = kNoResend;
   }
 
-  EveryStateResult Run() {
+  ExplorationResult Run() {
     State first;
     for (size_t i = 0; i < kVoters; ++i) {
       for (size_t j = 0; j < kVoters; ++j) first.disks[i].snapshot.voters.push_back(VoterOf(j));
       Start(first, i);
       Core core = *first.cores[i];
-      Settle(first, i, std::move(core));
+      ProcessOutputs(first, i, std::move(core));
     }
-    result_.whole = true;
+    result_.complete = true;
     Visit(first);
-    while (!open_.empty() && result_.broken.empty()) {
-      const State state = std::move(open_.back());
-      open_.pop_back();
-      GoOn(state);
+    while (!unexpanded_.empty() && result_.violation.empty()) {
+      const State state = std::move(unexpanded_.back());
+      unexpanded_.pop_back();
+      Expand(state);
     }
-    result_.whole = result_.whole && open_.empty() && result_.broken.empty();
+    result_.complete = result_.complete && unexpanded_.empty() && result_.violation.empty();
     return result_;
   }
 
@@ -74,10 +75,10 @@
     state.cores[who] = std::make_shared<const Core>(std::move(core));
   }
 
-  // Takes what the core wants, and looks at it.
-  void Settle(State& state, size_t who, Core core) {
+  // Collects the outputs of the core, and checks the invariants.
+  void ProcessOutputs(State& state, size_t who, Core core) {
     for (const consensus::Notice& notice : core.TakeNotices()) {
-      if (notice.kind == consensus::Notice::Kind::kBecameLeader) TookOffice(state, who, core);
+      if (notice.kind == consensus::Notice::Kind::kBecameLeader) OnBecameLeader(state, who, core);
     }
     for (consensus::DiskWrite& write : core.TakeWrites()) state.pending[who].push_back(std::move(write));
     for (consensus::Outgoing& outgoing : core.TakeMessages()) {
@@ -90,57 +91,58 @@
     for (const consensus::Applied& applied : core.TakeApplied()) {
       if (applied.snapshot) continue;
       const uint64_t index = applied.entry.index;
-      if (index <= state.agreed.size()) {
-        if (state.agreed[index - 1].first != applied.entry.term) {
-          result_.broken = "two entries are committed at one index";
+      if (index <= state.committed.size()) {
+        if (state.committed[index - 1].first != applied.entry.term) {
+          result_.violation = "two entries are committed at one index";
         }
       } else {
-        state.agreed.emplace_back(applied.entry.term, core.term());
+        state.committed.emplace_back(applied.entry.term, core.term());
       }
     }
     state.cores[who] = std::make_shared<const Core>(std::move(core));
   }
 
-  void TookOffice(State& state, size_t who, const Core& core) {
+  void OnBecameLeader(State& state, size_t who, const Core& core) {
     for (const auto& [term, leader] : state.leaders) {
-      if (term == core.term() && leader != who) result_.broken = "two leaders in a term";
+      if (term == core.term() && leader != who) result_.violation = "two leaders in a term";
     }
     state.leaders.emplace_back(core.term(), who);
-    for (size_t i = 0; i < state.agreed.size(); ++i) {
-      const auto& [term, led] = state.agreed[i];
-      if (led >= core.term()) continue;
+    for (size_t i = 0; i < state.committed.size(); ++i) {
+      const auto& [term, leader_term] = state.committed[i];
+      if (leader_term >= core.term()) continue;
       const consensus::Entry* entry = core.entry(i + 1);
-      if (!entry || entry->term != term) result_.broken = "a leader without what was committed before";
+      if (!entry || entry->term != term) result_.violation = "a leader without what was committed before";
     }
   }
 
-  // Answers that nobody can count any more, whatever comes: a term on disk is never gone back on, and who
-  // led in a term and leads no more never leads in it again. Without them many states are one.
+  // Removes responses that cannot have an effect any more: a term on disk never decreases, and a voter that
+  // led in a term and no longer leads never leads in it again. This merges many states into one.
   static void Prune(State& state) {
     std::erase_if(state.messages, [&](const auto& one) {
       const Message& message = one.second;
       const auto to = static_cast<size_t>(message.to.name[0] - 'a');
       const Core& core = *state.cores[to];
-      const uint64_t sure = state.disks[to].term;
+      const uint64_t durable_term = state.disks[to].term;
       const bool leads = core.role() == Role::kLeader;
       if (message.kind == Message::Kind::kVoteResponse) {
-        return message.term < sure || (message.term == sure && (!message.accepted || leads));
+        return message.term < durable_term || (message.term == durable_term && (!message.accepted || leads));
       }
       if (message.kind != Message::Kind::kAppendResponse) return false;
-      return message.term < sure || (message.term == sure && !leads && core.term() >= sure);
+      return message.term < durable_term ||
+             (message.term == durable_term && !leads && core.term() >= durable_term);
     });
   }
 
-  // One more state, unless it was met.
+  // Adds a state to those to expand, unless it was seen before.
   void Visit(State state) {
     Prune(state);
-    uint64_t one = 0, other = 7;
+    uint64_t first_hash = 0, second_hash = 7;
     const auto add = [&](const std::string& bytes) {
       consensus::Entry entry;
       entry.data = bytes;
-      one = NextState(one, entry);
+      first_hash = NextState(first_hash, entry);
       entry.index = 1;
-      other = NextState(other, entry);
+      second_hash = NextState(second_hash, entry);
     };
     for (size_t i = 0; i < kVoters; ++i) {
       add(state.cores[i]->Fingerprint());
@@ -161,23 +163,25 @@
     }
     for (const auto& message : state.messages) add(message.first);
     std::string rest = std::to_string(state.elections * 10'000 + state.proposals * 100 + state.crashes);
-    for (const auto& [term, led] : state.agreed) rest.append(std::to_string(term * 1000 + led)).append(" ");
+    for (const auto& [term, leader_term] : state.committed)
+      rest.append(std::to_string(term * 1000 + leader_term)).append(" ");
     for (const auto& [term, who] : state.leaders) rest.append(std::to_string(term * 10 + who)).append("l");
     add(rest);
-    if (!seen_.emplace(one, other).second) return;
+    if (!seen_.emplace(first_hash, second_hash).second) return;
     ++result_.states;
     const auto leads = [](const auto& core) { return core->role() == Role::kLeader; };
     if (std::any_of(state.cores.begin(), state.cores.end(), leads)) ++result_.leaders;
-    if (!state.agreed.empty()) ++result_.commits;
-    if (result_.states >= bounds_.most_states) {
-      result_.whole = false;
-      open_.clear();
+    if (!state.committed.empty()) ++result_.commits;
+    if (result_.states >= bounds_.max_states) {
+      result_.complete = false;
+      unexpanded_.clear();
       return;
     }
-    open_.push_back(std::move(state));
+    unexpanded_.push_back(std::move(state));
   }
 
-  void GoOn(const State& state) {
+  // Takes every possible step from `state`.
+  void Expand(const State& state) {
     for (size_t i = 0; i < state.messages.size(); ++i) {
       if (i > 0 && state.messages[i].first == state.messages[i - 1].first) continue;
       Step(state, [i](State& next) {
@@ -224,36 +228,36 @@
         next.pending[who].clear();
         Start(next, who);
         Core core = *next.cores[who];
-        Settle(next, who, std::move(core));
+        ProcessOutputs(next, who, std::move(core));
         ++result_.steps;
         Visit(std::move(next));
       }
     }
   }
 
-  // `change` alters the state around the voter that it names, and says what that one is told.
+  // `change` alters the state, and returns a voter with the input to deliver to its core.
   template <typename Change>
   void Step(const State& state, Change change) {
     State next = state;
-    const auto [who, tell] = change(next);
+    const auto [who, deliver] = change(next);
     Core core = *next.cores[who];
-    tell(core);
-    Settle(next, who, std::move(core));
+    deliver(core);
+    ProcessOutputs(next, who, std::move(core));
     ++result_.steps;
     Visit(std::move(next));
   }
 
-  const EveryStateBounds bounds_;
+  const ExplorationBounds bounds_;
   consensus::Rules rules_;
-  EveryStateResult result_;
-  std::vector<State> open_;
+  ExplorationResult result_;
+  std::vector<State> unexpanded_;
   std::set<std::pair<uint64_t, uint64_t>> seen_;
 };
 
 }  // namespace
 
-EveryStateResult GoThroughEveryState(const EveryStateBounds& bounds, consensus::Rules rules) {
-  return Walk(bounds, rules).Run();
+ExplorationResult ExploreAllStates(const ExplorationBounds& bounds, consensus::Rules rules) {
+  return StateExplorer(bounds, rules).Run();
 }
 
 }  // namespace burlfall::lab
--- a/src/lab/council_world/state_explorer.h
+++ b/src/lab/council_world/state_explorer.h
@@ -1,6 +1,6 @@
-// A small council gone through whole: three voters, a few elections, entries and crashes, and every order in
-// which messages come (or don't), writes are done and crashes fall. Clocks stand still: an election is tried
-// whenever it may be, without a pre-vote, which is more than any clock would allow.
+// Exhaustive exploration of a small group: three voters, a few elections, entries and crashes, and every
+// order of message deliveries (or losses), disk writes and crashes. Clocks stand still: an election may start
+// at any time, without a pre-vote, which allows more runs than any clock would.
 #ifndef BURLFALL_LAB_COUNCIL_WORLD_STATE_EXPLORER_H_
 #define BURLFALL_LAB_COUNCIL_WORLD_STATE_EXPLORER_H_
 
@@ -11,22 +11,23 @@
 
 namespace burlfall::lab {
 
-struct EveryStateBounds {
+// At most this many of each event in a run.
+struct ExplorationBounds {
   int elections = 2;
   int proposals = 1;
-  int crashes = 0;  // each takes all that was not flushed; the voter starts again at once
-  size_t most_states = 1'000'000;
+  int crashes = 0;  // each loses all unflushed writes; the voter restarts at once
+  size_t max_states = 1'000'000;
 };
 
-struct EveryStateResult {
-  size_t states = 0;                // different ones
-  size_t steps = 0;                 // from one to another
-  size_t leaders = 0, commits = 0;  // states in which somebody leads; in which something is committed
-  bool whole = false;               // none was left out
-  std::string broken;               // the first rule that was broken; empty: none
+struct ExplorationResult {
+  size_t states = 0;                // distinct states
+  size_t steps = 0;                 // transitions between states
+  size_t leaders = 0, commits = 0;  // states with a leader; with a committed entry
+  bool complete = false;            // all states within the bounds were explored
+  std::string violation;            // an invariant that was violated; empty: none
 };
 
-EveryStateResult GoThroughEveryState(const EveryStateBounds& bounds, consensus::Rules rules = {});
+ExplorationResult ExploreAllStates(const ExplorationBounds& bounds, consensus::Rules rules = {});
 
 }  // namespace burlfall::lab
 
--- a/tests/consensus/core_test.cpp
+++ b/tests/consensus/core_test.cpp
@@ -9,8 +9,8 @@
 namespace burlfall::consensus {
 namespace {
 
-using lab::CouncilSettings;
-using lab::CouncilWorld;
+using lab::ConsensusSimulation;
+using lab::ConsensusSimulationSettings;
 using lab::Crash;
 
 Voter MakeVoter(const std::string& name, uint64_t disk) {
@@ -267,19 +267,19 @@
 // A simulated cluster that has elected a leader and runs without faults.
 struct RunningCluster {
   explicit RunningCluster(size_t voters, Rules rules = {})
-      : world(
+      : simulation(
             [&] {
-              CouncilSettings settings;
+              ConsensusSimulationSettings settings;
               settings.voters = voters;
               settings.rules = rules;
               return settings;
             }(),
             5) {
-    began = world.RunUntil([this] { return world.AllVote(); }, 20 * kSecond);
-    world.RunFor(kSecond);
-    leader = static_cast<size_t>(world.Leader());
+    began = simulation.RunUntil([this] { return simulation.AllMachinesVote(); }, 20 * kSecond);
+    simulation.RunFor(kSecond);
+    leader = static_cast<size_t>(simulation.Leader());
   }
-  CouncilWorld world;
+  ConsensusSimulation simulation;
   bool began = false;
   size_t leader = 0;
 };
@@ -290,11 +290,11 @@
     rules.pre_vote = pre_vote;
     RunningCluster cluster(5, rules);
     ASSERT_TRUE(cluster.began);
-    const uint64_t term = cluster.world.core(cluster.leader)->term();
-    cluster.world.CutAll((cluster.leader + 1) % 5, true, false, true);
-    cluster.world.RunFor(10 * kSecond);
-    const int leader = cluster.world.Leader();
-    EXPECT_EQ(leader >= 0 && cluster.world.core(static_cast<size_t>(leader))->term() == term, pre_vote);
+    const uint64_t term = cluster.simulation.core(cluster.leader)->term();
+    cluster.simulation.CutAll((cluster.leader + 1) % 5, true, false, true);
+    cluster.simulation.RunFor(10 * kSecond);
+    const int leader = cluster.simulation.Leader();
+    EXPECT_EQ(leader >= 0 && cluster.simulation.core(static_cast<size_t>(leader))->term() == term, pre_vote);
   }
 }
 
@@ -304,10 +304,11 @@
     rules.check_quorum = check_quorum;
     RunningCluster cluster(5, rules);
     ASSERT_TRUE(cluster.began);
-    cluster.world.CutAll(cluster.leader, true, false, true);
-    const bool another = cluster.world.RunUntil(
+    cluster.simulation.CutAll(cluster.leader, true, false, true);
+    const bool another = cluster.simulation.RunUntil(
         [&] {
-          return cluster.world.Leader() >= 0 && cluster.world.Leader() != static_cast<int>(cluster.leader);
+          return cluster.simulation.Leader() >= 0 &&
+                 cluster.simulation.Leader() != static_cast<int>(cluster.leader);
         },
         5 * kSecond);
     EXPECT_EQ(another, check_quorum);
@@ -318,16 +319,16 @@
   RunningCluster cluster(3);
   ASSERT_TRUE(cluster.began);
   const size_t to = (cluster.leader + 1) % 3;
-  cluster.world.Transfer(cluster.leader, to);
-  EXPECT_TRUE(
-      cluster.world.RunUntil([&] { return cluster.world.Leader() == static_cast<int>(to); }, 200 * kMs));
-  cluster.world.RunFor(kSecond);
-  cluster.world.Operate(false);
-  cluster.world.Change(to, Core::Change::kRemove, cluster.world.VoterOf(to));
-  EXPECT_TRUE(cluster.world.RunUntil(
-      [&] { return cluster.world.Leader() >= 0 && cluster.world.Leader() != static_cast<int>(to); },
+  cluster.simulation.Transfer(cluster.leader, to);
+  EXPECT_TRUE(cluster.simulation.RunUntil([&] { return cluster.simulation.Leader() == static_cast<int>(to); },
+                                          200 * kMs));
+  cluster.simulation.RunFor(kSecond);
+  cluster.simulation.EnableOperator(false);
+  cluster.simulation.Change(to, Core::Change::kRemove, cluster.simulation.VoterOf(to));
+  EXPECT_TRUE(cluster.simulation.RunUntil(
+      [&] { return cluster.simulation.Leader() >= 0 && cluster.simulation.Leader() != static_cast<int>(to); },
       300 * kMs));
-  EXPECT_TRUE(cluster.world.judge().broken().empty());
+  EXPECT_TRUE(cluster.simulation.checker().violations().empty());
 }
 
 // A majority has an entry of an earlier term, but a voter with a different entry of a later term at that
@@ -339,49 +340,49 @@
     rules.batch_entries = 1;
     RunningCluster cluster(5, rules);
     ASSERT_TRUE(cluster.began);
-    CouncilWorld& world = cluster.world;
+    ConsensusSimulation& simulation = cluster.simulation;
     const size_t first = cluster.leader, neighbour = (first + 1) % 5;
     for (size_t i = 0; i < 5; ++i) {
       if (i == neighbour) continue;
-      world.Cut(first, i, true);
-      world.Cut(i, first, true);
+      simulation.Cut(first, i, true);
+      simulation.Cut(i, first, true);
     }
-    world.Propose(first);
-    world.RunFor(20 * kMs);
-    const uint64_t old = world.core(first)->last_index();
-    world.Kill(first, Crash::kPower);
-    world.Kill(neighbour, Crash::kPower);
-    world.HealNetwork();
-    ASSERT_TRUE(world.RunUntil([&] { return world.Leader() >= 0; }, 10 * kSecond));
-    const auto second = static_cast<size_t>(world.Leader());
-    world.CutAll(second, true, true, true);
-    world.RunFor(20 * kMs);
-    world.Kill(second, Crash::kPower);
-    world.HealNetwork();
-    world.Start(first);
-    world.Start(neighbour);
+    simulation.Propose(first);
+    simulation.RunFor(20 * kMs);
+    const uint64_t old = simulation.core(first)->last_index();
+    simulation.Kill(first, Crash::kPower);
+    simulation.Kill(neighbour, Crash::kPower);
+    simulation.HealNetwork();
+    ASSERT_TRUE(simulation.RunUntil([&] { return simulation.Leader() >= 0; }, 10 * kSecond));
+    const auto second = static_cast<size_t>(simulation.Leader());
+    simulation.CutAll(second, true, true, true);
+    simulation.RunFor(20 * kMs);
+    simulation.Kill(second, Crash::kPower);
+    simulation.HealNetwork();
+    simulation.Start(first);
+    simulation.Start(neighbour);
     // The third leader replicates the old entry to one more voter, but not an entry of its own term.
-    ASSERT_TRUE(world.RunUntil([&] { return world.Leader() >= 0; }, 10 * kSecond));
-    const auto third = static_cast<size_t>(world.Leader());
+    ASSERT_TRUE(simulation.RunUntil([&] { return simulation.Leader() >= 0; }, 10 * kSecond));
+    const auto third = static_cast<size_t>(simulation.Leader());
     const size_t other = third == first ? neighbour : first;
     for (size_t i = 0, spare = 0; i < 5; ++i) {
-      if (i != first && i != neighbour && i != second && ++spare == 1) world.Cut(third, i, true);
+      if (i != first && i != neighbour && i != second && ++spare == 1) simulation.Cut(third, i, true);
     }
-    world.RunUntil([&] { return world.core(third)->commit() >= old; }, 50 * kMs);
+    simulation.RunUntil([&] { return simulation.core(third)->commit() >= old; }, 50 * kMs);
     for (const size_t one : {third, other}) {
-      world.CutAll(one, true, true, true);
-      world.Kill(one, Crash::kPower);
+      simulation.CutAll(one, true, true, true);
+      simulation.Kill(one, Crash::kPower);
     }
-    world.Start(second);
-    world.RunFor(3 * kSecond);
-    EXPECT_EQ(world.Settles(20 * kSecond) && world.judge().broken().empty(), own_term_only);
+    simulation.Start(second);
+    simulation.RunFor(3 * kSecond);
+    EXPECT_EQ(simulation.Converges(20 * kSecond) && simulation.checker().violations().empty(), own_term_only);
   }
 }
 
 TEST(Council, NewLeaderWithinOneSecondAtTheMedianAndThreeAtMost) {
   // Simulated time: the result is the same in each run.
   for (const uint64_t loss : {0u, 20u}) {
-    const std::vector<Micros> spans = lab::MeasureNewLeader(7, 5, loss, 60);
+    const std::vector<Micros> spans = lab::MeasureFailoverTimes(7, 5, loss, 60);
     ASSERT_GE(spans.size(), 50u);
     EXPECT_LE(spans[spans.size() / 2], kSecond);
     EXPECT_LE(spans.back(), 3 * kSecond);
--- a/tests/consensus/judge_test.cpp
+++ b/tests/consensus/judge_test.cpp
@@ -24,92 +24,92 @@
 }
 
 TEST(CouncilJudge, AcceptsAValidHistory) {
-  CouncilJudge judge;
-  judge.TookOffice("a", 1, {});
-  judge.TookOffice("a", 1, {});
-  judge.InLog("a", 0, Command(1, 1, "x"));
-  judge.InLog("b", 0, Command(1, 1, "x"));
-  judge.Applied("a", Command(1, 1, "x"));
-  judge.Acknowledged(1, 1, 1);
-  judge.ReadBegan(1);
-  judge.Applied("b", Command(1, 1, "x"));
-  judge.ReadAnswered(1, 1);
-  judge.TookOffice("b", 2, {Command(1, 1, "x")});
+  ConsensusChecker checker;
+  checker.OnBecameLeader("a", 1, {});
+  checker.OnBecameLeader("a", 1, {});
+  checker.OnLogEntry("a", 0, Command(1, 1, "x"));
+  checker.OnLogEntry("b", 0, Command(1, 1, "x"));
+  checker.OnApplied("a", Command(1, 1, "x"));
+  checker.OnAcknowledged(1, 1, 1);
+  checker.OnReadStarted(1);
+  checker.OnApplied("b", Command(1, 1, "x"));
+  checker.OnReadAnswered(1, 1);
+  checker.OnBecameLeader("b", 2, {Command(1, 1, "x")});
   // Acknowledged by a leader of term 4, so a leader of the earlier term 3 need not have the entry.
-  judge.Acknowledged(2, 1, 4);
-  judge.TookOffice("c", 3, {Command(1, 1, "x")});
-  judge.AppliedSnapshot("c", 1, NextState(0, Command(1, 1, "x")));
-  judge.Applied("c", Command(2, 2, "y", 5));
-  judge.Applied("c", Voters(3, {"a", "b"}));
-  judge.ChangeBegan("b", 3, 3);
-  EXPECT_EQ(judge.broken_count(), 1u);  // log time went back, from 5 to 0
+  checker.OnAcknowledged(2, 1, 4);
+  checker.OnBecameLeader("c", 3, {Command(1, 1, "x")});
+  checker.OnSnapshotApplied("c", 1, NextState(0, Command(1, 1, "x")));
+  checker.OnApplied("c", Command(2, 2, "y", 5));
+  checker.OnApplied("c", Voters(3, {"a", "b"}));
+  checker.OnVoterChangeStarted("b", 3, 3);
+  EXPECT_EQ(checker.violation_count(), 1u);  // log time went back, from 5 to 0
 }
 
 TEST(CouncilJudge, RejectsEachInvalidHistory) {
-  const std::vector<std::function<void(CouncilJudge&)>> invalid_histories = {
-      [](CouncilJudge& judge) {
-        judge.TookOffice("a", 1, {});
-        judge.TookOffice("b", 1, {});
+  const std::vector<std::function<void(ConsensusChecker&)>> invalid_histories = {
+      [](ConsensusChecker& checker) {
+        checker.OnBecameLeader("a", 1, {});
+        checker.OnBecameLeader("b", 1, {});
       },
-      [](CouncilJudge& judge) {
-        judge.InLog("a", 1, Command(2, 2, "x"));
-        judge.InLog("b", 1, Command(2, 2, "y"));
+      [](ConsensusChecker& checker) {
+        checker.OnLogEntry("a", 1, Command(2, 2, "x"));
+        checker.OnLogEntry("b", 1, Command(2, 2, "y"));
       },
-      [](CouncilJudge& judge) {
-        judge.InLog("a", 1, Command(2, 2, "x"));
-        judge.InLog("b", 0, Command(2, 2, "x"));
+      [](ConsensusChecker& checker) {
+        checker.OnLogEntry("a", 1, Command(2, 2, "x"));
+        checker.OnLogEntry("b", 0, Command(2, 2, "x"));
       },
-      [](CouncilJudge& judge) {
-        judge.Applied("a", Command(1, 1, "x"));
-        judge.Applied("b", Command(1, 2, "x"));
+      [](ConsensusChecker& checker) {
+        checker.OnApplied("a", Command(1, 1, "x"));
+        checker.OnApplied("b", Command(1, 2, "x"));
       },
-      [](CouncilJudge& judge) {
-        judge.Applied("a", Command(1, 1, "x"));
-        judge.Applied("b", Command(1, 1, "y"));
+      [](ConsensusChecker& checker) {
+        checker.OnApplied("a", Command(1, 1, "x"));
+        checker.OnApplied("b", Command(1, 1, "y"));
       },
-      [](CouncilJudge& judge) { judge.Applied("a", Command(2, 1, "x")); },
-      [](CouncilJudge& judge) {
-        judge.Applied("a", Command(1, 1, "x"));
-        judge.Applied("a", Command(1, 1, "x"));
+      [](ConsensusChecker& checker) { checker.OnApplied("a", Command(2, 1, "x")); },
+      [](ConsensusChecker& checker) {
+        checker.OnApplied("a", Command(1, 1, "x"));
+        checker.OnApplied("a", Command(1, 1, "x"));
       },
-      [](CouncilJudge& judge) {
-        judge.Applied("a", Command(1, 1, "x"));
-        judge.AppliedSnapshot("b", 1, 4711);
+      [](ConsensusChecker& checker) {
+        checker.OnApplied("a", Command(1, 1, "x"));
+        checker.OnSnapshotApplied("b", 1, 4711);
       },
-      [](CouncilJudge& judge) { judge.AppliedSnapshot("b", 5, 0); },
-      [](CouncilJudge& judge) {
-        judge.Acknowledged(1, 1, 1);
-        judge.TookOffice("b", 2, {Command(1, 2, "y")});
+      [](ConsensusChecker& checker) { checker.OnSnapshotApplied("b", 5, 0); },
+      [](ConsensusChecker& checker) {
+        checker.OnAcknowledged(1, 1, 1);
+        checker.OnBecameLeader("b", 2, {Command(1, 2, "y")});
       },
-      [](CouncilJudge& judge) {
-        judge.Acknowledged(2, 1, 1);
-        judge.TookOffice("b", 2, {Command(1, 1, "x")});
+      [](ConsensusChecker& checker) {
+        checker.OnAcknowledged(2, 1, 1);
+        checker.OnBecameLeader("b", 2, {Command(1, 1, "x")});
       },
-      [](CouncilJudge& judge) {
-        judge.Acknowledged(5, 1, 1);
-        judge.ReadBegan(1);
-        judge.ReadAnswered(1, 4);
+      [](ConsensusChecker& checker) {
+        checker.OnAcknowledged(5, 1, 1);
+        checker.OnReadStarted(1);
+        checker.OnReadAnswered(1, 4);
       },
-      [](CouncilJudge& judge) {  // a later read must not return an older state
-        judge.ReadBegan(1);
-        judge.ReadAnswered(1, 4);
-        judge.ReadBegan(2);
-        judge.ReadAnswered(2, 3);
+      [](ConsensusChecker& checker) {  // a later read must not return an older state
+        checker.OnReadStarted(1);
+        checker.OnReadAnswered(1, 4);
+        checker.OnReadStarted(2);
+        checker.OnReadAnswered(2, 3);
       },
-      [](CouncilJudge& judge) {
-        judge.Applied("a", Command(1, 1, "x", 10));
-        judge.Applied("a", Command(2, 1, "y", 9));
+      [](ConsensusChecker& checker) {
+        checker.OnApplied("a", Command(1, 1, "x", 10));
+        checker.OnApplied("a", Command(2, 1, "y", 9));
       },
-      [](CouncilJudge& judge) {
-        judge.Applied("a", Voters(1, {"a", "b"}));
-        judge.Applied("a", Voters(2, {"a", "b", "c", "d"}));
+      [](ConsensusChecker& checker) {
+        checker.OnApplied("a", Voters(1, {"a", "b"}));
+        checker.OnApplied("a", Voters(2, {"a", "b", "c", "d"}));
       },
-      [](CouncilJudge& judge) { judge.ChangeBegan("a", 9, 8); },
+      [](ConsensusChecker& checker) { checker.OnVoterChangeStarted("a", 9, 8); },
   };
   for (size_t i = 0; i < invalid_histories.size(); ++i) {
-    CouncilJudge judge;
-    invalid_histories[i](judge);
-    EXPECT_EQ(judge.broken_count(), 1u) << i;
+    ConsensusChecker checker;
+    invalid_histories[i](checker);
+    EXPECT_EQ(checker.violation_count(), 1u) << i;
   }
 }
 
@@ -138,16 +138,17 @@
     rules.*one.safety_rule = false;
     bool found = false;
     for (uint64_t seed = 1; seed <= one.max_seed && !found; ++seed)
-      found = PlayDrawn(seed, rules).broken_count > 0;
+      found = RunRandomScenario(seed, rules).violation_count > 0;
     EXPECT_TRUE(found) << one.name;
   }
   bool found = false;
-  for (uint64_t seed = 1; seed <= 60 && !found; ++seed) found = PlayDrawn(seed, {}, true).broken_count > 0;
+  for (uint64_t seed = 1; seed <= 60 && !found; ++seed)
+    found = RunRandomScenario(seed, {}, true).violation_count > 0;
   EXPECT_TRUE(found) << "a voter with an emptied disk keeps its name";
 }
 
 TEST(World, SameSeedGivesTheSameRun) {
-  const CouncilVerdict one = PlayDrawn(16), other = PlayDrawn(16);
+  const ConsensusVerdict one = RunRandomScenario(16), other = RunRandomScenario(16);
   EXPECT_EQ(one.acknowledged, other.acknowledged);
   EXPECT_EQ(one.applied, other.applied);
   EXPECT_EQ(one.leaders, other.leaders);
--- a/tests/consensus/seeds_test.cpp
+++ b/tests/consensus/seeds_test.cpp
@@ -20,8 +20,8 @@
   }
   uint64_t acknowledged = 0, reads = 0, leaders = 0, faults = 0;
   for (uint64_t seed = first; seed <= last; ++seed) {
-    const CouncilVerdict verdict = PlayDrawn(seed);
-    for (const std::string& one : verdict.broken) ADD_FAILURE() << "seed " << seed << ": " << one;
+    const ConsensusVerdict verdict = RunRandomScenario(seed);
+    for (const std::string& one : verdict.violations) ADD_FAILURE() << "seed " << seed << ": " << one;
     acknowledged += verdict.acknowledged;
     reads += verdict.reads;
     leaders += verdict.leaders;
