--- a/src/lab/council_judge/history_checker.cpp
+++ b/src/lab/council_judge/history_checker.cpp
@@ -1,3 +1,4 @@
+// The rules of the history checker.
 #include "lab/council_judge/history_checker.h"
 
 #include <algorithm>
@@ -13,155 +14,160 @@
 using freeze::Overlap;
 using freeze::Scope;
 
-constexpr size_t kMostBroken = 100;
+constexpr size_t kMaxViolations = 100;
 
-struct SeenChange {
+struct ChangeRecord {
   ChangeKind kind = ChangeKind::kReload;
   Scope scope;
   uint64_t undoes = 0;
   Micros began = 0;
   Micros ended = kNever;
-  std::set<uint64_t> glass;  // incidents that stood as it was broken
-  bool called_over = false;
-  Micros held_until = 0;
+  std::set<uint64_t> overridden_incidents;  // open at the time of the emergency override
+  bool lease_expired = false;
+  Micros lease_held_until = 0;
 };
 
-struct SeenIncident {
+struct IncidentRecord {
   IncidentKind kind = IncidentKind::kOperator;
   Scope scope;
-  Micros stands = 0;
-  Micros over = kNever;
-  bool yes = false;
-  std::set<uint64_t> ran;  // changes
+  Micros opened = 0;
+  Micros closed = kNever;
+  bool in_force = false;
+  std::set<uint64_t> running_changes;  // open when the incident was opened
 };
 
-struct SeenQuestion {
+struct RequestRecord {
   ChangeKind kind = ChangeKind::kReload;
   Scope scope;
   uint64_t undoes = 0;
-  Micros asked = 0;
+  Micros sent = 0;
 };
 
-class Judge {
+class HistoryChecker {
  public:
-  explicit Judge(const CouncilFacts& facts) : facts_(facts) {}
+  explicit HistoryChecker(const HistoryFacts& facts) : facts_(facts) {}
 
-  void Take(const Seen& seen) {
-    now_ = seen.at;
-    LookForLate();
-    switch (seen.what) {
-      case Seen::What::kOwned: {
-        const auto [at, fresh] = owners_.try_emplace(seen.epoch, seen.work, seen.who);
-        if (!fresh && at->second != std::pair(seen.work, seen.who)) {
-          Say(1, "epoch " + std::to_string(seen.epoch) + " of " + seen.work + " was given to " +
-                     seen.who.name + " and before to " + at->second.second.name + " for " + at->second.first);
+  void Add(const Observation& observation) {
+    now_ = observation.at;
+    CheckOverdueRequests();
+    switch (observation.what) {
+      case Observation::What::kEpochGranted: {
+        const auto [at, fresh] = owners_.try_emplace(observation.epoch, observation.task, observation.who);
+        if (!fresh && at->second != std::pair(observation.task, observation.who)) {
+          ReportViolation(1, "epoch " + std::to_string(observation.epoch) + " of " + observation.task +
+                                 " was granted to " + observation.who.name + " after it was granted to " +
+                                 at->second.second.name + " for " + at->second.first);
         }
         break;
       }
-      case Seen::What::kObeyed: {
-        uint64_t& highest = obeyed_[{seen.place, seen.work}];
-        if (seen.epoch < highest) {
-          Say(1, seen.place + " obeyed epoch " + std::to_string(seen.epoch) + " of " + seen.work + " after " +
-                     std::to_string(highest));
+      case Observation::What::kActAccepted: {
+        uint64_t& highest = highest_accepted_[{observation.place, observation.task}];
+        if (observation.epoch < highest) {
+          ReportViolation(1, observation.place + " accepted epoch " + std::to_string(observation.epoch) +
+                                 " of " + observation.task + " after " + std::to_string(highest));
         }
-        highest = std::max(highest, seen.epoch);
+        highest = std::max(highest, observation.epoch);
         break;
       }
-      case Seen::What::kFencedAct:
-        fenced_.insert(seen.act);
-        if (effects_.contains(seen.act))
-          Say(2, "act " + std::to_string(seen.act) + " had an effect, and was fenced");
+      case Observation::What::kActFenced:
+        fenced_.insert(observation.act);
+        if (effects_.contains(observation.act))
+          ReportViolation(2, "act " + std::to_string(observation.act) + " had an effect, and was fenced");
         break;
-      case Seen::What::kHadEffect:
-        effects_.insert(seen.act);
-        if (fenced_.contains(seen.act)) {
-          Say(2, "act " + std::to_string(seen.act) + " was fenced, and has an effect at " + seen.place);
+      case Observation::What::kActHadEffect:
+        effects_.insert(observation.act);
+        if (fenced_.contains(observation.act)) {
+          ReportViolation(2, "act " + std::to_string(observation.act) + " was fenced, and has an effect at " +
+                                 observation.place);
         }
         break;
-      case Seen::What::kChangeBegan:
-        ChangeBegan(seen);
+      case Observation::What::kChangeBegan:
+        ChangeBegan(observation);
         break;
-      case Seen::What::kChangeEnded:
-        ChangeEnded(seen);
+      case Observation::What::kChangeEnded:
+        ChangeEnded(observation);
         break;
-      case Seen::What::kMayGoOn: {
-        SeenChange& change = changes_[seen.change];
-        change.held_until = std::max(change.held_until, seen.until);
-        LookForHeld(seen.change, change);
+      case Observation::What::kChangeLeaseHeld: {
+        ChangeRecord& change = changes_[observation.change];
+        change.lease_held_until = std::max(change.lease_held_until, observation.until);
+        CheckLeaseExpiry(observation.change, change);
         break;
       }
-      case Seen::What::kStepBegan:
-        StepBegan(seen);
+      case Observation::What::kStepBegan:
+        StepBegan(observation);
         break;
-      case Seen::What::kStepEnded:
-        under_way_.erase({seen.change, seen.place});
+      case Observation::What::kStepEnded:
+        running_steps_.erase({observation.change, observation.place});
         break;
-      case Seen::What::kIncidentStands: {
-        SeenIncident& incident = incidents_[seen.incident];
-        incident = {seen.incident_kind, seen.scope, now_, kNever, false, {}};
-        for (const uint64_t id : open_) incident.ran.insert(id);
+      case Observation::What::kIncidentOpened: {
+        IncidentRecord& incident = incidents_[observation.incident];
+        incident = {observation.incident_kind, observation.scope, now_, kNever, false, {}};
+        for (const uint64_t id : open_changes_) incident.running_changes.insert(id);
         break;
       }
-      case Seen::What::kIncidentYes:
-        incidents_[seen.incident].yes = true;
+      case Observation::What::kIncidentEnforced:
+        incidents_[observation.incident].in_force = true;
         break;
-      case Seen::What::kIncidentOver:
-        incidents_[seen.incident].over = now_;
+      case Observation::What::kIncidentEnded:
+        incidents_[observation.incident].closed = now_;
         break;
-      case Seen::What::kGlass:
+      case Observation::What::kEmergencyOverride:
         for (const auto& [id, incident] : incidents_) {
-          if (incident.over == kNever) changes_[seen.change].glass.insert(id);
+          if (incident.closed == kNever) changes_[observation.change].overridden_incidents.insert(id);
         }
         break;
-      case Seen::What::kEmergency: {
+      case Observation::What::kEmergency: {
         const auto& kinds = facts_.rules.emergency_kinds;
-        if (std::find(kinds.begin(), kinds.end(), seen.change_kind) == kinds.end()) {
-          Say(3, std::string("a change that is no emergency went on without the council: ") +
-                     NameOf(seen.change_kind) + " at " + seen.place);
+        if (std::find(kinds.begin(), kinds.end(), observation.change_kind) == kinds.end()) {
+          ReportViolation(
+              3, std::string("a change of a kind that is no emergency began without the coordinators: ") +
+                     NameOf(observation.change_kind) + " at " + observation.place);
         }
-        unnoted_.insert({seen.place, seen.number});
+        unrecorded_emergencies_.insert({observation.place, observation.number});
         break;
       }
-      case Seen::What::kNoted:
-        unnoted_.erase({seen.place, seen.number});
+      case Observation::What::kEmergencyOnRecord:
+        unrecorded_emergencies_.erase({observation.place, observation.number});
         break;
-      case Seen::What::kAsked:
-        questions_.try_emplace({seen.place, seen.number},
-                               SeenQuestion{seen.change_kind, seen.scope, seen.undoes, now_});
+      case Observation::What::kRequestSent:
+        pending_requests_.try_emplace(
+            {observation.place, observation.number},
+            RequestRecord{observation.change_kind, observation.scope, observation.undoes, now_});
         break;
-      case Seen::What::kAnswered:
-        Answered(seen);
-        questions_.erase({seen.place, seen.number});
+      case Observation::What::kRequestAnswered:
+        Answered(observation);
+        pending_requests_.erase({observation.place, observation.number});
         break;
-      case Seen::What::kWentAway:
-        questions_.erase({seen.place, seen.number});
+      case Observation::What::kRequestDropped:
+        pending_requests_.erase({observation.place, observation.number});
         break;
-      case Seen::What::kMajority:
-        up_since_ = seen.up ? now_ : kNever;
+      case Observation::What::kMajorityAvailable:
+        majority_since_ = observation.up ? now_ : kNever;
         break;
     }
   }
 
-  std::vector<Broken> End() {
+  std::vector<Violation> Finish() {
     if (facts_.complete) {
-      for (const uint64_t id : open_) Say(4, "change " + std::to_string(id) + " has no end");
-      for (const auto& [place, number] : unnoted_) {
-        Say(3, "emergency " + std::to_string(number) + " of " + place + " is not on record");
+      for (const uint64_t id : open_changes_)
+        ReportViolation(4, "change " + std::to_string(id) + " never ended");
+      for (const auto& [place, number] : unrecorded_emergencies_) {
+        ReportViolation(3, "emergency " + std::to_string(number) + " of " + place + " is not on record");
       }
     }
-    return std::move(broken_);
+    return std::move(violations_);
   }
 
  private:
-  void Say(int invariant, std::string what) {
-    if (broken_.size() < kMostBroken) broken_.push_back({invariant, now_, std::move(what)});
+  void ReportViolation(int invariant, std::string what) {
+    if (violations_.size() < kMaxViolations) violations_.push_back({invariant, now_, std::move(what)});
   }
 
-  // The table as the settings describe it, read here by itself.
-  bool Forbidden(const SeenIncident& incident, ChangeKind kind, const Scope& scope) const {
-    const bool about = scope == incident.scope && scope.kind != Scope::Kind::kSite;
-    for (const ChangeKind better : facts_.rules.remedial_kinds) {
-      if (about && better == kind) return false;
+  // Evaluates the table of the settings, independently of the freeze module.
+  bool Forbidden(const IncidentRecord& incident, ChangeKind kind, const Scope& scope) const {
+    const bool same_scope = scope == incident.scope && scope.kind != Scope::Kind::kSite;
+    for (const ChangeKind remedial : facts_.rules.remedial_kinds) {
+      if (same_scope && remedial == kind) return false;
     }
     for (const freeze::TableRow& row : facts_.rules.table) {
       const bool fits =
@@ -173,122 +179,127 @@
     return Overlap(scope, incident.scope);
   }
 
-  void ChangeBegan(const Seen& seen) {
-    if (changes_.contains(seen.change)) Say(4, "change " + std::to_string(seen.change) + " began twice");
-    for (const uint64_t id : open_) {
-      if (Overlap(changes_[id].scope, seen.scope)) {
-        Say(4, "change " + std::to_string(seen.change) + " (" + TextOf(seen.scope) + ") began with change " +
-                   std::to_string(id) + " (" + TextOf(changes_[id].scope) + ") open");
+  void ChangeBegan(const Observation& observation) {
+    if (changes_.contains(observation.change))
+      ReportViolation(4, "change " + std::to_string(observation.change) + " began twice");
+    for (const uint64_t id : open_changes_) {
+      if (Overlap(changes_[id].scope, observation.scope)) {
+        ReportViolation(4, "change " + std::to_string(observation.change) + " (" + TextOf(observation.scope) +
+                               ") began with change " + std::to_string(id) + " (" +
+                               TextOf(changes_[id].scope) + ") open");
       }
     }
-    changes_[seen.change] = {seen.change_kind, seen.scope, seen.undoes, now_, kNever, {}, false, 0};
-    open_.insert(seen.change);
+    changes_[observation.change] = {
+        observation.change_kind, observation.scope, observation.undoes, now_, kNever, {}, false, 0};
+    open_changes_.insert(observation.change);
   }
 
-  void ChangeEnded(const Seen& seen) {
-    const auto found = changes_.find(seen.change);
+  void ChangeEnded(const Observation& observation) {
+    const auto found = changes_.find(observation.change);
     if (found == changes_.end()) {
-      Say(4, "change " + std::to_string(seen.change) + " ended and never began");
+      ReportViolation(4, "change " + std::to_string(observation.change) + " ended but never began");
     } else if (found->second.ended != kNever) {
-      Say(4, "change " + std::to_string(seen.change) + " ended twice");
+      ReportViolation(4, "change " + std::to_string(observation.change) + " ended twice");
     } else {
       found->second.ended = now_;
-      found->second.called_over = seen.error == owner::Error::kLeaseOver;
-      open_.erase(seen.change);
-      LookForHeld(seen.change, found->second);
+      found->second.lease_expired = observation.error == owner::Error::kLeaseOver;
+      open_changes_.erase(observation.change);
+      CheckLeaseExpiry(observation.change, found->second);
     }
   }
 
-  // A lease that is called over while its holder counts on it lets two changes run together.
-  void LookForHeld(uint64_t id, const SeenChange& change) {
-    if (!change.called_over || change.held_until <= change.ended) return;
-    Say(4, "change " + std::to_string(id) + " was called over before its holder's lease was");
+  // If a lease is declared expired while its holder still relies on it, two changes can run at the same time.
+  void CheckLeaseExpiry(uint64_t id, const ChangeRecord& change) {
+    if (!change.lease_expired || change.lease_held_until <= change.ended) return;
+    ReportViolation(
+        4, "change " + std::to_string(id) + " was declared expired before its holder's lease expired");
   }
 
-  void StepBegan(const Seen& seen) {
-    const auto found = changes_.find(seen.change);
-    const std::string name = "a step of change " + std::to_string(seen.change);
+  void StepBegan(const Observation& observation) {
+    const auto found = changes_.find(observation.change);
+    const std::string name = "a step of change " + std::to_string(observation.change);
     if (found == changes_.end() || found->second.ended != kNever) {
-      Say(4, name + " began, and the change is not open");
+      ReportViolation(4, name + " began, and the change is not open");
       return;
     }
-    const SeenChange& change = found->second;
-    for (const auto& [id, place] : under_way_) {
-      if (id == seen.change) {
-        Say(4, name + " began at " + seen.place + " with one under way at " + place);
+    const ChangeRecord& change = found->second;
+    for (const auto& [id, place] : running_steps_) {
+      if (id == observation.change) {
+        ReportViolation(4, name + " began at " + observation.place + " with another one running at " + place);
       } else if (Overlap(changes_[id].scope, change.scope)) {
-        Say(4, name + " began with one of change " + std::to_string(id) + " under way at " + place);
+        ReportViolation(4, name + " began with one of change " + std::to_string(id) + " running at " + place);
       }
     }
     for (const auto& [id, incident] : incidents_) {
-      if (!incident.yes || incident.over != kNever || change.glass.contains(id)) continue;
-      if (seen.undoing && incident.ran.contains(seen.change)) continue;
-      if (change.undoes != 0 && incident.ran.contains(change.undoes)) continue;
+      if (!incident.in_force || incident.closed != kNever || change.overridden_incidents.contains(id))
+        continue;
+      if (observation.undoing && incident.running_changes.contains(observation.change)) continue;
+      if (change.undoes != 0 && incident.running_changes.contains(change.undoes)) continue;
       if (Forbidden(incident, change.kind, change.scope)) {
-        Say(3, name + " (" + NameOf(change.kind) + ", " + TextOf(change.scope) +
-                   ") began after the yes to incident " + std::to_string(id) + " (" + TextOf(incident.scope) +
-                   ")");
+        ReportViolation(3, name + " (" + NameOf(change.kind) + ", " + TextOf(change.scope) +
+                               ") began after the freeze of incident " + std::to_string(id) + " (" +
+                               TextOf(incident.scope) + ")");
       }
     }
-    under_way_.insert({seen.change, seen.place});
+    running_steps_.insert({observation.change, observation.place});
   }
 
-  // A refusal names a reason that was there at some time since the question.
-  void Answered(const Seen& seen) {
-    const auto found = questions_.find({seen.place, seen.number});
-    if (found == questions_.end()) return;
-    const SeenQuestion& question = found->second;
+  // The reason of a refusal must have held at some time since the request was sent.
+  void Answered(const Observation& observation) {
+    const auto found = pending_requests_.find({observation.place, observation.number});
+    if (found == pending_requests_.end()) return;
+    const RequestRecord& request = found->second;
     bool reason = true;
-    if (seen.error == owner::Error::kConflict) {
+    if (observation.error == owner::Error::kConflict) {
       reason = std::any_of(changes_.begin(), changes_.end(), [&](const auto& one) {
-        return one.second.ended >= question.asked && Overlap(one.second.scope, question.scope);
+        return one.second.ended >= request.sent && Overlap(one.second.scope, request.scope);
       });
-    } else if (seen.error == owner::Error::kFrozen) {
+    } else if (observation.error == owner::Error::kFrozen) {
       reason = std::any_of(incidents_.begin(), incidents_.end(), [&](const auto& one) {
-        return one.second.over >= question.asked && Forbidden(one.second, question.kind, question.scope);
+        return one.second.closed >= request.sent && Forbidden(one.second, request.kind, request.scope);
       });
     }
     if (!reason) {
-      Say(4, "question " + std::to_string(seen.number) + " of " + seen.place + " was refused as " +
-                 NameOf(seen.error) + " with nothing against it");
+      ReportViolation(4, "request " + std::to_string(observation.number) + " of " + observation.place +
+                             " was refused as " + NameOf(observation.error) + " without cause");
     }
   }
 
-  void LookForLate() {
-    if (up_since_ == kNever) return;
-    for (auto at = questions_.begin(); at != questions_.end();) {
-      if (now_ - std::max(at->second.asked, up_since_) <= facts_.bound) {
+  void CheckOverdueRequests() {
+    if (majority_since_ == kNever) return;
+    for (auto at = pending_requests_.begin(); at != pending_requests_.end();) {
+      if (now_ - std::max(at->second.sent, majority_since_) <= facts_.answer_timeout) {
         ++at;
         continue;
       }
-      Say(4, "question " + std::to_string(at->first.second) + " of " + at->first.first +
-                 " has no answer, and a majority is there");
-      at = questions_.erase(at);
+      ReportViolation(4, "request " + std::to_string(at->first.second) + " of " + at->first.first +
+                             " has no answer although a majority is available");
+      at = pending_requests_.erase(at);
     }
   }
 
-  const CouncilFacts& facts_;
+  const HistoryFacts& facts_;
   Micros now_ = 0;
-  Micros up_since_ = 0;
-  std::vector<Broken> broken_;
+  Micros majority_since_ = 0;
+  std::vector<Violation> violations_;
   std::map<uint64_t, std::pair<std::string, owner::ProcessId>> owners_;  // by epoch
-  std::map<std::pair<std::string, std::string>, uint64_t> obeyed_;
+  std::map<std::pair<std::string, std::string>, uint64_t> highest_accepted_;
   std::set<uint64_t> fenced_;   // acts
-  std::set<uint64_t> effects_;  // likewise
-  std::map<uint64_t, SeenChange> changes_;
-  std::set<uint64_t> open_;
-  std::set<std::pair<uint64_t, std::string>> under_way_;  // change, place
-  std::map<uint64_t, SeenIncident> incidents_;
-  std::set<std::pair<std::string, uint64_t>> unnoted_;
-  std::map<std::pair<std::string, uint64_t>, SeenQuestion> questions_;
+  std::set<uint64_t> effects_;  // acts
+  std::map<uint64_t, ChangeRecord> changes_;
+  std::set<uint64_t> open_changes_;
+  std::set<std::pair<uint64_t, std::string>> running_steps_;  // change, place
+  std::map<uint64_t, IncidentRecord> incidents_;
+  std::set<std::pair<std::string, uint64_t>> unrecorded_emergencies_;
+  std::map<std::pair<std::string, uint64_t>, RequestRecord> pending_requests_;
 };
 
 }  // namespace
 
-std::vector<Broken> JudgeCouncil(const std::vector<Seen>& history, const CouncilFacts& facts) {
-  Judge judge(facts);
-  for (const Seen& seen : history) judge.Take(seen);
-  return judge.End();
+std::vector<Violation> CheckHistory(const std::vector<Observation>& history, const HistoryFacts& facts) {
+  HistoryChecker checker(facts);
+  for (const Observation& observation : history) checker.Add(observation);
+  return checker.Finish();
 }
 
 }  // namespace burlfall::lab
--- a/src/lab/council_judge/history_checker.h
+++ b/src/lab/council_judge/history_checker.h
@@ -1,6 +1,7 @@
-// What was seen from outside of owners, executors, changes and incidents, held against invariants 1 to 4 of
-// docs/design/council_freeze.md and council_owner.md. It has its own reading of the rules: of the rooms it
-// judges it uses the plain data and whether two scopes meet. No I/O, no clock.
+// Checks a history of owners, executors, changes and incidents, as observed from outside, against invariants
+// 1 to 4 of docs/design/council_freeze.md and council_owner.md. It implements the rules independently: from
+// the modules that it checks it uses only the plain data types and the test whether two scopes overlap. No
+// I/O, no clock.
 #ifndef BURLFALL_LAB_COUNCIL_JUDGE_HISTORY_CHECKER_H_
 #define BURLFALL_LAB_COUNCIL_JUDGE_HISTORY_CHECKER_H_
 
@@ -17,38 +18,40 @@
 
 namespace burlfall::lab {
 
-// One thing seen, at a time of the outside: the events of a history stand in their order.
-struct Seen {
+// One event of a history, observed from outside; the events of a history are in order of time. The comment of
+// each kind lists the fields that it uses.
+struct Observation {
   enum class What : uint8_t {
     // Owners and executors.
-    kOwned,      // work, who, epoch: granted
-    kObeyed,     // place (an executor, the same over its restarts), work, epoch, act (a number of its own)
-    kFencedAct,  // place, work, epoch, act: refused for its epoch
-    kHadEffect,  // place, act
-    // Changes, as the log has them.
-    kChangeBegan,  // change, change_kind, scope, undoes
-    kChangeEnded,  // change, end, error (kLeaseOver: called over)
-    kMayGoOn,  // change, until: its holder takes the change for its own until then, on the outside's clock
-    // Steps, as whoever carries them out does.
+    kEpochGranted,  // task, who, epoch
+    kActAccepted,   // place (an executor, unchanged by restarts), task, epoch, act (a number unique to the
+                    // act)
+    kActFenced,     // place, task, epoch, act: refused because of its epoch
+    kActHadEffect,  // place, act
+    // Changes, as recorded in the log.
+    kChangeBegan,      // change, change_kind, scope, undoes
+    kChangeEnded,      // change, end, error (kLeaseOver: its lease was declared expired)
+    kChangeLeaseHeld,  // change, until: its holder relies on the change's lease until then, in outside time
+    // Steps, as observed where they are executed.
     kStepBegan,  // change, step, place, undoing
-    kStepEnded,  // change, place: over, or stopped where it was
+    kStepEnded,  // change, place: completed, or stopped before its end
     // Incidents.
-    kIncidentStands,  // incident, incident_kind, scope
-    kIncidentYes,     // incident
-    kIncidentOver,    // incident
-    kGlass,           // change: on record, against the incidents that stand
-    kEmergency,       // place, number, change_kind, scope: begun without the council
-    kNoted,           // place, number: on record
-    // Whether those that ask are served.
-    kAsked,     // place, number, change_kind, scope, undoes
-    kAnswered,  // place, number, error
-    kWentAway,  // place, number: whoever asked waits no more
-    kMajority,  // up
+    kIncidentOpened,     // incident, incident_kind, scope
+    kIncidentEnforced,   // incident: its freeze is in force
+    kIncidentEnded,      // incident
+    kEmergencyOverride,  // change: recorded in the log, against all open incidents
+    kEmergency,          // place, number, change_kind, scope: begun without the coordinators
+    kEmergencyOnRecord,  // place, number: recorded in the log
+    // Whether requests are answered.
+    kRequestSent,        // place, number, change_kind, scope, undoes
+    kRequestAnswered,    // place, number, error
+    kRequestDropped,     // place, number: the requester no longer waits
+    kMajorityAvailable,  // up
   };
   Micros at = 0;
-  What what = What::kOwned;
+  What what = What::kEpochGranted;
   std::string place;
-  std::string work;
+  std::string task;
   owner::ProcessId who;
   uint64_t epoch = 0;
   uint64_t act = 0;
@@ -67,20 +70,23 @@
   freeze::Scope scope;
 };
 
-struct CouncilFacts {
+// What the checker must know beside the history.
+struct HistoryFacts {
   freeze::Rules rules;
-  Micros bound = 10 * kSecond;  // for an answer, while a majority is there
-  // The history goes on until all is at rest: what began has an end, and what was done is on record.
+  Micros answer_timeout = 10 * kSecond;  // in which a request is answered while a majority is available
+  // The history runs until all activity has ended: each change has an end, and each emergency is on record.
   bool complete = true;
 };
 
-struct Broken {
+// `invariant`: its number, 1 to 4.
+struct Violation {
   int invariant = 0;
   Micros at = 0;
   std::string what;
 };
 
-std::vector<Broken> JudgeCouncil(const std::vector<Seen>& history, const CouncilFacts& facts);
+// Returns the violations found, at most 100.
+std::vector<Violation> CheckHistory(const std::vector<Observation>& history, const HistoryFacts& facts);
 
 }  // namespace burlfall::lab
 
--- a/src/lab/council_judge/owner_simulation.cpp
+++ b/src/lab/council_judge/owner_simulation.cpp
@@ -1,3 +1,5 @@
+// Simulated members that own tasks, and executors that check their epochs, on one simulated coordinator
+// group.
 #include <algorithm>
 #include <functional>
 #include <memory>
@@ -15,7 +17,7 @@
 namespace burlfall::lab {
 namespace {
 
-constexpr const char* kWorks[] = {"freeze", "list_call"};
+constexpr const char* kTasks[] = {"freeze", "list_call"};
 constexpr size_t kMembers = 4;
 constexpr size_t kExecutors = 3;
 constexpr Micros kTick = 25 * kMs;
@@ -23,111 +25,113 @@
 struct Member {
   owner::ProcessId who;
   DriftingClock clock;
-  std::vector<owner::LeaseHolder> holders;  // by work
-  Micros still_until = 0;                   // it stands still, or is dead
+  std::vector<owner::LeaseHolder> holders;  // one per task
+  Micros paused_until = 0;                  // paused or crashed
 };
 
-struct Place {
+struct ExecutorHost {
   std::string name;
-  bool disk = false;
+  bool has_disk = false;
   std::optional<std::string> file;
   std::unique_ptr<owner::Executor> executor;
-  uint64_t life = 0;
+  uint64_t incarnation = 0;
 };
 
+// An act of an owner at an executor; `by` is the member.
 struct Act {
   uint64_t number = 0;
-  size_t work = 0;
+  size_t task = 0;
   uint64_t epoch = 0;
   size_t by = 0;
   int tries = 0;
 };
 
-class OwnerPlay {
+// Simulates owners and executors on random schedules, and records their history.
+class OwnerSimulation {
  public:
-  OwnerPlay(const PlayOptions& options, OwnerFault fault)
-      : options_(options), fault_(fault), time_(options.seed), lapse_(options.drift) {
-    played_.facts.bound = options.bound;
+  OwnerSimulation(const SimulationOptions& options, OwnerFault fault)
+      : options_(options), fault_(fault), time_(options.seed), lease_expiry_(options.drift_bound) {
+    result_.facts.answer_timeout = options.answer_timeout;
   }
 
-  Played Run() {
+  SimulationResult Run() {
     for (size_t i = 0; i < kMembers; ++i) {
       members_.push_back({{std::string("m").append(std::to_string(i)), 1},
-                          DriftingClock::Drawn(time_, options_.apart),
+                          DriftingClock::Random(time_, options_.clock_drift),
                           {},
                           0});
-      Live(i);
+      StartMember(i);
       time_.After(time_.Between(0, kTick), [this, i] { TickMember(i); });
     }
     for (size_t i = 0; i < kExecutors; ++i) {
-      Place place;
-      place.name = std::string("x").append(std::to_string(i));
-      place.disk = i != 0;
-      places_.push_back(std::move(place));
+      ExecutorHost host;
+      host.name = std::string("x").append(std::to_string(i));
+      host.has_disk = i != 0;
+      executor_hosts_.push_back(std::move(host));
       Restart(i);
-      time_.After(time_.Between(2 * kSecond, 6 * kSecond), [this, i] { Crash(i); });
+      time_.After(time_.Between(2 * kSecond, 6 * kSecond), [this, i] { CrashPeriodically(i); });
     }
-    TakeOffice();
+    ElectLeader();
     time_.After(kTick, [this] { TickLeader(); });
     if (time_.Chance(0.4) || fault_ == OwnerFault::kNoFloor) {
-      time_.At(time_.Between(options_.length / 4, options_.length / 2), [this] { BeginAnew(); });
+      time_.At(time_.Between(options_.length / 4, options_.length / 2), [this] { RebuildGroup(); });
     }
     time_.Run(options_.length);
-    return std::move(played_);
+    return std::move(result_);
   }
 
  private:
-  void See(Seen::What what, const std::string& place, const Act& act) {
-    Seen seen;
-    seen.at = time_.now();
-    seen.what = what;
-    seen.place = place;
-    seen.work = kWorks[act.work];
-    seen.epoch = act.epoch;
-    seen.act = act.number;
-    played_.history.push_back(std::move(seen));
+  void RecordAct(Observation::What what, const std::string& host, const Act& act) {
+    Observation observation;
+    observation.at = time_.now();
+    observation.what = what;
+    observation.place = host;
+    observation.task = kTasks[act.task];
+    observation.epoch = act.epoch;
+    observation.act = act.number;
+    result_.history.push_back(std::move(observation));
   }
 
-  Micros Way() {
+  Micros NetworkDelay() {
     return time_.Chance(0.05) ? time_.Between(0, 4 * kSecond) : time_.Between(1 * kMs, 40 * kMs);
   }
-  // On its way: lost, late, or twice.
+  // Delivers a message late, twice, or not at all.
   void Send(const std::function<void()>& what) {
     if (time_.Chance(options_.loss)) return;
-    time_.After(Way(), what);
-    if (time_.Chance(0.05)) time_.After(Way(), what);
+    time_.After(NetworkDelay(), what);
+    if (time_.Chance(0.05)) time_.After(NetworkDelay(), what);
   }
 
-  // The council.
-  void TakeOffice() {
-    ++played_.leaders;
+  // The coordinator group.
+  void ElectLeader() {
+    ++result_.leaders;
     leads_ = true;
-    leader_clock_ = DriftingClock::Drawn(time_, options_.apart);
-    lapse_.BecomeLeader(leader_clock_.Read(time_.now()), state_.Leases());
+    leader_clock_ = DriftingClock::Random(time_, options_.clock_drift);
+    lease_expiry_.BecomeLeader(leader_clock_.Read(time_.now()), state_.Leases());
     time_.After(time_.Between(2 * kSecond, 10 * kSecond), [this] {
       leads_ = false;
-      time_.After(time_.Between(100 * kMs, 2 * kSecond), [this] { TakeOffice(); });
+      time_.After(time_.Between(100 * kMs, 2 * kSecond), [this] { ElectLeader(); });
     });
   }
 
   void TickLeader() {
     time_.After(kTick, [this] { TickLeader(); });
     if (!leads_) return;
-    for (const owner::Lease& lease : lapse_.Due(leader_clock_.Read(time_.now()))) {
-      // What is in the log already may overtake it.
+    for (const owner::Lease& lease : lease_expiry_.Due(leader_clock_.Read(time_.now()))) {
+      // Entries that are already in the log may overtake it.
       time_.After(time_.Between(0, 30 * kMs), [this, lease] { Apply(owner::MakeExpireCommand(lease)); });
     }
     if (!time_.Chance(0.005)) return;
     owner::Command command;
-    command.task = kWorks[time_.Below(2)];
+    command.task = kTasks[time_.Below(2)];
     command.by = "anna";
     command.reason = "rolled to another zone";
     command.kind = owner::Command::Kind::kRevoke;
     if (time_.Chance(0.5)) {
-      const auto work = state_.tasks().find(command.task);
-      if (work == state_.tasks().end()) return;
+      const auto task = state_.tasks().find(command.task);
+      if (task == state_.tasks().end()) return;
       command.kind = owner::Command::Kind::kHandOver;
-      command.epoch = work->second.epoch;
+      command.epoch = task->second.epoch;
       command.to = members_[time_.Below(kMembers)].who;
     }
     Apply(command);
@@ -136,32 +140,32 @@
   void Apply(const owner::Command& command) {
     if (!leads_) return;
     index_ += 1 + (time_.Chance(0.1) ? time_.Below(5) : 0);
-    // As it goes over the wire and into the log.
+    // Encoded and decoded as on the wire and in the log.
     const std::optional<owner::Command> read = owner::ReadCommand(owner::Write(command));
     const owner::Effects effects = state_.Apply(index_, leader_clock_.Read(time_.now()), *read);
     if (time_.Chance(0.01)) state_ = *owner::State::Load(state_.Save());
-    owner::TrackLeases(lapse_, leader_clock_.Read(time_.now()), effects);
+    owner::TrackLeases(lease_expiry_, leader_clock_.Read(time_.now()), effects);
     for (const owner::Effect& effect : effects) {
       if (effect.what == owner::Effect::What::kGranted) {
-        ++played_.grants;
-        Seen seen;
-        seen.at = time_.now();
-        seen.what = Seen::What::kOwned;
-        seen.work = effect.task;
-        seen.who = effect.who;
-        seen.epoch = effect.epoch;
-        played_.history.push_back(std::move(seen));
+        ++result_.grants;
+        Observation observation;
+        observation.at = time_.now();
+        observation.what = Observation::What::kEpochGranted;
+        observation.task = effect.task;
+        observation.who = effect.who;
+        observation.epoch = effect.epoch;
+        result_.history.push_back(std::move(observation));
       }
       Send([this, effect] { Deliver(effect); });
     }
   }
 
-  // All voters' disks are lost. Staff begin anew, with a floor above all that was given.
-  void BeginAnew() {
+  // All disks of the voters are lost. The operators rebuild the group, with a floor above all granted epochs.
+  void RebuildGroup() {
     const uint64_t above = state_.last_epoch() + 1000;
     state_ = owner::State();
     index_ = 0;
-    lapse_.BecomeLeader(leader_clock_.Read(time_.now()), {});
+    lease_expiry_.BecomeLeader(leader_clock_.Read(time_.now()), {});
     const bool led = std::exchange(leads_, true);
     owner::Command command;
     command.kind = owner::Command::Kind::kFloor;
@@ -172,27 +176,27 @@
   }
 
   // Members.
-  void Live(size_t i) {
+  void StartMember(size_t i) {
     Member& member = members_[i];
     member.holders.clear();
-    for (const char* work : kWorks) {
-      member.holders.emplace_back(member.who, work, owner::HolderRules{});
+    for (const char* task : kTasks) {
+      member.holders.emplace_back(member.who, task, owner::HolderRules{});
       member.holders.back().Acquire();
     }
   }
 
-  void Stand(Member& member) {
-    ++played_.pauses;
+  void Pause(Member& member) {
+    ++result_.pauses;
     constexpr Micros kSpans[] = {200 * kMs, 2 * kSecond, 10 * kSecond, 30 * kSecond};
-    member.still_until = time_.now() + kSpans[time_.Below(4)];
+    member.paused_until = time_.now() + kSpans[time_.Below(4)];
   }
 
   void Deliver(const owner::Effect& effect) {
     for (size_t i = 0; i < kMembers; ++i) {
       Member& member = members_[i];
       if (member.who.name != effect.who.name) continue;
-      if (time_.now() < member.still_until) {
-        time_.At(member.still_until, [this, effect] { Deliver(effect); });
+      if (time_.now() < member.paused_until) {
+        time_.At(member.paused_until, [this, effect] { Deliver(effect); });
         return;
       }
       for (owner::LeaseHolder& holder : member.holders)
@@ -202,118 +206,120 @@
 
   void TickMember(size_t i) {
     Member& member = members_[i];
-    time_.At(std::max(member.still_until, time_.now()) + kTick, [this, i] { TickMember(i); });
-    if (time_.now() < member.still_until) return;
+    time_.At(std::max(member.paused_until, time_.now()) + kTick, [this, i] { TickMember(i); });
+    if (time_.now() < member.paused_until) return;
     if (time_.Chance(0.001)) {
-      ++played_.deaths;
+      ++result_.crashes;
       ++member.who.incarnation;
-      Live(i);
-      member.still_until = time_.now() + time_.Between(0, 3 * kSecond);
+      StartMember(i);
+      member.paused_until = time_.now() + time_.Between(0, 3 * kSecond);
       return;
     }
     if (time_.Chance(0.003)) {
-      Stand(member);
+      Pause(member);
       return;
     }
-    for (size_t work = 0; work < member.holders.size(); ++work) {
-      owner::LeaseHolder& holder = member.holders[work];
+    for (size_t task = 0; task < member.holders.size(); ++task) {
+      owner::LeaseHolder& holder = member.holders[task];
       for (const owner::Command& command : holder.Tick(member.clock.Read(time_.now()))) {
         Send([this, command] { Apply(command); });
       }
       if (holder.stopping() || time_.Chance(0.001)) {
         holder.Release();
-        time_.After(time_.Between(kMs, kSecond), [this, i, work] { members_[i].holders[work].Acquire(); });
+        time_.After(time_.Between(kMs, kSecond), [this, i, task] { members_[i].holders[task].Acquire(); });
       }
       if (!holder.owns() || !time_.Chance(0.3)) continue;
       const owner::Permit permit = holder.MayAct(member.clock.Read(time_.now()));
       if (!permit.ok()) continue;
-      Act act{0, work, permit.epoch, i, 0};
-      // Stopped between its check and its act.
-      if (time_.Chance(0.02)) Stand(member);
+      Act act{0, task, permit.epoch, i, 0};
+      // Pauses between its check and its act.
+      if (time_.Chance(0.02)) Pause(member);
       const size_t to = time_.Below(kExecutors);
-      time_.At(std::max(time_.now(), member.still_until),
-               [this, act, to] {  // One that comes twice is two: each has its own answer.
+      time_.At(std::max(time_.now(), member.paused_until),
+               [this, act, to] {  // Each copy of a duplicated message counts as an act, with its own answer.
                  Send([this, act, to] {
                    Act arrived = act;
                    arrived.number = ++acts_;
-                   Obey(to, arrived);
+                   Execute(to, arrived);
                  });
                });
     }
   }
 
-  // Whoever is acted upon.
+  // Executors.
   void Restart(size_t i) {
-    Place& place = places_[i];
-    ++place.life;
+    ExecutorHost& host = executor_hosts_[i];
+    ++host.incarnation;
     owner::ExecutorRules rules;
-    rules.disk = place.disk;
-    std::optional<std::string_view> kept;
-    if (place.disk && place.file) kept = *place.file;
-    place.executor = std::make_unique<owner::Executor>(rules, kept);
-    const bool empty = !place.disk || !place.file || place.executor->damaged();
-    if ((fault_ == OwnerFault::kForgets && empty) ||
-        (fault_ == OwnerFault::kDamagedIsEmpty && place.executor->damaged())) {
-      for (const char* work : kWorks) place.executor->SetCurrentEpoch(work, 0);
+    rules.disk = host.has_disk;
+    std::optional<std::string_view> saved_epochs;
+    if (host.has_disk && host.file) saved_epochs = *host.file;
+    host.executor = std::make_unique<owner::Executor>(rules, saved_epochs);
+    const bool empty = !host.has_disk || !host.file || host.executor->damaged();
+    if ((fault_ == OwnerFault::kForgetsEpochs && empty) ||
+        (fault_ == OwnerFault::kTreatsDamagedAsEmpty && host.executor->damaged())) {
+      for (const char* task : kTasks) host.executor->SetCurrentEpoch(task, 0);
     }
   }
 
-  void Crash(size_t i) {
-    time_.After(time_.Between(1 * kSecond, 8 * kSecond), [this, i] { Crash(i); });
-    Die(i);
+  void CrashPeriodically(size_t i) {
+    time_.After(time_.Between(1 * kSecond, 8 * kSecond), [this, i] { CrashPeriodically(i); });
+    Crash(i);
   }
 
-  void Die(size_t i) {
-    Place& place = places_[i];
-    ++played_.deaths;
-    if (time_.Chance(0.05)) place.file.reset();
-    if (place.file && !place.file->empty() && time_.Chance(0.05)) {
-      (*place.file)[time_.Below(place.file->size())] ^= 1;
+  void Crash(size_t i) {
+    ExecutorHost& host = executor_hosts_[i];
+    ++result_.crashes;
+    if (time_.Chance(0.05)) host.file.reset();
+    if (host.file && !host.file->empty() && time_.Chance(0.05)) {
+      (*host.file)[time_.Below(host.file->size())] ^= 1;
     }
     Restart(i);
   }
 
-  void Obey(size_t i, Act act) {
-    Place& place = places_[i];
-    const owner::Executor::Verdict verdict = place.executor->Check(kWorks[act.work], act.epoch);
-    const uint64_t life = place.life;
-    auto again = [this, i, act, life](Micros span) mutable {
+  void Execute(size_t i, Act act) {
+    ExecutorHost& host = executor_hosts_[i];
+    const owner::Executor::Verdict verdict = host.executor->Check(kTasks[act.task], act.epoch);
+    const uint64_t incarnation = host.incarnation;
+    auto again = [this, i, act, incarnation](Micros span) mutable {
       if (++act.tries > 20) return;
-      time_.After(span, [this, i, act, life] {
-        if (places_[i].life == life) Obey(i, act);
+      time_.After(span, [this, i, act, incarnation] {
+        if (executor_hosts_[i].incarnation == incarnation) Execute(i, act);
       });
     };
-    const auto obey = [&] {
-      ++played_.obeyed;
-      See(Seen::What::kObeyed, place.name, act);
-      See(Seen::What::kHadEffect, place.name, act);
+    const auto accept = [&] {
+      ++result_.acts_accepted;
+      RecordAct(Observation::What::kActAccepted, host.name, act);
+      RecordAct(Observation::What::kActHadEffect, host.name, act);
     };
     switch (verdict.error) {
       case owner::Error::kNone:
-        obey();
+        accept();
         return;
       case owner::Error::kFenced: {
-        if (fault_ == OwnerFault::kNoCheck) {
-          obey();
+        if (fault_ == OwnerFault::kAcceptsEveryEpoch) {
+          accept();
           return;
         }
-        ++played_.fenced;
-        See(Seen::What::kFencedAct, place.name, act);
-        if (fault_ == OwnerFault::kEffectsOfFenced) See(Seen::What::kHadEffect, place.name, act);
+        ++result_.fenced;
+        RecordAct(Observation::What::kActFenced, host.name, act);
+        if (fault_ == OwnerFault::kExecutesFencedAct)
+          RecordAct(Observation::What::kActHadEffect, host.name, act);
         const uint64_t epoch = act.epoch;
-        Send([this, act, epoch] { members_[act.by].holders[act.work].OnFenced(epoch); });
+        Send([this, act, epoch] { members_[act.by].holders[act.task].OnFenced(epoch); });
         return;
       }
       case owner::Error::kNotTold:
-        // A read that claims to be current, asked for from here on.
+        // A linearizable read that begins now.
         if (fault_ == OwnerFault::kStaleRead) {
-          place.executor->SetCurrentEpoch(kWorks[act.work], old_[act.work]);
+          host.executor->SetCurrentEpoch(kTasks[act.task], stale_epochs_[act.task]);
         } else {
-          Send([this, i, act, life] {
+          Send([this, i, act, incarnation] {
             if (!leads_) return;
-            const uint64_t epoch = state_.EpochOf(kWorks[act.work]);
-            Send([this, i, act, life, epoch] {
-              if (places_[i].life == life) places_[i].executor->SetCurrentEpoch(kWorks[act.work], epoch);
+            const uint64_t epoch = state_.EpochOf(kTasks[act.task]);
+            Send([this, i, act, incarnation, epoch] {
+              if (executor_hosts_[i].incarnation == incarnation)
+                executor_hosts_[i].executor->SetCurrentEpoch(kTasks[act.task], epoch);
             });
           });
         }
@@ -321,23 +327,24 @@
         return;
       case owner::Error::kNotWritten:
       case owner::Error::kDiskLost:
-        if (const auto write = place.executor->NextWrite()) {
-          // A crash before that time keeps the old file.
+        if (const auto write = host.executor->NextWrite()) {
+          // A crash before the write is complete keeps the old file.
           const Micros span = time_.Between(kMs, 60 * kMs);
           if (time_.Chance(0.1)) {
-            time_.After(span / 2, [this, i, life] {
-              if (places_[i].life == life) Die(i);
+            time_.After(span / 2, [this, i, incarnation] {
+              if (executor_hosts_[i].incarnation == incarnation) Crash(i);
             });
           }
-          time_.After(span, [this, i, life, write = *write] {
-            if (places_[i].life != life) return;
+          time_.After(span, [this, i, incarnation, write = *write] {
+            if (executor_hosts_[i].incarnation != incarnation) return;
             const bool ok = !time_.Chance(0.15);
-            if (ok) places_[i].file = write.bytes;
-            places_[i].executor->OnWritten(write.number, ok || fault_ == OwnerFault::kFailedIsWritten);
+            if (ok) executor_hosts_[i].file = write.bytes;
+            executor_hosts_[i].executor->OnWritten(write.number,
+                                                   ok || fault_ == OwnerFault::kIgnoresFailedWrite);
           });
         }
-        if (fault_ == OwnerFault::kObeysUnwritten) {
-          obey();
+        if (fault_ == OwnerFault::kAcceptsBeforeWrite) {
+          accept();
         } else {
           again(20 * kMs);
         }
@@ -347,19 +354,19 @@
     }
   }
 
-  const PlayOptions options_;
+  const SimulationOptions options_;
   const OwnerFault fault_;
   Timeline time_;
-  Played played_;
+  SimulationResult result_;
   owner::State state_;
   uint64_t index_ = 0;
   bool leads_ = false;
   DriftingClock leader_clock_;
-  owner::LeaseExpiry lapse_;
+  owner::LeaseExpiry lease_expiry_;
   std::vector<Member> members_;
-  std::vector<Place> places_;
+  std::vector<ExecutorHost> executor_hosts_;
   uint64_t acts_ = 0;
-  uint64_t old_[2] = {};  // what a reader far behind would be told
+  uint64_t stale_epochs_[2] = {};  // the result of a stale read
 };
 
 }  // namespace
@@ -371,6 +378,8 @@
   return kNames[static_cast<size_t>(fault)];
 }
 
-Played PlayOwners(const PlayOptions& options, OwnerFault fault) { return OwnerPlay(options, fault).Run(); }
+SimulationResult SimulateOwners(const SimulationOptions& options, OwnerFault fault) {
+  return OwnerSimulation(options, fault).Run();
+}
 
 }  // namespace burlfall::lab
--- a/src/lab/council_judge/simulation.h
+++ b/src/lab/council_judge/simulation.h
@@ -1,7 +1,8 @@
-// Drawn histories of owners and of changes on a virtual clock, one seed each: the deciding rooms' own code,
-// with messages that are lost, doubled and late, leaders that fall, processes that stand still or die at
-// marked steps, disks that lose writes, and clocks that drift apart. What was seen goes to the judge. The log
-// itself is one list here: agreeing on it is another room's.
+// Randomly generated histories of owners and of changes on a virtual clock, one per seed. They run the code
+// of the owner and freeze modules, with messages that are lost, duplicated and delayed, leaders that fail,
+// processes that pause or crash at critical points, disks that lose writes, and clocks that drift. The
+// history goes to the checker. The replicated log is a single list here; consensus is simulated by
+// lab/council_world.
 #ifndef BURLFALL_LAB_COUNCIL_JUDGE_SIMULATION_H_
 #define BURLFALL_LAB_COUNCIL_JUDGE_SIMULATION_H_
 
@@ -15,70 +16,70 @@
 
 namespace burlfall::lab {
 
-// Planted, to see that the judge finds them.
+// Faults that are injected to show that the checker finds them.
 enum class OwnerFault {
   kNone,
-  kNoCheck,          // the executor obeys every epoch
-  kForgets,          // an executor that restarts without its epochs obeys at once
-  kObeysUnwritten,   // it obeys before the epoch stands on disk
-  kFailedIsWritten,  // a write that failed counts as done
-  kStaleRead,        // what an executor is told is from a read that does not claim to be current
-  kNoFloor,          // the council begins anew without a floor
-  kEffectsOfFenced,  // an act that is refused has been done all the same
-  kDamagedIsEmpty,   // a damaged file is taken for one that names no work
-  kLast = kDamagedIsEmpty,
+  kAcceptsEveryEpoch,     // the executor accepts every epoch
+  kForgetsEpochs,         // an executor that restarts without its epochs accepts acts at once
+  kAcceptsBeforeWrite,    // the executor accepts an act before its epoch is on disk
+  kIgnoresFailedWrite,    // a failed write counts as done
+  kStaleRead,             // executors learn the epoch from a read that may be stale
+  kNoFloor,               // the coordinator group is rebuilt without an epoch floor
+  kExecutesFencedAct,     // an act that is refused is executed nevertheless
+  kTreatsDamagedAsEmpty,  // a damaged file is treated as one without tasks
+  kLast = kTreatsDamagedAsEmpty,
 };
 const char* NameOf(OwnerFault fault);
 
 enum class FreezeFault {
   kNone,
-  kYesAtOnce,         // the yes before grants have ended
-  kByKindOnly,        // conflicts are looked for among changes of one kind
-  kStaleRunOut,       // a run-out that a renewal overtook counts
-  kGrantsInIncident,  // the next step of a change that runs is granted all the same
-  kEpochReused,       // epochs are counted for each change alone
-  kTwoEnds,           // a change that ran out is still there
-  kLeaseFromAnswer,   // leases begin when the answer comes
-  kNoDrift,           // the leader's count is no longer than the lease
-  kNotAnew,           // a new leader calls all leases over
-  kNoLook,            // a step begins without a look at the lease
-  kGoesOn,            // a step goes on after the change's lease is over
-  kEmergencyNotTold,  // what was done without the council stays untold
-  kAnyEmergency,      // every kind goes on without the council
-  kLast = kAnyEmergency,
+  kEnforcedBeforeGrantsEnd,  // a freeze is confirmed before the grants have ended
+  kByKindOnly,               // only changes of the same kind are checked for conflicts
+  kAppliesStaleExpiry,       // an expiry that was overtaken by a renewal is applied
+  kGrantsInIncident,         // the next step of a running change is granted during an incident
+  kEpochPerChange,           // epochs are counted for each change separately
+  kExpiredChangeStaysOpen,   // an expired change remains in the state
+  kLeaseStartsAtAnswer,      // leases begin when the answer arrives
+  kIgnoresDrift,             // the leader waits no longer than the lease
+  kNewLeaderExpiresLeases,   // a new leader declares all leases expired
+  kStepIgnoresLease,         // a step begins without a check of the lease
+  kStepOutlivesLease,        // a step continues after the change's lease has expired
+  kEmergencyNotReported,     // emergencies begun without the coordinators are never reported
+  kAllowsAnyEmergency,       // changes of every kind begin without the coordinators
+  kLast = kAllowsAnyEmergency,
 };
 const char* NameOf(FreezeFault fault);
 
-struct PlayOptions {
+struct SimulationOptions {
   uint64_t seed = 1;
   Micros length = 60 * kSecond;
-  double loss = 0.1;
-  double drift = 0.1;           // the bound that the settings name
-  double apart = 0.1;           // how far the clocks run apart
-  Micros bound = 20 * kSecond;  // for an answer; the judge's
+  double loss = 0.1;                     // share of messages that are lost
+  double drift_bound = 0.1;              // the drift that the settings allow
+  double clock_drift = 0.1;              // the drift of the simulated clocks, at most
+  Micros answer_timeout = 20 * kSecond;  // in which the checker expects an answer
 };
 
-struct Played {
-  std::vector<Seen> history;
-  CouncilFacts facts;
-  // What happened, so that a test can hold that it did.
+struct SimulationResult {
+  std::vector<Observation> history;
+  HistoryFacts facts;
+  // Numbers of events, so that a test can check that they occurred.
   size_t grants = 0;
-  size_t obeyed = 0;
+  size_t acts_accepted = 0;
   size_t fenced = 0;
   size_t pauses = 0;
-  size_t deaths = 0;
+  size_t crashes = 0;
   size_t leaders = 0;
   size_t changes = 0;
   size_t abandoned = 0;
-  size_t taken = 0;
+  size_t taken_over = 0;
   size_t steps = 0;
-  size_t yes = 0;
-  size_t yes_waited = 0;  // of them, those that had to wait
-  size_t glass = 0;
+  size_t incidents_enforced = 0;
+  size_t enforced_after_wait = 0;  // of these, those that had to wait for grants to end
+  size_t overrides = 0;
   size_t emergencies = 0;
 };
-Played PlayOwners(const PlayOptions& options, OwnerFault fault = OwnerFault::kNone);
-Played PlayChanges(const PlayOptions& options, FreezeFault fault = FreezeFault::kNone);
+SimulationResult SimulateOwners(const SimulationOptions& options, OwnerFault fault = OwnerFault::kNone);
+SimulationResult SimulateChanges(const SimulationOptions& options, FreezeFault fault = FreezeFault::kNone);
 
 }  // namespace burlfall::lab
 
--- a/tests/freeze/judge_test.cpp
+++ b/tests/freeze/judge_test.cpp
@@ -1,121 +1,122 @@
-// Tests of the checker of council histories: it accepts a correct history and reports each broken invariant.
-#include "lab/council_judge/history_checker.h"
-
+// Tests of the checker of council histories: it accepts a correct history and reports each violation
+// invariant.
 #include <gtest/gtest.h>
 
+#include "lab/council_judge/history_checker.h"
+
 namespace burlfall::lab {
 namespace {
 
-using What = Seen::What;
+using What = Observation::What;
 using freeze::ChangeKind;
 using freeze::IncidentKind;
 using freeze::Scope;
 
 class CouncilJudge : public ::testing::Test {
  protected:
-  Seen& See(What what) {
+  Observation& Record(What what) {
     history_.emplace_back();
     history_.back().at = static_cast<Micros>(history_.size()) * kMs;
     history_.back().what = what;
     history_.back().place = "b1";
-    history_.back().work = "freeze";
+    history_.back().task = "freeze";
     return history_.back();
   }
-  Seen& Change(What what, uint64_t id) {
-    Seen& seen = See(what);
-    seen.change = id;
-    seen.scope = Scope::Balancer("b1", "z0");
-    return seen;
+  Observation& Change(What what, uint64_t id) {
+    Observation& observation = Record(what);
+    observation.change = id;
+    observation.scope = Scope::Balancer("b1", "z0");
+    return observation;
   }
-  Seen& Act(What what, uint64_t epoch, uint64_t act) {
-    Seen& seen = See(what);
-    seen.epoch = epoch;
-    seen.act = act;
-    return seen;
+  Observation& Act(What what, uint64_t epoch, uint64_t act) {
+    Observation& observation = Record(what);
+    observation.epoch = epoch;
+    observation.act = act;
+    return observation;
   }
-  Seen& Incident(What what) {
-    Seen& seen = See(what);
-    seen.incident = 5;
-    seen.scope = Scope::Zone("z0");
-    return seen;
+  Observation& Incident(What what) {
+    Observation& observation = Record(what);
+    observation.incident = 5;
+    observation.scope = Scope::Zone("z0");
+    return observation;
   }
-  // Numbers of the invariants that are broken, in the order found.
+  // Numbers of the invariants that are violation, in the order found.
   std::vector<int> Found() {
     std::vector<int> found;
-    for (const Broken& broken : JudgeCouncil(history_, {})) found.push_back(broken.invariant);
+    for (const Violation& violation : CheckHistory(history_, {})) found.push_back(violation.invariant);
     return found;
   }
   using Numbers = std::vector<int>;
 
-  std::vector<Seen> history_;
+  std::vector<Observation> history_;
 };
 
 TEST_F(CouncilJudge, PassesAGoodHistory) {
-  See(What::kOwned).epoch = 3;
-  See(What::kOwned).epoch = 3;  // reported twice
-  Act(What::kObeyed, 3, 1);
-  Act(What::kHadEffect, 3, 1);
-  Act(What::kObeyed, 4, 2);
-  Act(What::kFencedAct, 3, 3);
-  See(What::kAsked).number = 1;
+  Record(What::kEpochGranted).epoch = 3;
+  Record(What::kEpochGranted).epoch = 3;  // reported twice
+  Act(What::kActAccepted, 3, 1);
+  Act(What::kActHadEffect, 3, 1);
+  Act(What::kActAccepted, 4, 2);
+  Act(What::kActFenced, 3, 3);
+  Record(What::kRequestSent).number = 1;
   Change(What::kChangeBegan, 1);
-  See(What::kAnswered).number = 1;
+  Record(What::kRequestAnswered).number = 1;
   Change(What::kStepBegan, 1);
-  Incident(What::kIncidentStands);
+  Incident(What::kIncidentOpened);
   Change(What::kStepEnded, 1);
-  Incident(What::kIncidentYes);
+  Incident(What::kIncidentEnforced);
   Change(What::kStepBegan, 1).undoing = true;  // it ran when the incident opened
   Change(What::kStepEnded, 1);
   Change(What::kChangeEnded, 1);
-  Seen& refused = See(What::kAsked);
+  Observation& refused = Record(What::kRequestSent);
   refused.number = 2;
   refused.scope = Scope::Site();
-  Seen& answer = See(What::kAnswered);
+  Observation& answer = Record(What::kRequestAnswered);
   answer.number = 2;
   answer.error = owner::Error::kFrozen;
   Change(What::kChangeBegan, 2);
-  Change(What::kGlass, 2);
+  Change(What::kEmergencyOverride, 2);
   Change(What::kStepBegan, 2);
   Change(What::kStepEnded, 2);
   Change(What::kChangeEnded, 2);
-  Seen& emergency = See(What::kEmergency);
+  Observation& emergency = Record(What::kEmergency);
   emergency.number = 1;
   emergency.change_kind = ChangeKind::kRestart;
-  See(What::kNoted).number = 1;
+  Record(What::kEmergencyOnRecord).number = 1;
   EXPECT_EQ(Found(), Numbers{});
 }
 
 TEST_F(CouncilJudge, Rejects1ALowerEpochOverARestartAndOneEpochTwice) {
-  Act(What::kObeyed, 4, 1);
-  Act(What::kObeyed, 3, 2);
+  Act(What::kActAccepted, 4, 1);
+  Act(What::kActAccepted, 3, 2);
   EXPECT_EQ(Found(), Numbers{1});
   history_.clear();
-  See(What::kOwned).epoch = 3;
-  Seen& other = See(What::kOwned);
+  Record(What::kEpochGranted).epoch = 3;
+  Observation& other = Record(What::kEpochGranted);
   other.epoch = 3;
   other.who.name = "b2";
   EXPECT_EQ(Found(), Numbers{1});
 }
 
 TEST_F(CouncilJudge, Rejects2AFencedActWithAnEffect) {
-  Act(What::kFencedAct, 3, 7);
-  Act(What::kHadEffect, 3, 7);
+  Act(What::kActFenced, 3, 7);
+  Act(What::kActHadEffect, 3, 7);
   EXPECT_EQ(Found(), Numbers{2});
 }
 
 TEST_F(CouncilJudge, Rejects3AStepWhileAnIncidentIsInForceAndAnUnrecordedEmergency) {
   Change(What::kChangeBegan, 1);
-  Incident(What::kIncidentStands);
-  Incident(What::kIncidentYes);
+  Incident(What::kIncidentOpened);
+  Incident(What::kIncidentEnforced);
   Change(What::kStepBegan, 1);
   Change(What::kStepEnded, 1);
-  Incident(What::kIncidentOver);
+  Incident(What::kIncidentEnded);
   Change(What::kStepBegan, 1);  // no incident is open any more
   Change(What::kStepEnded, 1);
   Change(What::kChangeEnded, 1);
   EXPECT_EQ(Found(), Numbers{3});
   history_.clear();
-  See(What::kEmergency).change_kind = ChangeKind::kNodeOut;
+  Record(What::kEmergency).change_kind = ChangeKind::kNodeOut;
   EXPECT_EQ(Found(), Numbers{3});
 }
 
@@ -127,7 +128,7 @@
   EXPECT_EQ(Found(), (Numbers{4, 4, 4}));  // both under way, ended twice, never ended
   history_.clear();
   Change(What::kChangeBegan, 1);
-  Change(What::kMayGoOn, 1).until = kSecond;
+  Change(What::kChangeLeaseHeld, 1).until = kSecond;
   Change(What::kChangeEnded, 1).error = owner::Error::kLeaseOver;
   EXPECT_EQ(Found(), Numbers{4});
   history_.clear();
@@ -139,19 +140,19 @@
   Change(What::kChangeEnded, 2);
   EXPECT_EQ(Found(), Numbers{4});
   history_.clear();
-  See(What::kAsked).number = 1;
-  See(What::kMajority).up = false;
-  See(What::kMajority).at = 100 * kSecond;
+  Record(What::kRequestSent).number = 1;
+  Record(What::kMajorityAvailable).up = false;
+  Record(What::kMajorityAvailable).at = 100 * kSecond;
   history_.back().up = true;
-  See(What::kMajority).at = 109 * kSecond;
+  Record(What::kMajorityAvailable).at = 109 * kSecond;
   history_.back().up = true;
   EXPECT_EQ(Found(), Numbers{});
   history_.pop_back();
-  See(What::kStepEnded).at = 111 * kSecond;
+  Record(What::kStepEnded).at = 111 * kSecond;
   EXPECT_EQ(Found(), Numbers{4});
   history_.clear();
-  See(What::kAsked).number = 1;
-  See(What::kAnswered).number = 1;
+  Record(What::kRequestSent).number = 1;
+  Record(What::kRequestAnswered).number = 1;
   history_.back().error = owner::Error::kConflict;
   EXPECT_EQ(Found(), Numbers{4});
 }
--- a/tests/freeze/play_test.cpp
+++ b/tests/freeze/play_test.cpp
@@ -1,62 +1,62 @@
 // Simulates changes on random schedules and checks their histories; injected faults must be found.
-#include "lab/council_judge/simulation.h"
-
 #include <gtest/gtest.h>
 
+#include "lab/council_judge/simulation.h"
+
 namespace burlfall::lab {
 namespace {
 
 TEST(ChangePlay, NoInvariantIsBrokenAndAllEventsOccur) {
-  Played sum;
+  SimulationResult sum;
   for (uint64_t seed = 1; seed <= 200; ++seed) {
-    PlayOptions options;
+    SimulationOptions options;
     options.seed = seed;
     constexpr double kLosses[] = {0.05, 0.2, 0.4};
     options.loss = kLosses[seed % 3];
-    options.bound = 30 * kSecond;
-    const Played played = PlayChanges(options);
-    for (const Broken& broken : JudgeCouncil(played.history, played.facts)) {
-      ADD_FAILURE() << "seed " << seed << ", invariant " << broken.invariant << ": " << broken.what;
+    options.answer_timeout = 30 * kSecond;
+    const SimulationResult result = SimulateChanges(options);
+    for (const Violation& violation : CheckHistory(result.history, result.facts)) {
+      ADD_FAILURE() << "seed " << seed << ", invariant " << violation.invariant << ": " << violation.what;
     }
-    sum.changes += played.changes;
-    sum.abandoned += played.abandoned;
-    sum.taken += played.taken;
-    sum.steps += played.steps;
-    sum.yes_waited += played.yes_waited;
-    sum.glass += played.glass;
-    sum.emergencies += played.emergencies;
-    sum.leaders += played.leaders;
-    sum.pauses += played.pauses;
-    sum.deaths += played.deaths;
+    sum.changes += result.changes;
+    sum.abandoned += result.abandoned;
+    sum.taken_over += result.taken_over;
+    sum.steps += result.steps;
+    sum.enforced_after_wait += result.enforced_after_wait;
+    sum.overrides += result.overrides;
+    sum.emergencies += result.emergencies;
+    sum.leaders += result.leaders;
+    sum.pauses += result.pauses;
+    sum.crashes += result.crashes;
   }
   EXPECT_GT(sum.changes, 2000u);
   EXPECT_GT(sum.abandoned, 500u);
-  EXPECT_GT(sum.taken, 200u);
+  EXPECT_GT(sum.taken_over, 200u);
   EXPECT_GT(sum.steps, 2000u);
-  EXPECT_GT(sum.yes_waited, 100u);
-  EXPECT_GT(sum.glass, 30u);
+  EXPECT_GT(sum.enforced_after_wait, 100u);
+  EXPECT_GT(sum.overrides, 30u);
   EXPECT_GT(sum.emergencies, 100u);
   EXPECT_GT(sum.leaders, 500u);
   EXPECT_GT(sum.pauses, 1000u);
-  EXPECT_GT(sum.deaths, 300u);
+  EXPECT_GT(sum.crashes, 300u);
 }
 
 struct Case {
   FreezeFault fault;
   uint64_t seeds;  // number of seeds within which it is found
   int invariant;
-  double apart = 0.1;  // clock drift, and the bound that the settings name
+  double clock_drift = 0.1;  // clock drift, and the answer_timeout that the settings name
 };
 class PlantedInChanges : public ::testing::TestWithParam<Case> {};
 
 TEST_P(PlantedInChanges, IsFound) {
   for (uint64_t seed = 1; seed <= GetParam().seeds; ++seed) {
-    PlayOptions options;
+    SimulationOptions options;
     options.seed = seed;
-    options.drift = options.apart = GetParam().apart;
-    const Played played = PlayChanges(options, GetParam().fault);
-    for (const Broken& broken : JudgeCouncil(played.history, played.facts)) {
-      if (broken.invariant == GetParam().invariant) return;
+    options.drift_bound = options.clock_drift = GetParam().clock_drift;
+    const SimulationResult result = SimulateChanges(options, GetParam().fault);
+    for (const Violation& violation : CheckHistory(result.history, result.facts)) {
+      if (violation.invariant == GetParam().invariant) return;
     }
   }
   ADD_FAILURE() << "not within " << GetParam().seeds << " seeds";
@@ -64,13 +64,14 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Faults, PlantedInChanges,
-    ::testing::Values(Case{FreezeFault::kYesAtOnce, 20, 3}, Case{FreezeFault::kByKindOnly, 5, 4},
-                      Case{FreezeFault::kStaleRunOut, 20, 4}, Case{FreezeFault::kGrantsInIncident, 5, 3},
-                      Case{FreezeFault::kEpochReused, 5, 1}, Case{FreezeFault::kTwoEnds, 5, 4},
-                      Case{FreezeFault::kLeaseFromAnswer, 20, 4}, Case{FreezeFault::kNoDrift, 20, 4},
-                      Case{FreezeFault::kNotAnew, 5, 4}, Case{FreezeFault::kNoLook, 20, 3},
-                      Case{FreezeFault::kGoesOn, 20, 4}, Case{FreezeFault::kEmergencyNotTold, 5, 3},
-                      Case{FreezeFault::kAnyEmergency, 5, 3}),
+    ::testing::Values(
+        Case{FreezeFault::kEnforcedBeforeGrantsEnd, 20, 3}, Case{FreezeFault::kByKindOnly, 5, 4},
+        Case{FreezeFault::kAppliesStaleExpiry, 20, 4}, Case{FreezeFault::kGrantsInIncident, 5, 3},
+        Case{FreezeFault::kEpochPerChange, 5, 1}, Case{FreezeFault::kExpiredChangeStaysOpen, 5, 4},
+        Case{FreezeFault::kLeaseStartsAtAnswer, 20, 4}, Case{FreezeFault::kIgnoresDrift, 20, 4},
+        Case{FreezeFault::kNewLeaderExpiresLeases, 5, 4}, Case{FreezeFault::kStepIgnoresLease, 20, 3},
+        Case{FreezeFault::kStepOutlivesLease, 20, 4}, Case{FreezeFault::kEmergencyNotReported, 5, 3},
+        Case{FreezeFault::kAllowsAnyEmergency, 5, 3}),
     [](const auto& tested) { return std::string(NameOf(tested.param.fault)); });
 
 }  // namespace
--- a/tests/owner/play_test.cpp
+++ b/tests/owner/play_test.cpp
@@ -1,33 +1,33 @@
 // Simulates owners on random schedules and checks their histories; injected faults must be found.
-#include "lab/council_judge/simulation.h"
-
 #include <gtest/gtest.h>
 
+#include "lab/council_judge/simulation.h"
+
 namespace burlfall::lab {
 namespace {
 
 TEST(OwnerPlay, NoInvariantIsBrokenAndAllEventsOccur) {
-  Played sum;
+  SimulationResult sum;
   for (uint64_t seed = 1; seed <= 200; ++seed) {
-    PlayOptions options;
+    SimulationOptions options;
     options.seed = seed;
-    // Up to the drift bound and twice as far, since epochs don't depend on clocks.
-    options.apart = seed % 2 == 0 ? options.drift : 2 * options.drift;
-    const Played played = PlayOwners(options);
-    for (const Broken& broken : JudgeCouncil(played.history, played.facts)) {
-      ADD_FAILURE() << "seed " << seed << ", invariant " << broken.invariant << ": " << broken.what;
+    // Up to the drift answer_timeout and twice as far, since epochs don't depend on clocks.
+    options.clock_drift = seed % 2 == 0 ? options.drift_bound : 2 * options.drift_bound;
+    const SimulationResult result = SimulateOwners(options);
+    for (const Violation& violation : CheckHistory(result.history, result.facts)) {
+      ADD_FAILURE() << "seed " << seed << ", invariant " << violation.invariant << ": " << violation.what;
     }
-    sum.grants += played.grants;
-    sum.obeyed += played.obeyed;
-    sum.fenced += played.fenced;
-    sum.pauses += played.pauses;
-    sum.deaths += played.deaths;
+    sum.grants += result.grants;
+    sum.acts_accepted += result.acts_accepted;
+    sum.fenced += result.fenced;
+    sum.pauses += result.pauses;
+    sum.crashes += result.crashes;
   }
   EXPECT_GT(sum.grants, 3000u);
-  EXPECT_GT(sum.obeyed, 20000u);
+  EXPECT_GT(sum.acts_accepted, 20000u);
   EXPECT_GT(sum.fenced, 500u);
   EXPECT_GT(sum.pauses, 1000u);
-  EXPECT_GT(sum.deaths, 1000u);
+  EXPECT_GT(sum.crashes, 1000u);
 }
 
 struct Case {
@@ -39,12 +39,12 @@
 
 TEST_P(PlantedInOwners, IsFound) {
   for (uint64_t seed = 1; seed <= GetParam().seeds; ++seed) {
-    PlayOptions options;
+    SimulationOptions options;
     options.seed = seed;
-    const Played played = PlayOwners(options, GetParam().fault);
-    const std::vector<Broken> broken = JudgeCouncil(played.history, played.facts);
-    if (broken.empty()) continue;
-    EXPECT_EQ(broken[0].invariant, GetParam().invariant) << broken[0].what;
+    const SimulationResult result = SimulateOwners(options, GetParam().fault);
+    const std::vector<Violation> violation = CheckHistory(result.history, result.facts);
+    if (violation.empty()) continue;
+    EXPECT_EQ(violation[0].invariant, GetParam().invariant) << violation[0].what;
     return;
   }
   ADD_FAILURE() << "not within " << GetParam().seeds << " seeds";
@@ -52,10 +52,11 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Faults, PlantedInOwners,
-    ::testing::Values(Case{OwnerFault::kNoCheck, 5, 1}, Case{OwnerFault::kForgets, 20, 1},
-                      Case{OwnerFault::kObeysUnwritten, 100, 1}, Case{OwnerFault::kFailedIsWritten, 200, 1},
-                      Case{OwnerFault::kStaleRead, 20, 1}, Case{OwnerFault::kNoFloor, 5, 1},
-                      Case{OwnerFault::kEffectsOfFenced, 5, 2}, Case{OwnerFault::kDamagedIsEmpty, 100, 1}),
+    ::testing::Values(Case{OwnerFault::kAcceptsEveryEpoch, 5, 1}, Case{OwnerFault::kForgetsEpochs, 20, 1},
+                      Case{OwnerFault::kAcceptsBeforeWrite, 100, 1},
+                      Case{OwnerFault::kIgnoresFailedWrite, 200, 1}, Case{OwnerFault::kStaleRead, 20, 1},
+                      Case{OwnerFault::kNoFloor, 5, 1}, Case{OwnerFault::kExecutesFencedAct, 5, 2},
+                      Case{OwnerFault::kTreatsDamagedAsEmpty, 100, 1}),
     [](const auto& tested) { return std::string(NameOf(tested.param.fault)); });
 
 }  // namespace
