--- a/src/lab/council/real_council.cpp
+++ b/src/lab/council/coordinator_run.cpp
@@ -1,4 +1,4 @@
-#include "lab/council/real_council.h"
+#include "lab/council/coordinator_run.h"
 
 #include <signal.h>
 
--- a/src/lab/council/real_council.h
+++ b/src/lab/council/coordinator_run.h
@@ -7,8 +7,8 @@
 //   - an epoch is one owner's, whoever tells of it; a term has one leader
 //   - after each fault the council comes to an owner whom all that run obey, in time
 //   - what it acknowledged is in the log of every later leader
-#ifndef BURLFALL_LAB_COUNCIL_REAL_COUNCIL_H_
-#define BURLFALL_LAB_COUNCIL_REAL_COUNCIL_H_
+#ifndef BURLFALL_LAB_COUNCIL_COORDINATOR_RUN_H_
+#define BURLFALL_LAB_COUNCIL_COORDINATOR_RUN_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -70,4 +70,4 @@
 
 }  // namespace burlfall::lab
 
-#endif  // BURLFALL_LAB_COUNCIL_REAL_COUNCIL_H_
+#endif  // BURLFALL_LAB_COUNCIL_COORDINATOR_RUN_H_
--- a/src/lab/council_command.cpp
+++ b/src/lab/council_command.cpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/council/real_council.h"
+#include "lab/council/coordinator_run.h"
 #include "lab/source.h"
 
 namespace burlfall::lab {
