--- a/src/lab/council/coordinator_run.h
+++ b/src/lab/council/coordinator_run.h
@@ -1,12 +1,12 @@
-// A council of real processes of `burlfall serve --council`, each at loopback hosts of its own with the lab's
-// paths between any two, and faults that a seed draws: processes that stand still at marked steps, kills,
-// loss of power, folders that are gone, cuts in one direction. What each tells in its log is judged from
-// outside.
+// Runs a coordinator group of real `burlfall serve --council` processes, each on its own loopback addresses
+// and with the lab's controllable paths between every two of them. It injects faults in an order generated
+// from a seed: paused and killed processes, power loss, lost data directories, cuts of the network in one
+// direction. From the log events of the processes it checks that
 //
-//   - no executor obeys an epoch below one that it has obeyed, also after a restart
-//   - an epoch is one owner's, whoever tells of it; a term has one leader
-//   - after each fault the council comes to an owner whom all that run obey, in time
-//   - what it acknowledged is in the log of every later leader
+//   - no executor accepts an epoch below one that it accepted before, also after a restart
+//   - an epoch has one owner and a term has one leader, in the events of all processes
+//   - after each fault the group elects an owner whose epoch all running members accept, within the timeout
+//   - an acknowledged entry is in the log of every later leader
 #ifndef BURLFALL_LAB_COUNCIL_COORDINATOR_RUN_H_
 #define BURLFALL_LAB_COUNCIL_COORDINATOR_RUN_H_
 
@@ -19,54 +19,56 @@
 
 namespace burlfall::lab {
 
-enum class CouncilFault {
-  kPauseAtStep,   // the owner, between its check and its act, until another has acted
-  kPauseOwner,    // at any moment, likewise
-  kPauseBriefly,  // the owner, for less than its lease
-  kPauseLeader,   // until another leads
+enum class CoordinatorFault {
+  kPauseOwnerAtStep,   // between its check and its act, until another owner has acted
+  kPauseOwner,         // at any moment, until another owner has acted
+  kPauseOwnerBriefly,  // for less than its lease
+  kPauseLeader,        // until another leader is elected
   kKillOwner,
   kKillLeader,
-  kKillAll,       // at once, as when the power goes
-  kWipe,          // a voter's folder, which then is a new voter
-  kOlder,         // a voter comes back with the files of before
-  kDeafLeader,    // hears no other voter, and is heard
-  kMuteLeader,    // hears the others, and is not heard
-  kRestartOwner,  // in order
-  kIncident,      // opened at one member: another's drain is refused until it is closed, or by broken glass
-  kAlone,  // a member that hears nobody: its drain is refused, and an emergency goes on and is told later
+  kKillAll,              // all at once, as in a power loss
+  kWipeDisk,             // a voter loses its data directory, and returns as a new voter
+  kRestoreOlderDisk,     // a voter restarts with an older copy of its files
+  kBlockLeaderInbound,   // the leader receives nothing from the other voters; they receive its messages
+  kBlockLeaderOutbound,  // the leader receives from the other voters; they receive nothing from it
+  kRestartOwner,         // with an orderly shutdown
+  kIncident,             // opened at one member: another's drain is refused until it is closed or overridden
+  kIsolateMember,        // a member is cut off from all others: its drain is refused
 };
-constexpr int kCouncilFaults = 14;
-const char* NameOf(CouncilFault fault);
+constexpr int kCoordinatorFaultCount = 14;
+const char* NameOf(CoordinatorFault fault);
 
-struct CouncilOptions {
+struct CoordinatorRunOptions {
   int voters = 3;
-  int members = 3;  // voters among them
+  int members = 3;  // including the voters
   uint64_t seed = 1;
-  std::vector<CouncilFault> faults;  // in this order
-  std::string program;               // empty: the `burlfall` beside this program
+  std::vector<CoordinatorFault> faults;  // injected in this order
+  std::string program;                   // empty: the `burlfall` in the directory of this program
   bool keep_folder = false;
-  double proposals_for_s = 0;  // not 0: how many proposals a second are agreed, before all faults
-  std::function<void(const std::string& line)> tells = [](const std::string&) {};
+  double proposals_for_s = 0;  // not 0: measures committed proposals per second before the faults, in s
+  std::function<void(const std::string& line)> log = [](const std::string&) {};  // progress, line by line
 };
 
-struct CouncilPlayed {
-  bool whole = false;
-  std::string why_not;              // where it is not
-  std::vector<std::string> broken;  // one line each; the first ones
-  size_t broken_count = 0;
-  std::map<std::string, size_t> faults;  // that were played, by name
-  size_t obeyed = 0;                     // epochs, at each member
-  size_t fenced = 0;                     // acts that a member refused
-  size_t found_out = 0;                  // owners that stood still and found out before they acted
-  std::vector<double> owner_after_s;     // from a kill of the owner to the next grant
-  std::vector<double> leader_after_s;    // from a kill of the leader to the next
+// `complete`: all faults were injected, and the group recovered from each.
+struct CoordinatorRunResult {
+  bool complete = false;
+  std::string failure;                  // why the run is not complete
+  std::vector<std::string> violations;  // one line each, at most 20
+  size_t violation_count = 0;
+  std::map<std::string, size_t> faults;  // injected, by name
+  size_t epochs_accepted = 0;            // acceptances of an epoch, over all members
+  size_t fenced = 0;                     // acts that a member refused because of their epoch
+  size_t leases_lost = 0;                // times that an owner noticed the loss of its lease
+  std::vector<double> owner_after_s;     // from the kill of the owner to the next grant, in s
+  std::vector<double> leader_after_s;    // from the kill of the leader to the next election, in s
   double proposals_per_s = 0;
-  double late_share = 0;  // of the lab's own timers
+  double late_share = 0;  // of the timers of this process
 };
 
-// The faults of a run: `rounds` of them, each kind in its turn, in an order that the seed draws.
-std::vector<CouncilFault> DrawFaults(uint64_t seed, size_t rounds);
-CouncilPlayed PlayCouncil(const CouncilOptions& options);
+// Returns `rounds` faults: all kinds in random order, again and again.
+std::vector<CoordinatorFault> RandomFaults(uint64_t seed, size_t rounds);
+// Runs the group in this process; blocks until the end.
+CoordinatorRunResult RunCoordinators(const CoordinatorRunOptions& options);
 
 }  // namespace burlfall::lab
 
--- a/src/lab/council_command.cpp
+++ b/src/lab/council_command.cpp
@@ -20,23 +20,23 @@
 constexpr int kUnusable = 2;
 
 struct Words {
-  CouncilOptions options;
-  size_t rounds = kCouncilFaults;
+  CoordinatorRunOptions options;
+  size_t rounds = kCoordinatorFaultCount;
   std::vector<std::string> faults;
   bool said = false;
   std::string out;
 };
 
 // The words behind --fault; false where one is none.
-bool ReadFaults(const std::vector<std::string>& names, std::vector<CouncilFault>& into) {
+bool ReadFaults(const std::vector<std::string>& names, std::vector<CoordinatorFault>& into) {
   for (const std::string& name : names) {
     int i = 0;
-    while (i < kCouncilFaults && name != NameOf(static_cast<CouncilFault>(i))) ++i;
-    if (i == kCouncilFaults) {
+    while (i < kCoordinatorFaultCount && name != NameOf(static_cast<CoordinatorFault>(i))) ++i;
+    if (i == kCoordinatorFaultCount) {
       Complain("no fault " + name);
       return false;
     }
-    into.push_back(static_cast<CouncilFault>(i));
+    into.push_back(static_cast<CoordinatorFault>(i));
   }
   return true;
 }
@@ -48,35 +48,35 @@
 }
 
 int Run(Words words) {
-  std::vector<CouncilFault> one;
+  std::vector<CoordinatorFault> one;
   if (!ReadFaults(words.faults, one)) return kUnusable;
-  CouncilOptions& options = words.options;
+  CoordinatorRunOptions& options = words.options;
   options.members = std::max(options.members, options.voters);
   if (one.empty()) {
-    options.faults = DrawFaults(options.seed, words.rounds);
+    options.faults = RandomFaults(options.seed, words.rounds);
   } else {
     for (size_t i = 0; i < words.rounds; ++i) options.faults.push_back(one[i % one.size()]);
   }
-  if (words.said) options.tells = [](const std::string& line) { std::fprintf(stderr, "%s\n", line.c_str()); };
-  const CouncilPlayed played = PlayCouncil(options);
+  if (words.said) options.log = [](const std::string& line) { std::fprintf(stderr, "%s\n", line.c_str()); };
+  const CoordinatorRunResult run = RunCoordinators(options);
   nlohmann::ordered_json result = {{"voters", options.voters},
                                    {"members", options.members},
                                    {"seed", options.seed},
-                                   {"whole", played.whole},
-                                   {"why_not", played.why_not},
-                                   {"broken", played.broken_count},
-                                   {"first_broken", played.broken},
-                                   {"faults", played.faults},
-                                   {"epochs_obeyed", played.obeyed},
-                                   {"acts_refused", played.fenced},
-                                   {"owners_found_out", played.found_out},
-                                   {"owner_after_s", Spread(played.owner_after_s)},
-                                   {"leader_after_s", Spread(played.leader_after_s)}};
-  if (options.proposals_for_s > 0) result["proposals_per_s"] = played.proposals_per_s;
+                                   {"whole", run.complete},
+                                   {"why_not", run.failure},
+                                   {"broken", run.violation_count},
+                                   {"first_broken", run.violations},
+                                   {"faults", run.faults},
+                                   {"epochs_obeyed", run.epochs_accepted},
+                                   {"acts_refused", run.fenced},
+                                   {"owners_found_out", run.leases_lost},
+                                   {"owner_after_s", Spread(run.owner_after_s)},
+                                   {"leader_after_s", Spread(run.leader_after_s)}};
+  if (options.proposals_for_s > 0) result["proposals_per_s"] = run.proposals_per_s;
   std::cout << result.dump(2) << "\n";
   if (!words.out.empty()) std::ofstream(words.out) << result.dump(2) << "\n";
-  if (!played.whole) return kUnusable;
-  return played.broken_count == 0 ? 0 : kWrong;
+  if (!run.complete) return kUnusable;
+  return run.violation_count == 0 ? 0 : kWrong;
 }
 
 }  // namespace
