--- a/src/lab/council_world/consensus_checker.cpp
+++ b/src/lab/council_world/consensus_checker.cpp
@@ -72,14 +72,15 @@
     const AppliedEntry& one = applied_entries_[entry.index - 1];
     const uint64_t before = entry.index > 1 ? applied_entries_[entry.index - 2].state : 0;
     if (one.term != entry.term || one.state != NextState(before, entry)) {
-      ReportViolation(run + " applies another entry " + Number(entry.index) + " than was applied before");
+      ReportViolation(run + " applies another entry " + Number(entry.index) +
+                      " than another process applied");
     }
     return;
   }
   if (entry.index != applied_entries_.size() + 1) return;  // a gap, which is already reported
   const uint64_t before = applied_entries_.empty() ? 0 : applied_entries_.back().state;
   if (!applied_entries_.empty() && applied_entries_.back().at > entry.log_time) {
-    ReportViolation("council time goes back at entry " + Number(entry.index));
+    ReportViolation("log time goes back at entry " + Number(entry.index));
   }
   applied_entries_.push_back({entry.term, NextState(before, entry), entry.log_time});
   if (entry.kind != consensus::Entry::Kind::kVoters) return;
@@ -104,7 +105,8 @@
     ReportViolation(run + " goes back from entry " + Number(last) + " to a snapshot of " + Number(index));
   last = index;
   if (index > applied_entries_.size() || (index > 0 && applied_entries_[index - 1].state != state)) {
-    ReportViolation(run + " takes a snapshot of entry " + Number(index) + " that is not the state there");
+    ReportViolation(run + " installs a snapshot of entry " + Number(index) +
+                    " that differs from the state at that entry");
   }
 }
 
@@ -117,7 +119,7 @@
 
 void ConsensusChecker::OnReadAnswered(uint64_t token, uint64_t index) {
   const auto found = pending_reads_.find(token);
-  if (found == pending_reads_.end()) return ReportViolation("a read is answered that nobody began");
+  if (found == pending_reads_.end()) return ReportViolation("a read is answered that was not begun");
   ++reads_answered_;
   if (index < found->second) {
     ReportViolation("a read shows the state of entry " + Number(index) + " though that of " +
--- a/src/lab/council_world/consensus_simulation.cpp
+++ b/src/lab/council_world/consensus_simulation.cpp
@@ -261,10 +261,10 @@
       checker_.OnBecameLeader(machine.run, notice.term, log);
     } else if (notice.kind == consensus::Notice::Kind::kOlderDisk) {
       // No scenario restores an older disk.
-      checker_.ReportViolation(machine.run + " takes a disk for an older one");
+      checker_.ReportViolation(machine.run + " treats its disk as an older one");
     } else if (notice.kind == consensus::Notice::Kind::kMessageDropped &&
                notice.text == "two leaders in a term") {
-      checker_.ReportViolation(notice.text + " heard by " + machine.run);
+      checker_.ReportViolation(notice.text + " received by " + machine.run);
     }
   }
   for (consensus::DiskWrite& write : core.TakeWrites()) {
@@ -289,7 +289,7 @@
   for (const consensus::ReadResult& answer : core.TakeReads()) {
     if (answer.refusal == consensus::Refusal::kNone) {
       if (machine.index < answer.index && answer.index > 1)
-        checker_.ReportViolation("a read before its entries");
+        checker_.ReportViolation("a read was answered before its entries were applied");
       checker_.OnReadAnswered(answer.token, machine.index);
     }
   }
@@ -363,7 +363,7 @@
     const auto read = consensus::Decode(consensus::Encode(outgoing.message, "s"), "s");
     const auto* same = read.message ? std::get_if<Message>(&*read.message) : nullptr;
     if (!same || !(*same == outgoing.message))
-      checker_.ReportViolation("a message is another one after the wire");
+      checker_.ReportViolation("a message changes when it is encoded and decoded");
   }
   const int copies = random_.Percent(settings_.duplicate_percent) ? 2 : 1;
   for (int i = 0; i < copies; ++i) {
--- a/src/lab/council_world/random_scenario.cpp
+++ b/src/lab/council_world/random_scenario.cpp
@@ -79,7 +79,7 @@
   // Waits for a new leader and kills it soon after its election, while few other voters have its entries.
   void KillNewLeader() {
     ++verdict_.faults;
-    ++verdict_.kinds["fall of a leader"];
+    ++verdict_.kinds["kill of a new leader"];
     const int before = simulation_.Leader();
     simulation_.RunUntil([&] { return simulation_.Leader() >= 0 && simulation_.Leader() != before; },
                          kSecond);
@@ -124,22 +124,22 @@
         count("kill");
         return KillAndStart(AnyMachineOrLeader(), 10 * kMs, 3 * kSecond);
       case 2:
-        count("kill of some");
+        count("kill of several");
         for (size_t i = 0; i < simulation_.size() / 2; ++i)
           KillAndStart(AnyMachineOrLeader(), 10 * kMs, 2 * kSecond);
         return;
       case 3:
-        count("power of all");
+        count("power loss of all");
         for (size_t i = 0; i < simulation_.size(); ++i) {
           simulation_.Kill(i, Crash::kPower);
           ScheduleRepair(10 * kMs, kSecond, [this, i] { simulation_.Start(i); });
         }
         return;
       case 4:
-        count("halves");
+        count("cut into two groups");
         return CutIntoTwoGroups();
       case 5: {
-        count("one-sided");
+        count("cut in one direction");
         const size_t who = AnyMachineOrLeader();
         const bool in = random().Percent(50);
         simulation_.CutAll(who, in, !in, true);
@@ -147,10 +147,10 @@
         return;
       }
       case 6:
-        count("chain");
+        count("cut into a chain");
         return CutChain();
       case 7:
-        count("links");
+        count("cut of some paths");
         for (size_t i = 0; i < simulation_.size(); ++i) simulation_.Cut(AnyMachine(), AnyMachine(), true);
         return ScheduleRepair(300 * kMs, 4 * kSecond, [this] { simulation_.HealNetwork(); });
       case 8:
@@ -191,7 +191,7 @@
         if (random().Percent(60)) {
           simulation_.HealNetwork();
           if (!simulation_.RunUntil([this] { return Healthy(); }, 2 * kSecond)) return;
-          count("hasty changes");
+          count("concurrent removals");
           if (random().Percent(50)) CutIntoTwoGroups();
           return simulation_.RemoveVotersConcurrently();
         }
@@ -228,12 +228,12 @@
   ConsensusSimulation simulation(settings, random.Next());
   ConsensusVerdict verdict;
   if (!simulation.RunUntil([&] { return simulation.AllMachinesVote(); }, kConvergenceTimeout)) {
-    simulation.checker().ReportViolation("the voters were not brought in");
+    simulation.checker().ReportViolation("the voters were not added");
   }
   RandomScenario(simulation, verdict, frequent_leader_kills).Run();
   simulation.SetDelay(2 * kMs);
   if (!simulation.Converges(kConvergenceTimeout))
-    simulation.checker().ReportViolation("they don't come together after the faults");
+    simulation.checker().ReportViolation("the machines do not converge after the faults");
   verdict.violations = simulation.checker().violations();
   verdict.violation_count = simulation.checker().violation_count();
   verdict.acknowledged = simulation.checker().acknowledged();
