--- a/src/lab/council/coordinator_run.cpp
+++ b/src/lab/council/coordinator_run.cpp
@@ -266,8 +266,8 @@
       case CoordinatorFault::kBlockLeaderOutbound:
         for (int i = 0; i < options_.members; ++i) {
           if (i == leader) continue;
-          const bool deaf = fault == CoordinatorFault::kBlockLeaderInbound;
-          paths_.Set(deaf ? i : leader, deaf ? leader : i, {.cut = true});
+          const bool inbound = fault == CoordinatorFault::kBlockLeaderInbound;
+          paths_.Set(inbound ? i : leader, inbound ? leader : i, {.cut = true});
         }
         co_await WaitFor("another leader", next_leader);
         for (int i = 0; i < options_.members; ++i) {
@@ -417,10 +417,10 @@
       for (int i = 0; i < options_.members && behind.empty(); ++i) {
         const std::string answer = co_await Ask(i, "status json");
         const auto status = nlohmann::json::parse(answer, nullptr, false);
-        const bool there = status.is_object() && status.value("applied", uint64_t{0}) >= acknowledged_ &&
-                           status.value("standing", "") == "in";
-        if (!there) behind = answer;
-        if (there) leaders.insert(status.value("leader", ""));
+        const bool caught_up = status.is_object() && status.value("applied", uint64_t{0}) >= acknowledged_ &&
+                               status.value("standing", "") == "in";
+        if (!caught_up) behind = answer;
+        if (caught_up) leaders.insert(status.value("leader", ""));
       }
       if (behind.empty() && leaders.size() == 1) co_return;
       if (machine_.Now() > deadline) {
@@ -459,10 +459,10 @@
       std::string piece;
       std::unique_ptr<Stream> along;
       while (io == Io::kSome) {
-        const Io came = channel->Receive(piece, along);
-        if (came == Io::kSome) {
+        const Io received = channel->Receive(piece, along);
+        if (received == Io::kSome) {
           answer += piece;
-        } else if (came != Io::kLater || !co_await channel->Wait(deadline)) {
+        } else if (received != Io::kLater || !co_await channel->Wait(deadline)) {
           break;
         }
       }
@@ -627,9 +627,9 @@
 }  // namespace
 
 const char* NameOf(CoordinatorFault fault) {
-  constexpr const char* kNames[] = {"pause-at-step", "pause-owner", "pause-briefly", "pause-leader",
-                                    "kill-owner",    "kill-leader", "kill-all",      "wipe",
-                                    "older",         "deaf-leader", "mute-leader",   "restart-owner",
+  constexpr const char* kNames[] = {"pause-at-step", "pause-owner",    "pause-briefly", "pause-leader",
+                                    "kill-owner",    "kill-leader",    "kill-all",      "wipe",
+                                    "older",         "inbound-leader", "mute-leader",   "restart-owner",
                                     "incident",      "alone"};
   return kNames[static_cast<size_t>(fault)];
 }
--- a/src/lab/council_world/consensus_checker.cpp
+++ b/src/lab/council_world/consensus_checker.cpp
@@ -89,11 +89,11 @@
   const auto among = [](const auto& all) {
     return [&all](const auto& one) { return std::find(all.begin(), all.end(), one) != all.end(); };
   };
-  const auto gone =
+  const auto removed =
       voters_.size() - static_cast<size_t>(std::count_if(voters_.begin(), voters_.end(), among(*voters)));
-  const auto came =
+  const auto added =
       voters->size() - static_cast<size_t>(std::count_if(voters->begin(), voters->end(), among(voters_)));
-  if (!voters_.empty() && gone + came > 1) {
+  if (!voters_.empty() && removed + added > 1) {
     ReportViolation("more than one voter changes at entry " + Number(entry.index));
   }
   voters_ = *voters;
