--- a/src/lab/council/coordinator_run.cpp
+++ b/src/lab/council/coordinator_run.cpp
@@ -627,9 +627,9 @@
 }  // namespace
 
 const char* NameOf(CoordinatorFault fault) {
-  constexpr const char* kNames[] = {"pause-at-step", "pause-owner",    "pause-briefly", "pause-leader",
-                                    "kill-owner",    "kill-leader",    "kill-all",      "wipe",
-                                    "older",         "inbound-leader", "mute-leader",   "restart-owner",
+  constexpr const char* kNames[] = {"pause-at-step", "pause-owner", "pause-briefly", "pause-leader",
+                                    "kill-owner",    "kill-leader", "kill-all",      "wipe",
+                                    "older",         "deaf-leader", "mute-leader",   "restart-owner",
                                     "incident",      "alone"};
   return kNames[static_cast<size_t>(fault)];
 }
