--- a/src/io/address.cpp
+++ b/src/io/address.cpp
@@ -31,7 +31,7 @@
   const char* end = text.data() + text.size();
   const char* digits = colon == std::string::npos ? end : text.data() + colon + 1;
   auto [stop, error] = std::from_chars(digits, end, port);
-  if (error != std::errc() || stop != end) return {};  // an error too: 99999 is read to its end
+  if (error != std::errc() || stop != end) return {};  // 99999 is consumed whole, yet out of range
   Address address;
   address.text = text;
   auto* v4 = reinterpret_cast<sockaddr_in*>(&address.storage);
--- a/src/io/body_source.h
+++ b/src/io/body_source.h
@@ -1,4 +1,5 @@
-// What is still to come of a message's body: made by whoever reads it, taken by whoever passes it on.
+// The part of a message body that has not arrived yet. The reader of the message provides it, and the sender
+// that forwards the message consumes it.
 #ifndef BURLFALL_IO_BODY_SOURCE_H_
 #define BURLFALL_IO_BODY_SOURCE_H_
 
@@ -14,19 +15,19 @@
  public:
   enum class Next {
     kSome,
-    kLater,   // wait on signal()
-    kDone,    // that was all; said again whenever it is asked
-    kBroken,  // the rest will never come
+    kLater,   // nothing available now: wait on signal()
+    kDone,    // the body is complete; every later call returns this again
+    kBroken,  // the rest will never arrive
   };
 
   virtual ~BodySource() = default;
-  // Appends what has come by now, a bounded piece. Nothing more is read meanwhile than a bounded buffer
-  // holds.
+  // Appends what has arrived so far, up to a bounded size. Between calls no more is read from the connection
+  // than a bounded buffer holds.
   virtual Next Take(std::string& into) = 0;
   virtual Signal& signal() = 0;
-  // After kDone, of a query: until when its asker waits.
+  // For the body of a query, valid after kDone: the time until which the client waits for the answer.
   virtual Micros Patience() const { return kNever; }
-  // Of the whole body, with what came before; nothing: it is not known ahead.
+  // Length in bytes of the whole body, including what has already been read; nothing if not known in advance.
   std::optional<size_t> length;
 };
 
--- a/src/io/cpu_share.cpp
+++ b/src/io/cpu_share.cpp
@@ -15,8 +15,8 @@
 namespace burlfall {
 namespace {
 
-constexpr long kPeriod = 100'000;    // us, the system's own default
-constexpr long kLeastQuota = 1'000;  // us, the least that it takes
+constexpr long kPeriod = 100'000;    // us, the kernel's default
+constexpr long kLeastQuota = 1'000;  // us, the minimum that the kernel accepts
 
 std::string MountOfVersion2(const std::string& root) {
   std::ifstream mounts(root + "/proc/self/mounts");
@@ -57,8 +57,8 @@
     why = "no cgroup of version 2 is mounted";
     return {};
   }
-  // From our own upwards. One that holds processes itself, as ours does, seldom passes a controller on; those
-  // above it may.
+  // Search from this process's cgroup upwards. A cgroup that contains processes, as this one does, rarely
+  // enables controllers for its children; its ancestors may.
   std::string path = OwnPath(root);
   if (path.empty()) {
     why = "this process is in no cgroup of version 2";
--- a/src/io/cpu_share.h
+++ b/src/io/cpu_share.h
@@ -1,6 +1,5 @@
-// A share of a core for one process, where the system lets an ordinary user have that: a cgroup (version 2)
-// of its own below one that was handed to this user and passes the cpu controller on. Nothing of this needs
-// root.
+// Limits the CPU time of one process by a cgroup (version 2) of its own. It is created below a cgroup that is
+// delegated to this user and enables the cpu controller for its children, so root is not needed.
 #ifndef BURLFALL_IO_CPU_SHARE_H_
 #define BURLFALL_IO_CPU_SHARE_H_
 
@@ -14,15 +13,15 @@
 
 class CpuShare {
  public:
-  // The cgroup under which ours may be made; nothing, and why, where there is none. `root` is for tests: the
-  // folder that stands for the root of the files.
+  // The cgroup under which a new one may be created; nothing, with the reason in `why`, if there is none.
+  // `root` is for tests: the directory that replaces the root of the file system.
   static std::optional<std::string> Parent(std::string& why, const std::string& root = "");
-  // Nullptr, and why, where it can't be had.
+  // Limits to `cores` cores (may be a fraction). Returns nullptr, with the reason in `why`, on failure.
   static std::unique_ptr<CpuShare> Make(double cores, std::string& why);
 
-  ~CpuShare();  // the process must have ended
+  ~CpuShare();  // removes the cgroup; its process must have ended
   CpuShare(const CpuShare&) = delete;
-  // A process that writes "0" there is held to the share from then on.
+  // Descriptor of cgroup.procs: a process that writes "0" to it joins the cgroup and is limited from then on.
   int joins_by() const { return processes_.get(); }
 
  private:
--- a/src/io/durable.h
+++ b/src/io/durable.h
@@ -1,5 +1,5 @@
-// Writes that outlast the power: done in order beside the caller's thread, each batch flushed to the disk
-// before it counts as done. Nothing here ever waits: a disk that takes a second for a flush holds up nobody.
+// Durable writes, which survive a power failure. They run in order outside the caller's thread, and a batch
+// counts as done once it is flushed to the disk. No call here blocks: a slow flush does not delay the caller.
 #ifndef BURLFALL_IO_DURABLE_H_
 #define BURLFALL_IO_DURABLE_H_
 
@@ -14,22 +14,22 @@
 
 struct DurableWrite {
   std::string path;
-  // The bytes go there, and the file ends behind them. Nothing: they are the whole file, the old one or the
-  // new one whenever this process or the machine ends.
+  // Offset at which the bytes are written; the file is truncated after them. Nothing: the bytes replace the
+  // whole file atomically, so a crash of the process or the machine leaves either the old or the new content.
   std::optional<uint64_t> at = {};
   std::string bytes;
 };
 
-// Notified whenever a batch has ended.
+// Notified whenever a batch has completed or failed.
 class DurableWriter : public Signal {
  public:
   using Signal::Signal;
   virtual ~DurableWriter() = default;
   virtual void Write(std::vector<DurableWrite> batch) = 0;
-  // How many batches are on the disk, flush included. It never grows again once one has failed: after a flush
-  // that failed, nobody knows what the disk holds.
+  // Number of batches written and flushed. It never grows again once a batch has failed, since the content of
+  // the disk is unknown after a failed flush.
   virtual uint64_t done() const = 0;
-  // What failed, in plain words; empty: nothing.
+  // Describes the failure; empty if there was none.
   virtual std::string Why() const = 0;
 };
 
--- a/src/io/files.h
+++ b/src/io/files.h
@@ -1,4 +1,4 @@
-// Files, as the program sees them.
+// The interface to the file system.
 #ifndef BURLFALL_IO_FILES_H_
 #define BURLFALL_IO_FILES_H_
 
@@ -15,21 +15,21 @@
 class Files {
  public:
   enum class Open {
-    kAppend,  // made where it is not there
-    kNew,     // must not be there yet; others of the group may read it
+    kAppend,  // created if missing
+    kNew,     // must not exist yet; created readable by the group
   };
 
   virtual ~Files() = default;
-  // The whole of it; nothing where it can't be read.
+  // The whole content; nothing if the file can't be read.
   virtual std::optional<std::string> Read(const std::string& path) = 0;
-  // Nullptr where it can't be opened; `why` then says so in plain words.
+  // Opens for writing. Returns nullptr, with the reason in `why`, if that fails.
   virtual std::unique_ptr<Writable> Write(const std::string& path, Open how, std::string& why) = 0;
-  // What stands there is then all of it, whenever this process ends: the old, or the new. False where that
-  // can't be done, and the old stands as it was; `why` then says so in plain words.
+  // Replaces the content atomically: if this process dies, the file holds either the old text or the new one.
+  // Returns false, with the reason in `why`, on failure; the old content is then unchanged.
   virtual bool Replace(const std::string& path, std::string_view text, std::string& why) = 0;
-  // False where it can't be made; one that is there already is fine.
+  // Creates the folder and its parents. Returns false on failure; an existing folder is a success.
   virtual bool MakeFolder(const std::string& path) = 0;
-  // Whether it is a folder in which this process may make files; `why` says what is wrong.
+  // Whether `folder` is a directory in which this process may create files; if not, `why` says the reason.
   virtual bool Usable(const std::string& folder, std::string& why) = 0;
   virtual std::vector<std::string> List(const std::string& folder) = 0;  // names, unsorted; none on error
   virtual bool Remove(const std::string& path) = 0;
--- a/src/io/machine.h
+++ b/src/io/machine.h
@@ -1,5 +1,5 @@
-// One machine as a program on it sees it: its scheduler and clocks, its network, its files, its randomness.
-// There is a real one (real_machine.h); a world of virtual ones fits behind the same interface.
+// The interface to the operating system: scheduler, clocks, network, files and randomness.
+// real_machine.h implements it with system calls, world/virtual_machine.h in memory for tests.
 #ifndef BURLFALL_IO_MACHINE_H_
 #define BURLFALL_IO_MACHINE_H_
 
@@ -20,21 +20,21 @@
   virtual Scheduler& scheduler() = 0;
   virtual Network& network() = 0;
   virtual Files& files() = 0;
-  // Its writes go on in order, and beside whoever asks. Throws std::system_error.
+  // A writer that works in order outside the caller's thread. Throws std::system_error.
   virtual std::unique_ptr<DurableWriter> Durable() = 0;
-  // Unix time by the clock on the wall, which may step. Everything but dates goes by Scheduler::Now().
+  // Unix time by the system clock, which may jump. Only for dates: all else uses Scheduler::Now().
   virtual Micros WallClock() = 0;
-  virtual uint64_t Entropy() = 0;  // from the system; for seeds alone
-  // Standard error may be shared with other programs: it is written to without ever waiting, and without
-  // changing what others see of it. A pipe or terminal is opened anew, and where that can't be done it is
-  // only written to while it has room. Never nullptr; where it is closed every write is kBroken.
+  virtual uint64_t Entropy() = 0;  // random bits from the system; only for seeds
+  // Writes to standard error without blocking, and without setting O_NONBLOCK on a file description that
+  // other programs share. A pipe or terminal is reopened; if that fails, it is written only while poll()
+  // reports room. Never nullptr; if standard error is closed, every write returns kBroken.
   virtual std::unique_ptr<Writable> StandardError() = 0;
-  virtual size_t MostDescriptors() = 0;  // that this process may hold
-  virtual size_t ResidentBytes() = 0;    // of memory that it holds; 0: that can't be told
+  virtual size_t MostDescriptors() = 0;  // limit of open descriptors of this process
+  virtual size_t ResidentBytes() = 0;    // resident memory of this process; 0 if unknown
 
   Micros Now() { return scheduler().Now(); }
-  // Evenly from [0, 1), by the system's chance: of machines that were copied from one image, each draws its
-  // own.
+  // A random number, uniform in [0, 1). It comes from the system's entropy, so machines cloned from one image
+  // get different numbers.
   double Draw() { return static_cast<double>(Entropy() >> 11) * 0x1p-53; }
 };
 
--- a/src/io/network.h
+++ b/src/io/network.h
@@ -1,5 +1,6 @@
-// Connections, listeners and datagrams, as the program sees them. Nothing here ever waits: who gets kLater
-// waits on the thing itself, which is a signal, and tries again.
+// The interface to the network: connections, listeners, datagrams and channels between processes. No call
+// blocks, except Writable::AwaitRoom(). A caller that gets kLater waits on the object, which is a Signal, and
+// tries again.
 #ifndef BURLFALL_IO_NETWORK_H_
 #define BURLFALL_IO_NETWORK_H_
 
@@ -12,36 +13,37 @@
 
 namespace burlfall {
 
+// Result of a read or write: kLater means that it would block, kClosed that the peer has ended its sending.
 enum class Io { kSome, kLater, kClosed, kBroken };
 
-// Takes bytes without ever waiting.
+// A non-blocking output.
 class Writable {
  public:
   virtual ~Writable() = default;
-  // Takes off the front what was accepted: kSome where that was all, kLater where the rest finds no room now,
-  // kBroken where it can't be written at all.
+  // Removes the accepted bytes from the front of `bytes`. Returns kSome if all were accepted, kLater if there
+  // is no room for the rest now, kBroken if nothing more can be written.
   virtual Io Write(std::string_view& bytes) = 0;
-  virtual std::string Why() const = 0;  // what the last kBroken was about, in plain words
-  // Blocks until there is room, or until the time is over. For the end of a program, and nothing else.
+  virtual std::string Why() const = 0;  // describes the last kBroken
+  // Blocks until there is room, or until the timeout. Only for use while the program shuts down.
   virtual void AwaitRoom(Micros patience) = 0;
 };
 
-// One connection. Notified whenever it may be worth trying again; whoever waits tries until it hears kLater.
+// One connection. Notifications are edge-triggered: after one, repeat the operation until it returns kLater.
 class Stream : public Signal {
  public:
   enum class State { kOpening, kUp, kFailed };
 
   using Signal::Signal;
   virtual ~Stream() = default;
-  virtual State Opened() = 0;                     // of one that Connect() made
-  virtual Io Read(std::string& into) = 0;         // appends what has come, up to a bounded piece
-  virtual Io Write(std::string_view& bytes) = 0;  // takes off the front what was accepted
-  virtual bool Quiet() = 0;                       // open, and nothing has come unasked
-  // Word has come that the other side has ended its sending, or is gone: also behind bytes that are not read.
+  virtual State Opened() = 0;                     // of a connection made by Connect()
+  virtual Io Read(std::string& into) = 0;         // appends what has arrived, up to a bounded size
+  virtual Io Write(std::string_view& bytes) = 0;  // removes the accepted bytes from the front
+  virtual bool Quiet() = 0;                       // open, with no unread bytes: fit for reuse
+  // Whether the peer has ended its sending or is gone; known even while earlier bytes are still unread.
   virtual bool Ended() = 0;
-  virtual void Finish() = 0;  // ends our sending; the other side's goes on
-  virtual void Reset() = 0;   // ends it at once, and the other side hears a reset
-  virtual void Close() = 0;   // ends it in order; the destructor does the same
+  virtual void Finish() = 0;  // half-close: ends our sending; the peer may go on sending
+  virtual void Reset() = 0;   // closes at once, with a TCP reset to the peer
+  virtual void Close() = 0;   // closes in order; the destructor does the same
   virtual Address Peer() const = 0;
   virtual Address Local() const = 0;
 };
@@ -50,46 +52,46 @@
  public:
   enum class Accepted {
     kOne,
-    kNone,    // nobody waits
-    kNoRoom,  // somebody does, but there is no descriptor or memory left; no notice tells when there is
+    kNone,    // no connection is waiting
+    kNoRoom,  // one is waiting, but no descriptor or memory is left; no notification follows when there is
   };
 
   using Signal::Signal;
   virtual ~Listener() = default;
   virtual Accepted Accept(std::unique_ptr<Stream>& into) = 0;
   virtual Address Local() const = 0;
-  // How many may wait to be accepted. With 0 and one that waits, further ones never come up.
+  // Maximum length of the accept queue. With 0 and one connection waiting, further ones are not established.
   virtual void Backlog(int most) = 0;
 };
 
-// Datagrams from anybody and to anybody, at an address of its own. Notified whenever one may have come.
+// An unconnected datagram socket, bound to an address. Notified whenever a datagram may have arrived.
 class DatagramSocket : public Signal {
  public:
   using Signal::Signal;
   virtual ~DatagramSocket() = default;
-  // kSome: it went, which says nothing of its arrival. kLater: there was no room, and it is lost. kBroken: it
-  // can't go there.
+  // kSome: sent, though delivery is not known. kLater: there was no room, and the datagram is lost. kBroken:
+  // it can't be sent to this address.
   virtual Io Send(const Address& to, std::string_view datagram) = 0;
-  // In the place of what `into` holds. kLater: none has come.
+  // Replaces the content of `into`. kLater: no datagram is waiting.
   virtual Io Receive(std::string& into, Address& from) = 0;
   virtual Address Local() const = 0;
 };
 
-// Why there is no connection, where that shows at once.
+// Why a connection attempt failed immediately.
 enum class NoConnection {
-  kRefused,  // the other side, or the way to it
-  kNoRoom,   // this process has no descriptor, port or memory left: the other side is not at fault
+  kRefused,  // by the peer or the network
+  kNoRoom,   // this process has no descriptor, port or memory left: the peer is not at fault
 };
 
-// A way between two processes of one machine, over which whole messages go, and connections with them.
+// A message channel between two processes of one machine, which can pass connections along with messages.
 class Channel : public Signal {
  public:
   using Signal::Signal;
   virtual ~Channel() = default;
-  // kSome: it went. A connection that goes along is then the other side's, and `along` is closed here without
-  // a sign to its peer. kLater: it did not, there is no room now.
+  // kSome: sent. The connection `along`, if given, then belongs to the other process, and is closed here
+  // without any effect on its peer. kLater: not sent, as there is no room now.
   virtual Io Send(std::string_view message, Stream* along = nullptr) = 0;
-  // The next message, and the connection that came with it, if one did.
+  // The next message, and the connection that was passed with it, if any.
   virtual Io Receive(std::string& message, std::unique_ptr<Stream>& along) = 0;
 };
 
@@ -97,36 +99,37 @@
  public:
   using Signal::Signal;
   virtual ~ChannelListener() = default;
-  virtual std::unique_ptr<Channel> Accept() = 0;  // nullptr: nobody waits, or nobody may
+  virtual std::unique_ptr<Channel> Accept() = 0;  // nullptr: no caller that is permitted
 };
 
 class Network {
  public:
   virtual ~Network() = default;
-  // A connection that is being made; nullptr where that failed at once.
+  // Begins a connection; nullptr, with the reason in `why`, if that failed immediately.
   std::unique_ptr<Stream> Connect(const Address& to, NoConnection& why) {
     return ConnectFrom(nullptr, to, why);
   }
-  // From the host of `from`, at any port of it; nullptr: as the system chooses.
+  // With the host of `from` as the source address, at any port; nullptr: the system chooses the source.
   virtual std::unique_ptr<Stream> ConnectFrom(const Address* from, const Address& to, NoConnection& why) = 0;
-  // Throws std::system_error where the address can't be had. Port 0: any that is free.
+  // Throws std::system_error if the address can't be bound. Port 0: any free port.
   virtual std::unique_ptr<Listener> Listen(const Address& at) = 0;
-  // One that this process was given, and does not own: to leave it takes nothing from whoever holds it too.
-  // Throws std::system_error where the descriptor is not open or does not listen.
+  // Listens on an inherited descriptor, through a duplicate: closing it does not affect other holders of the
+  // socket. Throws std::system_error if the descriptor is not open or is not a listening socket.
   virtual std::unique_ptr<Listener> Adopt(int descriptor) = 0;
-  // To the process that listens at this path; nullptr where none does.
+  // Connects to the process that listens at this path; nullptr if none does.
   virtual std::unique_ptr<Channel> Meet(const std::string& path) = 0;
-  // In the place of whatever stands at the path. Nullptr where that can't be; `why` then says so.
+  // Listens at this path and replaces an existing socket there. Nullptr, with the reason in `why`, on
+  // failure.
   virtual std::unique_ptr<ChannelListener> Await(const std::string& path, std::string& why) = 0;
-  // Throws std::system_error where the address can't be had. Port 0: any that is free.
+  // Throws std::system_error if the address can't be bound. Port 0: any free port.
   virtual std::unique_ptr<DatagramSocket> Bind(const Address& at) = 0;
-  // One datagram for each Write(); nullptr where there can be none.
+  // Sends one datagram for each Write(); nullptr if the socket can't be made.
   virtual std::unique_ptr<Writable> Datagrams(const Address& to) = 0;
 };
 
-// Whether the connection comes up by then.
+// Waits for the connection to be established; false if it failed, or was not established by `until`.
 Task<bool> Connected(Stream& stream, Micros until);
-// Writes all of it; false where the connection broke or `until` came first.
+// Writes all bytes; false if the connection broke, or `until` passed first.
 Task<bool> WriteAll(Stream& stream, std::string_view bytes, Micros until);
 
 }  // namespace burlfall
--- a/src/io/process.cpp
+++ b/src/io/process.cpp
@@ -22,33 +22,33 @@
 namespace burlfall {
 namespace {
 
-constexpr size_t kStack = 64 * 1024;  // of the child until it is the other program
-constexpr size_t kPiece = 64 * 1024;  // of a stream that doesn't end, between two pauses
+constexpr size_t kStack = 64 * 1024;  // bytes, of the child until execve()
+constexpr size_t kPiece = 64 * 1024;  // bytes read from a continuous stream between two pauses
 constexpr Micros kPause = 5 * kMs;
 constexpr Micros kSecondInMicros = 1'000'000;
 
-// What the child does between its start and the other program. It runs in this program's memory while the
-// thread that started it stands still, so it does nothing but system calls: it allocates nothing, takes no
-// lock, and what it writes is in here.
+// Parameters and result of the child's code between clone() and execve(). It runs in this program's memory
+// while the thread that started it is suspended, so it only makes system calls, allocates nothing, takes no
+// lock, and writes only to this struct.
 struct Birth {
   const char* program;
   char* const* arguments;
   char* const* environment;
-  const char* folder;  // nullptr: stays
+  const char* folder;  // nullptr: unchanged
   std::array<int, 3> streams;
   pid_t parent;
   rlimit descriptors;
   rlimit address_space;
   bool limit_descriptors;
   bool limit_address_space;
-  const cpu_set_t* cores;  // nullptr: as we
+  const cpu_set_t* cores;  // nullptr: inherited
   int joins_by;            // -1: no cgroup
-  // What failed, and its errno.
+  // The call that failed, nullptr if none, and its errno.
   const char* failed;
   int error;
 };
 
-// Not for the sanitizers: they know nothing of the stack that this runs on.
+// Excludes a function from the sanitizers, which do not know the stack that the child runs on.
 #define BURLFALL_UNCHECKED __attribute__((no_sanitize("address", "undefined")))
 
 [[noreturn]] BURLFALL_UNCHECKED void Fail(Birth& birth, const char* what) {
@@ -59,13 +59,13 @@
 
 BURLFALL_UNCHECKED int BeBorn(void* given) {
   Birth& birth = *static_cast<Birth*>(given);
-  // All signals are blocked here. None may find a handler of ours, and none stays ignored in the other
-  // program.
+  // All signals are blocked here. Reset them, so that none runs a handler of this program or stays ignored in
+  // the new program.
   struct sigaction usual {};
   usual.sa_handler = SIG_DFL;
   for (int one = 1; one < NSIG; ++one) sigaction(one, &usual, nullptr);
   if (prctl(PR_SET_PDEATHSIG, SIGKILL) != 0) Fail(birth, "prctl");
-  if (getppid() != birth.parent) _exit(127);  // it died before that counted
+  if (getppid() != birth.parent) _exit(127);  // the parent died before prctl took effect
   if (setpgid(0, 0) != 0) Fail(birth, "setpgid");
   if (birth.joins_by >= 0 && write(birth.joins_by, "0", 1) != 1) Fail(birth, "cgroup");
   if (birth.cores != nullptr && sched_setaffinity(0, sizeof *birth.cores, birth.cores) != 0)
@@ -74,7 +74,8 @@
   for (int i = 0; i < 3; ++i) {
     if (dup2(birth.streams[static_cast<size_t>(i)], i) < 0) Fail(birth, "dup2");
   }
-  // Ours are closed by themselves; this is for those that libraries opened. An old system has no such call.
+  // Our own descriptors are close-on-exec; this covers those opened by libraries. Old kernels lack the call,
+  // so its result is ignored.
   syscall(SYS_close_range, 3u, UINT_MAX, 4u /* CLOSE_RANGE_CLOEXEC */);
   if (birth.limit_descriptors && setrlimit(RLIMIT_NOFILE, &birth.descriptors) != 0)
     Fail(birth, "descriptors");
@@ -91,7 +92,7 @@
   throw std::system_error(error, std::generic_category(), what);
 }
 
-// Above the standard streams, so that none of them is overwritten before it is in place.
+// Moves a descriptor above the standard streams, so that dup2 in the child does not overwrite it too early.
 Descriptor Above(Descriptor fd) {
   if (!fd || fd.get() > STDERR_FILENO) return fd;
   return Descriptor(fcntl(fd.get(), F_DUPFD_CLOEXEC, STDERR_FILENO + 1));
@@ -128,7 +129,7 @@
   return pointers;
 }
 
-// Up to what this process may have itself: more takes root.
+// At most this process's own hard limit: raising it would need root.
 rlimit Limit(int what, uint64_t wanted) {
   rlimit limit{};
   getrlimit(static_cast<__rlimit_resource>(what), &limit);
@@ -178,9 +179,9 @@
               .joins_by = cpu_share_ ? cpu_share_->joins_by() : -1,
               .failed = nullptr,
               .error = 0};
-  // As posix_spawn does it, which knows nothing of limits and the rest: in this program's memory, so that it
-  // costs the same however large that is, and on a stack of its own. This thread goes on once the child is
-  // the other program, or has failed.
+  // Like posix_spawn, which does not support limits, cgroups and CPU sets: the child shares this program's
+  // memory, so the cost does not depend on its size, and has its own stack. This thread resumes once the
+  // child has called execve() or has failed.
   const auto stack = std::make_unique<std::byte[]>(kStack);
   void* top = stack.get() + kStack - reinterpret_cast<uintptr_t>(stack.get() + kStack) % 16;
   sigset_t all, before;
@@ -218,7 +219,7 @@
   return !exit_ && syscall(SYS_pidfd_send_signal, pidfd_.get(), signal, nullptr, 0) == 0;
 }
 
-// Its number, and its group's, are nobody else's until it is taken off the books here.
+// The pid and the process group id can't be reused until the child is reaped here.
 bool Process::Reap(bool wait) {
   const auto id = static_cast<id_t>(pidfd_.get());
   siginfo_t info{};
@@ -227,11 +228,11 @@
     done = waitid(P_PIDFD, id, &info, WEXITED | WNOWAIT | (wait ? 0 : WNOHANG));
   } while (done != 0 && errno == EINTR);
   if (done != 0 || info.si_pid == 0) return false;
-  kill(-pid_, SIGKILL);  // what it has left behind
+  kill(-pid_, SIGKILL);  // remaining processes of its group
   rusage used{};
   syscall(SYS_waitid, P_PIDFD, id, &info, WEXITED, &used);
   exit_ = {.by_signal = info.si_code != CLD_EXITED, .code = info.si_status};
-  // Not ru_maxrss, which counts this program's memory too, from the child's first steps in it.
+  // ru_maxrss is not used: it includes this program's memory, which the child shared before execve().
   last_usage_.cpu = Span(used.ru_utime) + Span(used.ru_stime);
   last_usage_.rss_bytes = 0;
   cpu_share_.reset();
@@ -250,7 +251,7 @@
   std::ifstream stat(folder + "/stat");
   std::string line;
   std::getline(stat, line);
-  // Its name stands in parentheses and may hold anything; utime is the twelfth word behind it.
+  // The process name is in parentheses and may contain anything; utime is the twelfth word after it.
   std::istringstream words(line.substr(std::min(line.size(), line.rfind(')') + 1)));
   std::string skipped;
   long user = 0, system = 0;
--- a/src/io/process.h
+++ b/src/io/process.h
@@ -1,9 +1,9 @@
-// Other programs as children of this one: started, watched, read from and ended, all on the scheduler. Only
-// for the tools; the balancer starts nothing.
+// Child processes: starts, watches, reads from and kills them, all on the scheduler. Only for the tools; the
+// balancer starts no process.
 //
-// A child ends with the thread that started it, whatever ends that (its last words, SIGKILL included, come
-// from the system): start children from a thread that lives as long as the program. What children of its own
-// it has are ended with its process group once it is gone, but not where this program is killed first.
+// The system kills a child when the thread that started it ends, even by SIGKILL (PR_SET_PDEATHSIG): start
+// children from a thread that lives as long as the program. The child's own children are killed with its
+// process group once it has ended, but not if this program is killed first.
 #ifndef BURLFALL_IO_PROCESS_H_
 #define BURLFALL_IO_PROCESS_H_
 
@@ -28,51 +28,52 @@
 struct ProcessSpec {
   std::string program;  // its path, with a slash
   std::vector<std::string> arguments = {};
-  // Beside our own variables, and before them where they have the same name.
+  // Added to this process's variables; on equal names these take precedence.
   std::vector<std::pair<std::string, std::string>> environment = {};
-  std::string folder = {};          // where it runs; empty: where we do
-  uint64_t most_descriptors = 0;    // 0: as we may, which is the most in any case
+  std::string folder = {};          // working directory; empty: inherited
+  uint64_t most_descriptors = 0;    // 0: this process's limit, the maximum in any case
   uint64_t most_address_space = 0;  // bytes; likewise
-  std::vector<int> cores = {};      // that it may run on; empty: as we may
-  double cpu_share = 0;             // of one core, where that can be had (Process::share); 0: all
+  std::vector<int> cores = {};      // CPUs that it may run on; empty: inherited
+  double cpu_share = 0;             // of one core, if available (Process::share); 0: no limit
 };
 
 struct ProcessExit {
   bool by_signal = false;
-  int code = 0;  // or the signal's number
+  int code = 0;  // exit code, or the signal's number
 
   std::string Text() const;  // "exit code 1", "signal 9 (Killed)"
   bool operator==(const ProcessExit&) const = default;
 };
 
 struct ProcessUsage {
-  Micros cpu = 0;  // of all its threads, in user and system
+  Micros cpu = 0;  // user and system time of all its threads, in us
   uint64_t rss_bytes = 0;
   uint64_t peak_rss_bytes = 0;
 };
 
-// Notified once it has ended. Ended and taken off the system's books by the destructor at the latest.
+// Notified once the child has ended. The destructor kills and reaps a child that still runs.
 class Process final : public Signal {
  public:
-  // What came of `ProcessSpec::cpu_share`.
+  // Whether `ProcessSpec::cpu_share` is in force.
   struct Share {
-    bool held = false;  // to it, by a cgroup
-    std::string why;    // where not
+    bool held = false;  // limited by a cgroup
+    std::string why;    // reason if not
   };
 
-  // Throws std::system_error, in plain words, where it can't be started.
+  // Throws std::system_error if the program can't be started.
   Process(RealScheduler& scheduler, const ProcessSpec& spec);
   ~Process();
   Process(const Process&) = delete;
 
   pid_t pid() const { return pid_; }
-  // What it writes. The streams live as long as this.
+  // Its standard output and standard error; valid as long as this object.
   Stream& output() { return *output_; }
   Stream& error() { return *error_; }
-  // To itself, and never to another process that has its number by now. False where it has ended.
+  // Sends a signal by pidfd, so it never reaches another process that reuses the pid. False if it has ended.
   bool Kill(int signal);
-  std::optional<ProcessExit> Exit();  // nothing while it runs
-  // Now; or of one that has ended all its time, no memory, and the peak as it was last seen here.
+  std::optional<ProcessExit> Exit();  // nothing while it is running
+  // Current usage. After the end: total CPU time, no resident memory, and the peak last observed by this
+  // call.
   ProcessUsage Usage();
   const Share& share() const { return share_; }
 
@@ -89,12 +90,12 @@
   ProcessUsage last_usage_;
 };
 
-// Reads lines until the stream ends, and tells each without its line break; one that is longer than `longest`
-// is cut there. Reads in bounded pieces, with pauses where they don't end: who writes without end waits, and
-// holds up nobody else here.
+// Reads lines until the stream ends, and passes each to the callback without its line break; a longer line
+// than `longest` bytes is truncated. After each bounded amount it pauses, so that a writer that never stops
+// can't starve other coroutines.
 Task<> ReadLines(Stream& from, size_t longest, std::function<void(std::string_view)> told);
 
-// The path of a program in the folder that ours is in.
+// The path of a program in the directory of this program's executable.
 std::string BesideThisProgram(const std::string& name);
 
 }  // namespace burlfall
--- a/src/io/real_channel.cpp
+++ b/src/io/real_channel.cpp
@@ -17,13 +17,13 @@
 namespace burlfall {
 namespace {
 
-constexpr int kWaiting = 8;  // in the line to be accepted
+constexpr int kWaiting = 8;  // length of the accept queue
 constexpr size_t kLongestMessage = 64 * 1024;
 
 Descriptor Packets() { return Descriptor(socket(AF_UNIX, SOCK_SEQPACKET | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)); }
 
-// A path that is too long for the system goes by way of its folder's descriptor, which must stay open
-// meanwhile.
+// A path longer than sun_path is addressed through a descriptor of its folder, /proc/self/fd/N/NAME; `folder`
+// must stay open until the address has been used.
 std::optional<sockaddr_un> At(const std::string& path, Descriptor& folder) {
   sockaddr_un at{};
   at.sun_family = AF_UNIX;
@@ -40,8 +40,8 @@
   return at;
 }
 
-// A connection over the network, and one that never blocks from here on: whoever sent it may have sent
-// anything.
+// Whether the received descriptor is a TCP connection, since a sender may pass any descriptor. Sets it to
+// non-blocking.
 bool IsConnection(int fd) {
   const auto is = [fd](int what, auto... wanted) {
     int value = -1;
@@ -79,12 +79,12 @@
       n = sendmsg(fd_.get(), &header, MSG_NOSIGNAL);
     } while (n < 0 && errno == EINTR);
     if (n < 0) {
-      // Too many descriptors on their way: the other side has not taken the earlier ones yet.
+      // ETOOMANYREFS: too many descriptors in flight, as the receiver has not taken the earlier ones yet.
       const bool later = errno == EAGAIN || errno == EWOULDBLOCK || errno == ETOOMANYREFS || errno == ENOBUFS;
       return later ? Io::kLater : Io::kBroken;
     }
     if (along != nullptr) {
-      // It lives on in the other process, and so would the notices.
+      // The socket stays open in the other process, so closing it here would not end the epoll notifications.
       static_cast<RealScheduler&>(scheduler()).Unwatch(DescriptorOf(*along));
       along->Close();
     }
@@ -101,8 +101,9 @@
     header.msg_control = space.data();
     header.msg_controllen = space.size();
     ssize_t n = -1;
-    // A reset is told once, and before what was sent ahead of it: it says no more than that the other side
-    // ended with words of ours unread. Guards the connections that are on their way then.
+    // ECONNRESET is reported once, before data that was sent earlier, and only means that the peer closed
+    // with messages from here unread. Reading on keeps the connections that are still in flight from being
+    // lost.
     bool reset = false;
     do {
       n = recvmsg(fd_.get(), &header, MSG_CMSG_CLOEXEC);
@@ -110,7 +111,7 @@
     message.resize(n > 0 ? static_cast<size_t>(n) : 0);
     if (n == 0) return Io::kClosed;  // no message is empty
     if (n < 0) return errno == EAGAIN || errno == EWOULDBLOCK ? Io::kLater : Io::kBroken;
-    // Each is ours from here on, also one that nobody meant to send: there is padding that holds a second.
+    // Own every received descriptor, also unexpected ones: the padding of the buffer has room for a second.
     std::vector<Descriptor> came;
     for (cmsghdr* c = CMSG_FIRSTHDR(&header); c != nullptr; c = CMSG_NXTHDR(&header, c)) {
       if (c->cmsg_level != SOL_SOCKET || c->cmsg_type != SCM_RIGHTS) continue;
@@ -140,7 +141,7 @@
       Descriptor fd(accept4(fd_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
       if (!fd && (errno == EINTR || errno == ECONNABORTED)) continue;
       if (!fd) return nullptr;
-      // Nobody but this user's own processes is let in, whoever may reach the folder.
+      // Only processes of the same user are accepted, whatever the permissions of the folder.
       ucred who{};
       socklen_t length = sizeof who;
       if (getsockopt(fd.get(), SOL_SOCKET, SO_PEERCRED, &who, &length) != 0 || who.uid != geteuid()) continue;
@@ -158,7 +159,7 @@
   Descriptor folder;
   const std::optional<sockaddr_un> at = At(path, folder);
   Descriptor fd = Packets();
-  // A Unix socket connects at once or not at all; EAGAIN is a line that is full.
+  // A Unix socket connects immediately or not at all; EAGAIN means that the accept queue is full.
   if (!at || !fd || connect(fd.get(), reinterpret_cast<const sockaddr*>(&*at), sizeof *at) != 0)
     return nullptr;
   return std::make_unique<RealChannel>(scheduler, std::move(fd));
@@ -169,7 +170,7 @@
   Descriptor folder;
   const std::optional<sockaddr_un> at = At(path, folder);
   Descriptor fd = Packets();
-  if (at) unlink(at->sun_path);  // of a process that is gone, or hands over to this one
+  if (at) unlink(at->sun_path);  // left by a process that has ended, or hands over to this one
   if (!at || !fd || bind(fd.get(), reinterpret_cast<const sockaddr*>(&*at), sizeof *at) != 0 ||
       listen(fd.get(), kWaiting) != 0) {
     why = at ? std::strerror(errno) : "the path is too long, or its folder can't be used";
--- a/src/io/real_channel.h
+++ b/src/io/real_channel.h
@@ -1,4 +1,4 @@
-// Channels of the real machine: packets on Unix sockets, descriptors as SCM_RIGHTS (unix(7)).
+// Channels over Unix sockets of type SOCK_SEQPACKET; connections are passed as SCM_RIGHTS (unix(7)).
 #ifndef BURLFALL_IO_REAL_CHANNEL_H_
 #define BURLFALL_IO_REAL_CHANNEL_H_
 
--- a/src/io/real_durable.cpp
+++ b/src/io/real_durable.cpp
@@ -31,7 +31,7 @@
   return true;
 }
 
-// The name of a file is on the disk once its folder is.
+// A new or renamed directory entry is durable only once its folder is flushed.
 bool FlushFolderOf(const std::string& path) {
   const size_t slash = path.rfind('/');
   const std::string folder = slash == std::string::npos ? "." : slash == 0 ? "/" : path.substr(0, slash);
@@ -39,7 +39,7 @@
   return fd && fsync(fd.get()) == 0;
 }
 
-// False with errno set. A close that fails after its flush has nothing left to lose.
+// Returns false with errno set. Errors of close() are ignored: the data is already flushed.
 bool Replace(const DurableWrite& write) {
   const std::string beside = write.path + ".new";
   const Descriptor fd(open(beside.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0640));
@@ -64,7 +64,7 @@
     worker_ = std::thread([this] { Work(); });
   }
 
-  // What was not begun is not done: as if the process had ended a moment earlier.
+  // Batches that have not begun are dropped, as if the process had ended a moment earlier.
   ~RealDurable() override {
     {
       const std::lock_guard lock(mutex_);
@@ -109,7 +109,7 @@
       why_ = why;
       if (why_.empty()) ++done_;
       const uint64_t one = 1;
-      // The counter can't be full; and the owner looks again all the same.
+      // The eventfd counter can't overflow; and the owner checks again in any case.
       if (write(bell_.get(), &one, sizeof one) < 0 && why_.empty()) continue;
     }
   }
@@ -121,7 +121,7 @@
   uint64_t done_ = 0;
   std::string why_;
   bool over_ = false;
-  std::thread worker_;  // last: it uses all of the above
+  std::thread worker_;  // last: the thread uses all members above
 };
 
 }  // namespace
--- a/src/io/real_durable.h
+++ b/src/io/real_durable.h
@@ -1,4 +1,4 @@
-// Durable writes on the system's files, from a thread of their own.
+// Durable writes to the file system, made by a worker thread.
 #ifndef BURLFALL_IO_REAL_DURABLE_H_
 #define BURLFALL_IO_REAL_DURABLE_H_
 
@@ -9,7 +9,7 @@
 
 namespace burlfall {
 
-// Throws std::system_error where the system has no room for it.
+// Throws std::system_error if the system lacks the resources.
 std::unique_ptr<DurableWriter> MakeRealDurable(RealScheduler& scheduler);
 
 }  // namespace burlfall
--- a/src/io/real_files.cpp
+++ b/src/io/real_files.cpp
@@ -29,8 +29,8 @@
 class DescriptorWriter final : public Writable {
  public:
   enum class Kind {
-    kOwn,     // a description of our own, which never blocks, or a plain file
-    kShared,  // others hold the description too, and it may block
+    kOwn,     // an open file description of our own, which never blocks, or a regular file
+    kShared,  // a description shared with other processes, which may block
     kSocket,
     kClosed,
   };
@@ -44,7 +44,7 @@
       if (kind_ == Kind::kSocket) {
         n = send(fd(), bytes.data(), bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
       } else if (kind_ == Kind::kShared) {
-        // A pipe that polls as writable has room for so much; more could block.
+        // A pipe that polls as writable has room for PIPE_BUF bytes; more could block.
         if (!HasRoom(fd(), 0)) return Io::kLater;
         n = write(fd(), bytes.data(), std::min<size_t>(bytes.size(), PIPE_BUF));
       } else {
@@ -81,14 +81,14 @@
       if (!file) return {};
       std::string text(std::istreambuf_iterator<char>(file), {});
       if (!file.bad()) return text;
-    } catch (const std::ios_base::failure&) {  // a folder, for one
+    } catch (const std::ios_base::failure&) {  // the path is a folder, for example
     }
     return {};
   }
 
   std::unique_ptr<Writable> Write(const std::string& path, Open how, std::string& why) override {
     const bool anew = how == Open::kNew;
-    // A file never blocks, but what stands at its path may be a pipe.
+    // O_NONBLOCK, since the path may be a named pipe.
     const int flags = O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC | (anew ? O_EXCL : O_NONBLOCK | O_NOCTTY);
     Descriptor fd(open(path.c_str(), flags, anew ? 0640 : 0644));
     if (!fd) {
@@ -99,8 +99,8 @@
   }
 
   bool Replace(const std::string& path, std::string_view text, std::string& why) override {
-    // Of its own process: two that write at once each publish what they have written, and never the other's
-    // half.
+    // The temporary file has the pid in its name: two processes that write at once each publish their own
+    // complete text.
     const std::string beside = path + ".new." + std::to_string(getpid());
     Descriptor fd(open(beside.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0640));
     bool written = static_cast<bool>(fd);
@@ -154,12 +154,12 @@
 std::unique_ptr<Writable> WriteTo(int fd, bool anew) {
   using Kind = DescriptorWriter::Kind;
   struct stat status {};
-  // One that is closed is never written to: its number may be a client's link soon.
+  // Never write to a closed descriptor: its number may soon belong to a client link.
   if (fstat(fd, &status) != 0) return WriteToNobody();
   if (S_ISSOCK(status.st_mode)) return std::make_unique<DescriptorWriter>(Kind::kSocket, fd, Descriptor());
-  // A file is not opened anew: two descriptions of one have two places to write at, and overwrite each other.
+  // A regular file is not reopened: two descriptions have separate offsets and would overwrite each other.
   if (S_ISREG(status.st_mode)) return std::make_unique<DescriptorWriter>(Kind::kOwn, fd, Descriptor());
-  Descriptor own;  // another user's pipe can't be opened
+  Descriptor own;  // stays empty for another user's pipe, which can't be opened
   const std::string path = "/proc/self/fd/" + std::to_string(fd);
   if (anew) own = Descriptor(open(path.c_str(), O_WRONLY | O_NONBLOCK | O_CLOEXEC | O_NOCTTY));
   const Kind kind = own ? Kind::kOwn : Kind::kShared;
--- a/src/io/real_files.h
+++ b/src/io/real_files.h
@@ -1,4 +1,4 @@
-// Files and standard streams of the system.
+// The file system, by system calls.
 #ifndef BURLFALL_IO_REAL_FILES_H_
 #define BURLFALL_IO_REAL_FILES_H_
 
--- a/src/io/real_machine.cpp
+++ b/src/io/real_machine.cpp
@@ -23,7 +23,7 @@
 namespace burlfall {
 namespace {
 
-constexpr int kMostRounds = 64;  // of events, before what they woke has its turn
+constexpr int kMostRounds = 64;  // of reading events, before the woken coroutines run
 
 template <typename Clock>
 Micros Read() {
@@ -77,14 +77,15 @@
     const Micros left = std::clamp<Micros>(until - Now(), 0, 60 * kSecond);
     const timespec exactly{left / kSecond, left % kSecond * 1000};
     n = epoll_pwait2(epoll_.get(), events.data(), most, &exactly, nullptr);
-    if (n < 0 && errno != EINTR) fine_ = false;  // a system that has no such call
+    if (n < 0 && errno != EINTR) fine_ = false;  // the kernel lacks epoll_pwait2
   }
   if (!fine_ || wait <= 0) n = epoll_wait(epoll_.get(), events.data(), most, wait);
-  // A process that was stopped comes back with nothing heard, however much has come meanwhile.
+  // A process that was stopped and continued gets EINTR, whatever has arrived meanwhile: read the events.
   if (n < 0 && errno == EINTR) n = epoll_wait(epoll_.get(), events.data(), most, 0);
   if (n < 0 && errno != EINTR) throw std::system_error(errno, std::generic_category(), "epoll_wait");
-  // No coroutine runs in this loop, so no signal named by a later event can go away meanwhile. All that has
-  // come is heard of before any of it is acted on, or what goes first would stand behind a crowd.
+  // No coroutine runs in this loop, so no Signal that a later event refers to can be destroyed meanwhile. All
+  // pending events are read before any coroutine runs: otherwise a high-priority signal (Signal::GoFirst)
+  // would wait behind the coroutines of the events read before it.
   for (int rounds = 0; n > 0; ++rounds) {
     for (int i = 0; i < n; ++i) {
       const epoll_event& event = events[static_cast<size_t>(i)];
@@ -126,7 +127,7 @@
 
 size_t RealMachine::ResidentBytes() {
   const std::string text = files_->Read("/proc/self/statm").value_or("");
-  const size_t blank = text.find(' ');  // the second number, in pages: proc(5)
+  const size_t blank = text.find(' ');  // resident size is the second number, in pages: proc(5)
   if (blank == std::string::npos) return 0;
   return std::strtoull(text.c_str() + blank, nullptr, 10) * static_cast<size_t>(sysconf(_SC_PAGESIZE));
 }
--- a/src/io/real_machine.h
+++ b/src/io/real_machine.h
@@ -1,4 +1,4 @@
-// The real machine: epoll, sockets and files of the system, the system's clocks.
+// The operating system behind the Machine interface: epoll, sockets, files and clocks.
 #ifndef BURLFALL_IO_REAL_MACHINE_H_
 #define BURLFALL_IO_REAL_MACHINE_H_
 
@@ -10,7 +10,7 @@
 
 namespace burlfall {
 
-// Owns a descriptor.
+// Owns a file descriptor and closes it.
 class Descriptor {
  public:
   Descriptor() = default;
@@ -25,14 +25,16 @@
   int fd_ = -1;
 };
 
+// A scheduler over epoll.
 class RealScheduler final : public Scheduler {
  public:
   explicit RealScheduler(bool fine = false);
   Micros Now() const override;
-  // Notifies the signal at each edge of the descriptor, until that is closed. Throws std::system_error.
+  // Notifies the signal at each edge (EPOLLET) of the descriptor, until it is closed. Throws
+  // std::system_error.
   void Watch(int fd, Signal& signal);
-  bool TryWatch(int fd, Signal& signal);  // false where the system has no room for one more
-  // No more notices of it. Closing does as much, unless another process holds the same thing.
+  bool TryWatch(int fd, Signal& signal);  // false if the system can't watch one more
+  // Ends the notifications. Closing does the same, unless another process holds the same file description.
   void Unwatch(int fd);
 
  private:
@@ -40,13 +42,13 @@
 
   Descriptor epoll_;
   bool fine_;
-  Micros offset_ = 0;  // from the steady clock to Unix time
+  Micros offset_ = 0;  // added to the steady clock gives Unix time
 };
 
 class RealMachine final : public Machine {
  public:
-  // `fine`: timers come to the microsecond, as near as the system can. Else up to a millisecond late, so that
-  // those of one millisecond come together.
+  // `fine`: timers have microsecond precision, as far as the system can. Otherwise they fire up to a
+  // millisecond late, so that those of one millisecond fire together.
   explicit RealMachine(bool fine = false);
   ~RealMachine() override;
   RealScheduler& scheduler() override { return scheduler_; }
@@ -60,27 +62,27 @@
   size_t ResidentBytes() override;
 
  private:
-  // Looked at first: where it is closed, its number is the next descriptor's.
+  // Checked first: if standard error is closed, the next descriptor opened gets its number.
   const bool standard_error_open_;
   RealScheduler scheduler_;
   std::unique_ptr<Network> network_;
   std::unique_ptr<Files> files_;
 };
 
-// What Machine::StandardError() does, for any descriptor, which stays the caller's; `anew` false: it is never
-// opened anew.
+// Writes to any descriptor as Machine::StandardError() does; the caller keeps ownership. With `anew` false it
+// is never reopened.
 std::unique_ptr<Writable> WriteTo(int fd, bool anew = true);
-std::unique_ptr<Writable> WriteToNobody();  // every write is kBroken
+std::unique_ptr<Writable> WriteToNobody();  // every write returns kBroken
 
-// A connection over a descriptor that is a socket, or the end of a pipe that is read, and doesn't block.
-// Nullptr where the system has no room to watch it, or it can't be watched.
+// A stream over a non-blocking descriptor: a socket, or the read end of a pipe. Nullptr if it can't be added
+// to the epoll set.
 std::unique_ptr<Stream> StreamOver(RealScheduler& scheduler, Descriptor fd);
 
-// The process's signals, which wait from here on instead of ending it.
+// Receives process signals (signalfd); they are blocked from then on, so they no longer end the process.
 class ProcessSignals final : public Signal {
  public:
   ProcessSignals(RealScheduler& scheduler, std::initializer_list<int> signals);
-  int Take();  // the next that has come; 0: none
+  int Take();  // the next pending signal; 0: none
 
  private:
   Descriptor fd_;
--- a/src/io/real_network.cpp
+++ b/src/io/real_network.cpp
@@ -53,7 +53,7 @@
 
   Io Write(std::string_view& bytes) override {
     while (!bytes.empty()) {
-      // Without MSG_NOSIGNAL a peer that is gone would end the program by SIGPIPE.
+      // Without MSG_NOSIGNAL a closed peer would end this program by SIGPIPE.
       ssize_t n = send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
       if (n >= 0) {
         bytes.remove_prefix(static_cast<size_t>(n));
@@ -97,7 +97,7 @@
   Descriptor fd_;
 };
 
-// Nullptr where the system has no room to watch it. Guards the process, which that must not end.
+// Nullptr if the stream can't be added to the epoll set: an exception would end the process.
 std::unique_ptr<RealStream> Watched(RealScheduler& scheduler, Descriptor fd) {
   auto stream = std::make_unique<RealStream>(scheduler, std::move(fd));
   return scheduler.TryWatch(stream->fd(), *stream) ? std::move(stream) : nullptr;
@@ -123,14 +123,15 @@
   RealListener(RealScheduler& scheduler, Descriptor given) : Listener(scheduler), fd_(std::move(given)) {
     scheduler.Watch(fd_.get(), *this);
   }
-  // Whoever holds it too keeps it open, and with it the notices, whose signal is gone.
+  // Another holder keeps the socket open, and epoll would go on notifying the destroyed Signal.
   ~RealListener() override { static_cast<RealScheduler&>(scheduler()).Unwatch(fd_.get()); }
 
   Accepted Accept(std::unique_ptr<Stream>& into) override {
     while (true) {
       Descriptor fd(accept4(fd_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
       if (!fd && Later()) return Accepted::kNone;
-      if (!fd && (errno == EINTR || errno == ECONNABORTED || errno == EPROTO)) continue;  // gone already
+      if (!fd && (errno == EINTR || errno == ECONNABORTED || errno == EPROTO))
+        continue;  // the peer has gone already
       if (!fd) return Accepted::kNoRoom;
       NoDelay(fd.get());
       into = Watched(static_cast<RealScheduler&>(scheduler()), std::move(fd));
@@ -161,7 +162,7 @@
         bytes.remove_prefix(static_cast<size_t>(n));
       } else if (errno != EINTR) {
         why_ = std::strerror(errno);
-        return Io::kBroken;  // also where there is no room: a datagram is sent now or never
+        return Io::kBroken;  // also if there is no room: datagrams are not queued here
       }
     }
     return Io::kSome;
@@ -191,7 +192,7 @@
           sendto(fd_.get(), datagram.data(), datagram.size(), MSG_NOSIGNAL, to.get(), to.length);
       if (n >= 0) return Io::kSome;
       if (errno == EINTR) continue;
-      // Word of an earlier one that nobody took comes as an error of this one, which says nothing of it.
+      // An ICMP error for an earlier datagram is reported here, and says nothing about this one.
       if (errno == ECONNREFUSED) return Io::kSome;
       return Later() || errno == ENOBUFS ? Io::kLater : Io::kBroken;
     }
@@ -225,7 +226,7 @@
   Descriptor fd_;
 };
 
-// To the host alone: the port is found when it connects, so that one port serves many other sides.
+// Binds to the host only. The port is chosen at connect(), so that one source port can serve many peers.
 bool BoundTo(int fd, const Address* from) {
   if (from == nullptr) return true;
   sockaddr_storage host = from->storage;
@@ -288,7 +289,7 @@
   }
   std::unique_ptr<Writable> Datagrams(const Address& to) override {
     Descriptor fd(socket(to.storage.ss_family, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-    // Connected, so that word of a collector that is gone comes back as an error of a later send.
+    // Connected, so that a later send reports an error if nothing listens at the address.
     if (!fd || connect(fd.get(), to.get(), to.length) != 0) return nullptr;
     return std::make_unique<burlfall::Datagrams>(std::move(fd));
   }
--- a/src/io/real_network.h
+++ b/src/io/real_network.h
@@ -1,4 +1,4 @@
-// Sockets of the system.
+// The network, by sockets.
 #ifndef BURLFALL_IO_REAL_NETWORK_H_
 #define BURLFALL_IO_REAL_NETWORK_H_
 
@@ -11,7 +11,7 @@
 class RealScheduler;
 
 std::unique_ptr<Network> MakeRealNetwork(RealScheduler& scheduler);
-int DescriptorOf(const Stream& stream);  // of the system's; it stays the stream's
+int DescriptorOf(const Stream& stream);  // the stream keeps ownership
 
 }  // namespace burlfall
 
--- a/src/io/run_folder.h
+++ b/src/io/run_folder.h
@@ -1,4 +1,4 @@
-// A folder of files for the length of one run, which nobody else can read.
+// A temporary directory for one run, accessible only to this user.
 #ifndef BURLFALL_IO_RUN_FOLDER_H_
 #define BURLFALL_IO_RUN_FOLDER_H_
 
@@ -9,14 +9,14 @@
 
 class RunFolder {
  public:
-  // Made in `parent`, or where that is empty in $TMPDIR or /tmp; throws std::system_error where it can't be.
+  // Created in `parent`, or if that is empty in $TMPDIR or /tmp. Throws std::system_error on failure.
   explicit RunFolder(std::string parent = "");
-  ~RunFolder();  // with all that is in it, unless it is to be kept
+  ~RunFolder();  // removes the directory and its content, unless Keep() was called
   RunFolder(const RunFolder&) = delete;
 
   const std::string& path() const { return path_; }
   std::string Path(const std::string& name) const { return path_ + "/" + name; }
-  // Whoever reads it sees the old text or the new one, each as a whole. Throws std::system_error.
+  // Replaces the file atomically: a reader sees the complete old or new text. Throws std::system_error.
   void Write(const std::string& name, std::string_view text) const;
   void Keep() { keep_ = true; }
 
--- a/src/io/scheduler.cpp
+++ b/src/io/scheduler.cpp
@@ -10,7 +10,8 @@
 }
 
 void Scheduler::Turn() {
-  // What is woken from here on belongs to the next turn, so that sockets and timers get theirs.
+  // Only the coroutines ready now: those woken meanwhile wait for the next iteration, so that sockets and
+  // timers are served in between.
   for (size_t n = ready_.size(); n > 0 && !stopped_ && !ready_.empty(); --n) {
     Waiter* waiter = ready_.front();
     ready_.pop_front();
--- a/src/io/scheduler.h
+++ b/src/io/scheduler.h
@@ -1,9 +1,9 @@
-// Runs coroutines: what they wait on, and timers. One thread runs all of it. What the time is, and how the
-// outside is waited for, a machine's own scheduler says (real_machine.h).
+// A single-threaded event loop for coroutines, with signals and timers. Subclasses provide the clock and the
+// wait for external events (real_machine.h).
 //
-// A suspended coroutine is cancelled by destroying its Task: what it waits on lives in its frame and takes
-// itself off the scheduler's books. Nothing is resumed from inside an event: whatever wakes a coroutine only
-// queues it, so no code runs under the feet of its caller.
+// Destroying a Task cancels its suspended coroutine: the Waiter lives in the coroutine's frame and
+// unregisters itself. No coroutine is resumed from inside a notification: waking one only queues it, so the
+// notifying code never runs into re-entrancy.
 #ifndef BURLFALL_IO_SCHEDULER_H_
 #define BURLFALL_IO_SCHEDULER_H_
 
@@ -23,16 +23,16 @@
 class Scheduler {
  public:
   virtual ~Scheduler() = default;
-  // Unix time at the start plus what has passed since: it never steps.
+  // Unix time at the start plus the time elapsed since: it never jumps.
   virtual Micros Now() const = 0;
-  // When it last listened to the outside: what has come since is not heard of yet.
+  // Time of the last poll for external events: later events have not been seen yet.
   Micros heard_at() const { return heard_at_; }
   void Run();  // until Stop()
   virtual void Stop() { stopped_ = true; }
 
  protected:
-  // Waits for the outside and notifies the signals that it speaks of: until then at the longest, not at all
-  // where `until` is past. Resumes nothing.
+  // Waits for external events, at most until `until` and not at all if that is in the past, and notifies
+  // their signals. Resumes no coroutine.
   virtual void Poll(Micros until) = 0;
 
  private:
@@ -48,7 +48,7 @@
   std::deque<Waiter*> ready_;
 };
 
-// One wait of one coroutine, kept in its frame.
+// One wait of one coroutine; an awaitable that lives in the coroutine's frame.
 class Waiter {
  public:
   Waiter(Signal& signal, Micros until) : signal_(signal), until_(until) {}
@@ -72,18 +72,19 @@
   bool notified_ = false;
 };
 
-// What a coroutine waits on; one at a time. A notice that finds nobody waiting is kept for the next wait.
+// A condition that one coroutine at a time can wait on. A notification without a waiter is kept for the next
+// wait.
 class Signal {
  public:
   explicit Signal(Scheduler& scheduler) : scheduler_(scheduler) {}
   Signal(const Signal&) = delete;
   void Notify();
-  // As Notify(), where word came that the other side has ended its sending, or is gone.
+  // Like Notify(), and records that the peer has ended its sending or is gone.
   void NotifyEnd();
   bool heard_end() const { return heard_end_; }
-  // Whoever waits on it goes before all others that are woken with it.
+  // Its waiter is resumed before all others that are ready.
   void GoFirst() { first_ = true; }
-  // True when notified, false when `until` came first.
+  // The wait yields true if notified, false if `until` passed first.
   Waiter Wait(Micros until = kNever) { return Waiter(*this, until); }
   Scheduler& scheduler() const { return scheduler_; }
 
@@ -100,7 +101,7 @@
   bool first_ = false;
 };
 
-// A signal that stands alone.
+// A Signal that belongs to no other object.
 class Event final : public Signal {
  public:
   using Signal::Signal;
--- a/src/io/task.h
+++ b/src/io/task.h
@@ -1,4 +1,5 @@
-// A coroutine, owned: destroyed with its Task, wherever it stands. Started by Start() or by co_await.
+// An owned coroutine, which is destroyed with its Task wherever it is suspended. It starts lazily, by Start()
+// or by co_await.
 #ifndef BURLFALL_IO_TASK_H_
 #define BURLFALL_IO_TASK_H_
 
@@ -30,7 +31,7 @@
   std::suspend_always initial_suspend() noexcept { return {}; }
   Final final_suspend() noexcept { return {}; }
   void unhandled_exception() {
-    if (!continuation) throw;  // nobody awaits it: it ends the scheduler's run
+    if (!continuation) throw;  // nothing awaits it: leaves Scheduler::Run()
     error = std::current_exception();
   }
 };
--- a/src/io/time.h
+++ b/src/io/time.h
@@ -1,4 +1,4 @@
-// Times and spans, everywhere in microseconds.
+// Times and durations, everywhere in microseconds.
 #ifndef BURLFALL_IO_TIME_H_
 #define BURLFALL_IO_TIME_H_
 
@@ -7,7 +7,7 @@
 
 namespace burlfall {
 
-using Micros = int64_t;  // a time on a machine's clock (Unix time), or a span
+using Micros = int64_t;  // a point in time (Unix time), or a duration
 constexpr Micros kMs = 1000;
 constexpr Micros kSecond = 1000 * kMs;
 constexpr Micros kNever = std::numeric_limits<Micros>::max();
