--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// The command line of burlfall.
+// The command line of burlfall: parses the options of each command and runs it.
 #include <unistd.h>
 
 #include <algorithm>
@@ -35,8 +35,8 @@
 constexpr int kUsageError = 2;
 constexpr Micros kClusterPatience = 2 * kSecond;
 constexpr Micros kCouncilPatience = 20 * kSecond;
-constexpr int kCouncilError = 10;  // and the error's number: how `burlfall council` ends
-constexpr int64_t kLongestToken = 10 * 365 * 86400;
+constexpr int kCouncilError = 10;  // plus the value of owner::Error: exit code of `burlfall council`
+constexpr int64_t kLongestToken = 10 * 365 * 86400;  // seconds of validity
 constexpr char kUsage[] =
     "usage: burlfall COMMAND [OPTIONS]\n"
     "\n"
@@ -81,8 +81,8 @@
   return 0;
 }
 
-// Tools are programs of their own, as they need much that serving does not. Ends only where the tool can't be
-// started.
+// Replaces this process by the tool burlfall-COMMAND. Tools are separate programs, as they need libraries
+// that serving does not. Throws if the tool can't be started.
 int StartTool(const std::string& command, const std::vector<std::string>& words) {
   const std::filesystem::path tool =
       std::filesystem::read_symlink("/proc/self/exe").replace_filename("burlfall-" + command);
@@ -101,8 +101,8 @@
   return kUsageError;
 }
 
-// The options of one command, from the words behind it. False where the command line is wrong, or help was
-// asked for; `code` then says how to end.
+// Parses the options of one command. Returns false if the command line is wrong or help was requested; `code`
+// is then the exit code.
 bool Options(options::options_description known, const std::vector<std::string>& words,
              options::variables_map& given, int& code) {
   known.add_options()("help,h", "prints this");
@@ -122,7 +122,8 @@
   return !given.contains("help");
 }
 
-// What the process at the Unix socket says; nothing where nobody answers, which is then told.
+// Sends a question to the process at the Unix socket and returns its answer; nothing, after an error message,
+// if no answer arrives within `patience`.
 std::optional<std::string> AskAt(const std::string& socket, const std::string& question, Micros patience) {
   RealMachine machine;
   const std::unique_ptr<Channel> channel = machine.network().Meet(socket);
@@ -154,7 +155,7 @@
   return answer;
 }
 
-// Asks the process at the Unix socket, and prints what it says.
+// Sends a question to the process at the Unix socket and prints the answer. Returns the exit code.
 int AskOnce(const std::string& socket, const std::string& question) {
   const std::optional<std::string> answer = AskAt(socket, question, kClusterPatience);
   if (!answer) return 1;
@@ -162,7 +163,8 @@
   return 0;
 }
 
-// What an operator asks or tells the council. An error ends with its own code (docs/council.md), 10 and more.
+// `burlfall council`: queries and operations. Each error has an exit code of its own, from 10
+// (docs/council.md).
 int AskCouncil(const std::vector<std::string>& words) {
   options::variables_map given;
   int code = 0;
@@ -213,6 +215,7 @@
   return 1;
 }
 
+// `burlfall cluster`: queries about the members of the cluster.
 int AskCluster(const std::vector<std::string>& words) {
   options::variables_map given;
   int code = 0;
@@ -226,7 +229,7 @@
   const bool asks = !words.empty() && (words[0] == "--help" || words[0] == "-h");
   if (words.empty()) return UsageError("cluster knows members, watch, who-differs and explain NAME");
   const std::string what = words[0];
-  // `cluster explain --help` asks for help, and names nobody.
+  // In `cluster explain --help` the second word is no member name.
   const bool helps = words.size() > 1 && (words[1] == "--help" || words[1] == "-h");
   const bool explain = what == "explain" && !helps;
   if (!asks && what != "members" && what != "watch" && what != "who-differs" && what != "explain") {
@@ -343,7 +346,7 @@
 int main(int argc, char** argv) {
   try {
     return Run(std::vector<std::string>(argv + 1, argv + argc));
-  } catch (const BadConfig& e) {  // a file or a variable that can't be used
+  } catch (const BadConfig& e) {  // an invalid file or environment variable
     std::cerr << "burlfall: " << e.what() << "\n";
     return kUsageError;
   } catch (const std::exception& e) {
--- a/src/sim/adapter.cpp
+++ b/src/sim/adapter.cpp
@@ -1,5 +1,5 @@
-// Hosts instances of the balancer on the simulator's wire: batches on standard input, replies on standard
-// output. Instances share nothing.
+// Runs instances of the balancer for the simulator: reads batches of events from standard input and writes
+// the replies to standard output. Instances share no state.
 #include <cstdio>
 #include <exception>
 #include <map>
@@ -16,6 +16,7 @@
 using meadowslip::Balancer;
 using meadowslip::Micros;
 
+// Dispatches the events of each batch to the instances that they target.
 class Host : public meadowslip::wire::EventHandler {
  public:
   std::span<const std::byte> Answer(std::span<const std::byte> frame) {
@@ -81,7 +82,7 @@
       throw BadInput("batch: length " + std::to_string(length) + " is over the limit");
     }
     frame.clear();
-    while (frame.size() < length) {  // grows with what arrives, not with what the length claims
+    while (frame.size() < length) {  // allocates as bytes arrive, not by the announced length
       size_t at = frame.size();
       frame.resize(std::min<size_t>(length, at + (size_t{1} << 20)));
       if (std::fread(frame.data() + at, 1, frame.size() - at, stdin) < frame.size() - at) {
--- a/src/sim/wire.cpp
+++ b/src/sim/wire.cpp
@@ -79,7 +79,7 @@
 
 void ReadList(Reader& in, EventHandler& handler) {
   BackendList list;
-  in.U64();  // the list's version: lists come in order and without gaps
+  in.U64();  // the list's version is not needed: lists arrive in order and without gaps
   uint8_t form = in.U8();
   if (form > 3) throw BadInput("PEERS_KNOWN: unknown form " + std::to_string(form));
   list.kind = static_cast<ListKind>(form);
@@ -190,7 +190,7 @@
       Reader in(body, "PEER");
       in.U16();
       in.Take(in.U16());
-      return in.ExpectEnd();  // no deployment lets nodes talk: read and ignored
+      return in.ExpectEnd();  // no deployment uses messages between balancers: decoded and ignored
     }
     case kDestroy: {
       Reader in(body, "DESTROY");
--- a/src/sim/wire.h
+++ b/src/sim/wire.h
@@ -1,4 +1,5 @@
-// The simulator's wire: frames, records and settings. No decisions are made here.
+// The simulator's binary protocol: decodes batches of events and encodes replies. Integers are little-endian.
+// No balancing decisions are made here.
 #ifndef MEADOWSLIP_SIM_WIRE_H_
 #define MEADOWSLIP_SIM_WIRE_H_
 
@@ -14,9 +15,9 @@
 
 namespace meadowslip::wire {
 
-constexpr uint32_t kMaxFrame = 512u << 20;
+constexpr uint32_t kMaxFrame = 512u << 20;  // bytes
 
-// Reads fields one after the other; throws BadInput past the end.
+// Reads consecutive fields; throws BadInput, which names `what`, at the end of the bytes.
 class Reader {
  public:
   Reader(std::span<const std::byte> bytes, const char* what) : bytes_(bytes), what_(what) {}
@@ -35,7 +36,7 @@
   const char* what_;
 };
 
-// Receives the events of a batch in order.
+// Receives the events of a batch in order; one method for each record type.
 class EventHandler {
  public:
   virtual ~EventHandler() = default;
@@ -51,10 +52,12 @@
   virtual void Probed(const ProbeResult& result) = 0;
 };
 
-// A frame without its leading length. `clock` is set before the first event is handed on.
+// Decodes a frame, without its leading length, and passes its events to the handler. `clock` is set before
+// the first event. Throws BadInput.
 void DecodeBatch(std::span<const std::byte> frame, Micros& clock, EventHandler& handler);
 
-// Builds the reply to one batch.
+// Builds the reply to one batch: Begin(), then actions, with At() for the instance that they are from, then
+// Finish(), which returns the frame including its length.
 class Reply : public ActionSink {
  public:
   void Begin();
--- a/src/tools/config_main.cpp
+++ b/src/tools/config_main.cpp
@@ -1,4 +1,5 @@
-// burlfall-config: checks TOML files, explains their keys and values, and keeps the reference pages true.
+// burlfall-config: checks TOML files, explains their keys and values, and writes or verifies the reference
+// pages.
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <cerrno>
@@ -23,10 +24,10 @@
 using Json = nlohmann::ordered_json;
 
 constexpr int kDone = 0;
-constexpr int kWrong = 1;     // it went wrong: a page differs, a disk is full
-constexpr int kUnusable = 2;  // wrong usage, or a file that can't be used
+constexpr int kWrong = 1;     // failure: a reference page differs, a file can't be written
+constexpr int kUnusable = 2;  // usage error, or an unusable input file
 
-// One line on standard error for people, or an object on standard output for programs.
+// Reports an error, as a line on standard error or a JSON object on standard output. Returns `code`.
 int Fail(bool json, int code, const std::string& line) {
   if (json) {
     std::cout << Json{{"ok", false}, {"error", line}}.dump(2, ' ', false, Json::error_handler_t::replace)
@@ -41,8 +42,8 @@
   std::cout << json.dump(2, ' ', false, Json::error_handler_t::replace) << "\n";
 }
 
-// At most one byte more than a file may have, so that ReadToml refuses what is too large without all of it in
-// memory.
+// Reads at most one byte more than the size limit, so that ReadToml can reject a file that is too large
+// without loading all of it.
 std::optional<std::string> ReadFile(const std::string& path, std::string& error) {
   std::error_code code;
   errno = 0;
@@ -127,7 +128,7 @@
   return names.empty() ? "none" : names;
 }
 
-// A file with its kind, or the exit code of what was wrong with it.
+// The text of a file and its kind, or the exit code if it can't be used; the error has then been reported.
 struct Opened {
   std::string text;
   const Kind* kind = nullptr;
@@ -161,7 +162,7 @@
   for (const std::string& file : files) {
     const Opened opened = Open(file, kind_name, json);
     if (opened.code != kDone) {
-      if (json) return opened.code;  // one object is what the program reads
+      if (json) return opened.code;  // the output must be a single JSON object
       code = opened.code;
       continue;
     }
@@ -218,7 +219,7 @@
   return kDone;
 }
 
-// "nodes[2].speed" and "nodes[].speed" ask for the same key as "nodes.speed".
+// Removes array indices: "nodes[2].speed" and "nodes[].speed" mean the same key as "nodes.speed".
 std::string WithoutIndices(const std::string& key) {
   std::string path;
   bool inside = false;
@@ -265,7 +266,7 @@
   return kDone;
 }
 
-// A kind whose definition is at fault has no page, and is found out by whoever checks the pages.
+// Reports the faults in the definitions of the kinds; no page is written or checked if there are any.
 int Faults() {
   int result = kDone;
   for (const Kind& kind : Kinds()) {
@@ -290,7 +291,7 @@
   return kDone;
 }
 
-// Pages that differ or are missing, and pages once made for a kind that is gone.
+// Reports pages that differ or are missing, and generated pages of kinds that no longer exist.
 int CheckReference(const std::filesystem::path& dir) {
   int result = kDone;
   const auto differs = [&](const std::filesystem::path& page, const std::string& how) {
--- a/src/tools/kinds.cpp
+++ b/src/tools/kinds.cpp
@@ -1,3 +1,4 @@
+// The kinds of TOML file that burlfall-config knows.
 #include "config/kinds.h"
 
 #include "config/cluster_settings.h"
--- a/src/world/virtual_machine.cpp
+++ b/src/world/virtual_machine.cpp
@@ -9,9 +9,9 @@
 namespace burlfall::world {
 namespace {
 
-constexpr size_t kBuffer = 64 * 1024;  // of a connection, each way
-constexpr size_t kPiece = 16 * 1024;
-constexpr size_t kBacklog = 4096;
+constexpr size_t kBuffer = 64 * 1024;  // bytes in flight of a connection, in each direction
+constexpr size_t kPiece = 16 * 1024;   // bytes, maximum of one read
+constexpr size_t kBacklog = 4096;      // connections in the accept queue
 constexpr const char* kDiskFull = "No space left on device";
 
 Address At(const std::string& text) { return *ReadAddress(text); }
@@ -30,22 +30,22 @@
 
 class VirtualStream;
 
-// Of its two sides the first is that of whoever connected.
+// An established or pending connection. sides[0] is the connecting side.
 struct Connection {
   struct Side {
-    VirtualStream* end = nullptr;  // while it is there
-    std::string come;              // to be read
-    bool finished = false;         // it sends no more
+    VirtualStream* end = nullptr;  // while it exists
+    std::string come;              // received, not yet read
+    bool finished = false;         // has ended its sending
     bool closed = false;
     bool reset = false;    // by the other side
-    bool blocked = false;  // wants to write, and found no room
+    bool blocked = false;  // has bytes to write, but the buffer is full
     Address at;
   };
   std::array<Side, 2> sides;
   Stream::State state = Stream::State::kUp;
 
   void Tell(size_t side);
-  // The side's machine ends it; the other hears an end, or a reset where bytes were left unread.
+  // Closes this side. The other side sees the end of the stream, or a reset if received bytes were unread.
   void End(size_t side, bool by_reset) {
     Side &own = sides[side], &other = sides[1 - side];
     if (std::exchange(own.closed, true)) return;
@@ -63,8 +63,8 @@
     own().end = this;
     ++machine_.open;
   }
-  // Where the other machine's line was full, asks again as a system does: after 1 s, then each time after
-  // twice as long.
+  // Retries a connection that found the accept queue full, like TCP: after 1 s, and then with doubled
+  // intervals.
   void AskAgain(World& world) {
     asking_ = Ask(world);
     asking_.Start();
@@ -93,7 +93,7 @@
   Io Write(std::string_view& bytes) override {
     if (own().finished || own().reset || of_->state == State::kFailed) return Io::kBroken;
     if (of_->state == State::kOpening) return Io::kLater;
-    if (other().closed) {  // this machine takes them, the other one answers with a reset
+    if (other().closed) {  // accepted locally; the other machine answers with a reset
       bytes = {};
       own().reset = true;
       Notify();
@@ -167,7 +167,7 @@
   Address Local() const override { return at_; }
   void Backlog(int most) override { backlog_ = static_cast<size_t>(most); }
 
-  // False where the line is full: it then never comes up.
+  // Adds a connection to the accept queue; false if the queue is full, and the connection is not established.
   bool Take(const std::shared_ptr<Connection>& one) {
     if (waiting_.size() > backlog_) return false;
     waiting_.push_back(one);
@@ -197,7 +197,7 @@
   Notify();
 }
 
-// Datagrams arrive at once, in order; one for which there is no socket or no room is lost.
+// Datagrams arrive immediately and in order; without a receiving socket or buffer space they are lost.
 class VirtualSocket final : public DatagramSocket {
  public:
   VirtualSocket(World& world, VirtualMachine& machine, Address at)
@@ -282,7 +282,7 @@
   std::unique_ptr<Writable> Datagrams(const Address&) override { return nullptr; }
 
  private:
-  // The address, or with port 0 the same with a port that nothing holds: ports come round after some time.
+  // The address; for port 0 with a free port. Ports wrap around after 65535.
   template <typename Held>
   Address Free(const Address& at, const Held& held) {
     if (PortOf(at) != 0) return at;
@@ -357,7 +357,7 @@
   VirtualMachine& machine_;
 };
 
-// On the disk at once.
+// Durable writes that complete immediately.
 class VirtualDurable final : public DurableWriter {
  public:
   VirtualDurable(World& world, VirtualMachine& machine)
@@ -394,6 +394,7 @@
   std::string why_;
 };
 
+// Appends to a string.
 class Said final : public Writable {
  public:
   explicit Said(std::string& to) : to_(to) {}
--- a/src/world/virtual_machine.h
+++ b/src/world/virtual_machine.h
@@ -1,9 +1,9 @@
-// A world without a system under it: one clock that moves only when nothing is left to do, connections in
-// memory, files in a map, chance from a seed. Any number of machines live in it, on one scheduler; what runs
-// on them is the program's own code. The same seed and the same calls give the same course, to the
-// microsecond.
+// A deterministic simulation of the operating system for tests: one clock that advances only when no
+// coroutine is ready, connections in memory, files in a map, randomness from a seed. Any number of machines
+// share one World and its scheduler; the program's own code runs on them. The same seed and the same calls
+// give the same run, to the microsecond.
 //
-// Shortages are played here: a machine has so many descriptors, and a disk that can be full.
+// Resource shortages can be simulated: each machine has a limit of descriptors, and a disk that can be full.
 #ifndef BURLFALL_WORLD_VIRTUAL_MACHINE_H_
 #define BURLFALL_WORLD_VIRTUAL_MACHINE_H_
 
@@ -26,17 +26,20 @@
  public:
   explicit VirtualScheduler(Micros now) : now_(now) {}
   Micros Now() const override { return now_; }
-  // A program that ends stops its own machine's scheduler, which here is everybody's: it is only told of.
+  // A program that ends stops its machine's scheduler. All machines share this one, so only on_stop is
+  // called.
   void Stop() override {
     if (on_stop) on_stop();
   }
-  void StandStill(Micros span) { now_ += span; }  // in the middle of a turn
-  void Halt() { Scheduler::Stop(); }
-  bool stuck() const { return stuck_; }  // nothing was left that could ever happen
+  // Advances the clock while a coroutine runs: simulates a stall of the whole process.
+  void StandStill(Micros span) { now_ += span; }
+  void Halt() { Scheduler::Stop(); }     // ends Run() for all machines
+  bool stuck() const { return stuck_; }  // nothing was ready and no timer was set
   std::function<void()> on_stop;
 
  protected:
-  // Each turn takes a moment. Guards against two ends that answer each other at once for ever.
+  // Each iteration takes at least 1 us: otherwise two sides that answer each other at once would keep the
+  // clock from ever advancing.
   void Poll(Micros until) override;
 
  private:
@@ -44,7 +47,7 @@
   bool stuck_ = false;
 };
 
-// What all machines of a world share.
+// State that all machines share.
 struct World {
   World(Micros begins_at, uint64_t seed) : scheduler(begins_at), chance(seed) {}
   World(const World&) = delete;
@@ -52,7 +55,7 @@
   VirtualScheduler scheduler;
   std::mt19937_64 chance;
   std::map<std::string, VirtualListener*> listeners;  // by address
-  std::map<std::string, VirtualSocket*> sockets;      // of datagrams, by address
+  std::map<std::string, VirtualSocket*> sockets;      // datagram sockets, by address
   std::map<std::string, std::string> files;           // by path
   int last_port = 20000;
 };
@@ -72,12 +75,12 @@
   size_t MostDescriptors() override { return descriptors; }
   size_t ResidentBytes() override { return 0; }
 
-  size_t descriptors;        // that may be open
-  size_t open = 0;           // that are
-  bool disk_full = false;    // nothing more can be written
-  bool flush_fails = false;  // the next flush does, once: what was written is there, and nobody may trust it
-  Micros wall_off = 0;       // what the clock on the wall is ahead of the true time
-  std::string said;          // on standard error
+  size_t descriptors;        // limit of open descriptors
+  size_t open = 0;           // currently open descriptors
+  bool disk_full = false;    // all writes fail
+  bool flush_fails = false;  // the next flush fails, once: the bytes are written, but may not be relied on
+  Micros wall_off = 0;       // WallClock() minus the true time
+  std::string said;          // what was written to standard error
 
  private:
   World& world_;
