--- a/src/config/platform_config.cpp
+++ b/src/config/platform_config.cpp
@@ -263,7 +263,7 @@
   const char* folder = environment(platform::kFolderVariable);
   if (folder != nullptr && config.in_service) {
     std::string why;
-    if (!files.Usable(folder, why)) {
+    if (!files.IsWritableFolder(folder, why)) {
       throw BadConfig(std::string(platform::kFolderVariable) + ": " + folder + ": " + why);
     }
     config.folder = folder;
--- a/src/council/council.cpp
+++ b/src/council/council.cpp
@@ -190,7 +190,7 @@
   follower_.emplace(consensus::FollowerRules{}, setup_.name, seeds, machine_.Entropy());
   follower_->Begin(machine_.Now());
   std::string why;
-  asked_at_ = machine_.network().Await(setup_.stem + ".council", why);
+  asked_at_ = machine_.network().ListenOnChannel(setup_.stem + ".council", why);
   if (asked_at_) {
     awaiting_ = Await();
     awaiting_.Start();
@@ -275,7 +275,7 @@
         core_->OnWritten(machine_.Now(), number, true);
       }
     }
-    if (const std::string why = disk_->Why(); !why.empty() && fault_.empty()) {
+    if (const std::string why = disk_->ErrorText(); !why.empty() && fault_.empty()) {
       fault_ = "failed, " + why;
       log_.Tell<"council_disk">("failed", why);
       if (core_ && !writing_.empty()) core_->OnWritten(machine_.Now(), writing_.front(), false);
@@ -298,7 +298,7 @@
       executor_->OnWritten(epochs_writing_.front(), true);
       epochs_writing_.pop_front();
     }
-    if (const std::string why = epoch_disk_->Why(); !why.empty()) {
+    if (const std::string why = epoch_disk_->ErrorText(); !why.empty()) {
       log_.Tell<"council_disk">("failed", why);
       while (!epochs_writing_.empty()) {
         executor_->OnWritten(epochs_writing_.front(), false);
--- a/src/council/store.cpp
+++ b/src/council/store.cpp
@@ -103,7 +103,7 @@
 
 Store::Opened Store::Open(Files& files, const std::string& folder, uint64_t draw) {
   Opened opened;
-  if (!files.Usable(folder, opened.why)) {
+  if (!files.IsWritableFolder(folder, opened.why)) {
     opened.fault = StoreFault::kUnusable;
     opened.why = folder + ": " + opened.why;
     disk_ = std::max<uint64_t>(draw, 1);
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -319,7 +319,7 @@
   // discovery's pending updates must reach the module before the result of this attempt does.
   const Micros max_pause =
       std::min(std::max(settings_.drain_grace, kMinDrainGrace) / 2, settings_.drain_grace + kSocketAllowance);
-  const bool list_outdated = attempt.sent_at - scheduler_.heard_at() > max_pause;
+  const bool list_outdated = attempt.sent_at - scheduler_.last_poll_at() > max_pause;
   // The client's end may have been received in this pass of the loop, before its link has handled it.
   const bool client_gone = query.incoming.sink != nullptr && query.incoming.sink->ClientGone();
   if (query.closed || list_outdated || client_gone || !upstream_.Knows(backend) ||
--- a/src/front/client_link.cpp
+++ b/src/front/client_link.cpp
@@ -242,7 +242,7 @@
     if (request_class < 0) query.labels.odd_class = FirstSegment(payload->target);
     // Starts no attempt for a client that has left: if its end arrived in one batch with the query, or behind
     // pipelined ones, there is no further notification of it.
-    if (upload_ ? stream_->Ended() : !ReadAhead()) {
+    if (upload_ ? stream_->PeerEnded() : !ReadAhead()) {
       ++front_.parts_.counters.taken;
       ++front_.parts_.counters.left;
       if (Figures* figures = front_.parts_.figures) figures->Add(query.labels.series, Figure::kLeft);
@@ -340,7 +340,7 @@
     has_input = true;
     progress_at_ = stream_->scheduler().Now();
   }
-  return stream_->Ended() ? -1 : 0;  // the end is behind bytes that the buffer has no space for
+  return stream_->PeerEnded() ? -1 : 0;  // the end is behind bytes that the buffer has no space for
 }
 
 // Writes the rest of a large answer as it arrives. Returns false if it can't be completed: the link is then
@@ -456,7 +456,7 @@
     if (io == Io::kLater) return true;
     if (io != Io::kSome) return false;
   }
-  return !stream_->Ended();
+  return !stream_->PeerEnded();
 }
 
 void ClientLink::Serve(const Payload& payload) {
--- a/src/front/client_link.h
+++ b/src/front/client_link.h
@@ -34,7 +34,7 @@
   void Serve(const Payload& answer) override;
   void Throttle(Micros retry_after) override;
   void Fail() override;
-  bool ClientGone() const override { return stream_->Ended(); }
+  bool ClientGone() const override { return stream_->PeerEnded(); }
 
   // Whether the link is open and has had no query, complete or not, since `then`.
   bool IdleSince(Micros then) const {
--- a/src/front/upload.h
+++ b/src/front/upload.h
@@ -27,7 +27,7 @@
     return some ? Next::kSome : complete_ ? Next::kDone : on_taken_ ? Next::kLater : Next::kBroken;
   }
   Signal& signal() override { return arrived_; }
-  Micros Patience() const override { return answer_deadline_; }
+  Micros ResponseDeadline() const override { return answer_deadline_; }
 
   // For the client link.
   bool started() const { return started_; }  // the attempt takes bytes: the query can't be sent again
--- a/src/handover/handover.cpp
+++ b/src/handover/handover.cpp
@@ -22,7 +22,7 @@
 
 Task<std::optional<Estate>> Handover::Claim() {
   std::optional<Estate> none;
-  std::unique_ptr<Channel> channel = machine_.network().Meet(path_);
+  std::unique_ptr<Channel> channel = machine_.network().ConnectChannel(path_);
   if (!channel) co_return none;
   before_ = std::make_unique<Other>(std::move(channel));
   Send(*before_, Pack('T', burlfall::Claim{kHandoverVersion, name_}));
@@ -62,7 +62,7 @@
 
 void Handover::Listen() {
   std::string why;
-  listener_ = machine_.network().Await(path_, why);
+  listener_ = machine_.network().ListenOnChannel(path_, why);
   if (!listener_) {
     log_.Tell<"handover_unavailable">(path_, why);
     return;
--- a/src/io/body_source.h
+++ b/src/io/body_source.h
@@ -26,7 +26,7 @@
   virtual Next Take(std::string& into) = 0;
   virtual Signal& signal() = 0;
   // For the body of a query, valid after kDone: the time until which the client waits for the answer.
-  virtual Micros Patience() const { return kNever; }
+  virtual Micros ResponseDeadline() const { return kNever; }
   // Length in bytes of the whole body, including what has already been read; nothing if not known in advance.
   std::optional<size_t> length;
 };
--- a/src/io/cpu_share.cpp
+++ b/src/io/cpu_share.cpp
@@ -15,10 +15,10 @@
 namespace burlfall {
 namespace {
 
-constexpr long kPeriod = 100'000;    // us, the kernel's default
-constexpr long kLeastQuota = 1'000;  // us, the minimum that the kernel accepts
+constexpr long kPeriodUs = 100'000;  // the kernel's default
+constexpr long kMinQuotaUs = 1'000;  // the minimum that the kernel accepts
 
-std::string MountOfVersion2(const std::string& root) {
+std::string Cgroup2Mount(const std::string& root) {
   std::ifstream mounts(root + "/proc/self/mounts");
   for (std::string line; std::getline(mounts, line);) {
     std::istringstream words(line);
@@ -28,7 +28,7 @@
   return {};
 }
 
-std::string OwnPath(const std::string& root) {
+std::string OwnCgroupPath(const std::string& root) {
   std::ifstream groups(root + "/proc/self/cgroup");
   for (std::string line; std::getline(groups, line);) {
     if (line.starts_with("0::/")) return line.substr(3);
@@ -36,7 +36,7 @@
   return {};
 }
 
-bool PassesCpuOn(const std::string& folder) {
+bool EnablesCpu(const std::string& folder) {
   std::ifstream file(folder + "/cgroup.subtree_control");
   for (std::string word; file >> word;) {
     if (word == "cpu") return true;
@@ -44,7 +44,7 @@
   return false;
 }
 
-bool WriteInto(const std::string& path, const std::string& text) {
+bool WriteFile(const std::string& path, const std::string& text) {
   const Descriptor fd(open(path.c_str(), O_WRONLY | O_CLOEXEC));
   return fd && write(fd.get(), text.data(), text.size()) == static_cast<ssize_t>(text.size());
 }
@@ -52,14 +52,14 @@
 }  // namespace
 
 std::optional<std::string> CpuShare::Parent(std::string& why, const std::string& root) {
-  const std::string mount = MountOfVersion2(root);
+  const std::string mount = Cgroup2Mount(root);
   if (mount.empty()) {
     why = "no cgroup of version 2 is mounted";
     return {};
   }
   // Search from this process's cgroup upwards. A cgroup that contains processes, as this one does, rarely
   // enables controllers for its children; its ancestors may.
-  std::string path = OwnPath(root);
+  std::string path = OwnCgroupPath(root);
   if (path.empty()) {
     why = "this process is in no cgroup of version 2";
     return {};
@@ -67,7 +67,7 @@
   while (true) {
     if (path == "/") path.clear();
     const std::string folder = root + mount + path;
-    if (PassesCpuOn(folder) && access(folder.c_str(), W_OK) == 0 &&
+    if (EnablesCpu(folder) && access(folder.c_str(), W_OK) == 0 &&
         access((folder + "/cgroup.procs").c_str(), W_OK) == 0) {
       return folder;
     }
@@ -87,19 +87,19 @@
     why = folder + ": " + std::strerror(errno);
     return nullptr;
   }
-  const long quota = std::max(kLeastQuota, std::lround(cores * static_cast<double>(kPeriod)));
-  const bool set = WriteInto(folder + "/cpu.max", std::to_string(quota) + " " + std::to_string(kPeriod));
-  Descriptor processes(open((folder + "/cgroup.procs").c_str(), O_WRONLY | O_CLOEXEC));
-  if (!set || !processes) {
+  const long quota = std::max(kMinQuotaUs, std::lround(cores * static_cast<double>(kPeriodUs)));
+  const bool set = WriteFile(folder + "/cpu.max", std::to_string(quota) + " " + std::to_string(kPeriodUs));
+  Descriptor procs(open((folder + "/cgroup.procs").c_str(), O_WRONLY | O_CLOEXEC));
+  if (!set || !procs) {
     why = folder + ": " + std::strerror(errno);
     rmdir(folder.c_str());
     return nullptr;
   }
-  return std::unique_ptr<CpuShare>(new CpuShare(folder, std::move(processes)));
+  return std::unique_ptr<CpuShare>(new CpuShare(folder, std::move(procs)));
 }
 
-CpuShare::CpuShare(std::string folder, Descriptor processes)
-    : folder_(std::move(folder)), processes_(std::move(processes)) {}
+CpuShare::CpuShare(std::string folder, Descriptor procs)
+    : folder_(std::move(folder)), procs_(std::move(procs)) {}
 
 CpuShare::~CpuShare() { rmdir(folder_.c_str()); }
 
--- a/src/io/cpu_share.h
+++ b/src/io/cpu_share.h
@@ -22,13 +22,13 @@
   ~CpuShare();  // removes the cgroup; its process must have ended
   CpuShare(const CpuShare&) = delete;
   // Descriptor of cgroup.procs: a process that writes "0" to it joins the cgroup and is limited from then on.
-  int joins_by() const { return processes_.get(); }
+  int join_descriptor() const { return procs_.get(); }
 
  private:
-  CpuShare(std::string folder, Descriptor processes);
+  CpuShare(std::string folder, Descriptor procs);
 
   std::string folder_;
-  Descriptor processes_;
+  Descriptor procs_;
 };
 
 }  // namespace burlfall
--- a/src/io/durable.h
+++ b/src/io/durable.h
@@ -30,7 +30,7 @@
   // the disk is unknown after a failed flush.
   virtual uint64_t done() const = 0;
   // Describes the failure; empty if there was none.
-  virtual std::string Why() const = 0;
+  virtual std::string ErrorText() const = 0;
 };
 
 }  // namespace burlfall
--- a/src/io/files.h
+++ b/src/io/files.h
@@ -30,7 +30,7 @@
   // Creates the folder and its parents. Returns false on failure; an existing folder is a success.
   virtual bool MakeFolder(const std::string& path) = 0;
   // Whether `folder` is a directory in which this process may create files; if not, `why` says the reason.
-  virtual bool Usable(const std::string& folder, std::string& why) = 0;
+  virtual bool IsWritableFolder(const std::string& folder, std::string& why) = 0;
   virtual std::vector<std::string> List(const std::string& folder) = 0;  // names, unsorted; none on error
   virtual bool Remove(const std::string& path) = 0;
 };
--- a/src/io/machine.h
+++ b/src/io/machine.h
@@ -29,13 +29,13 @@
   // other programs share. A pipe or terminal is reopened; if that fails, it is written only while poll()
   // reports room. Never nullptr; if standard error is closed, every write returns kBroken.
   virtual std::unique_ptr<Writable> StandardError() = 0;
-  virtual size_t MostDescriptors() = 0;  // limit of open descriptors of this process
-  virtual size_t ResidentBytes() = 0;    // resident memory of this process; 0 if unknown
+  virtual size_t MaxDescriptors() = 0;  // limit of open descriptors of this process
+  virtual size_t ResidentBytes() = 0;   // resident memory of this process; 0 if unknown
 
   Micros Now() { return scheduler().Now(); }
   // A random number, uniform in [0, 1). It comes from the system's entropy, so machines cloned from one image
   // get different numbers.
-  double Draw() { return static_cast<double>(Entropy() >> 11) * 0x1p-53; }
+  double RandomUnit() { return static_cast<double>(Entropy() >> 11) * 0x1p-53; }
 };
 
 }  // namespace burlfall
--- a/src/io/network.h
+++ b/src/io/network.h
@@ -23,9 +23,9 @@
   // Removes the accepted bytes from the front of `bytes`. Returns kSome if all were accepted, kLater if there
   // is no room for the rest now, kBroken if nothing more can be written.
   virtual Io Write(std::string_view& bytes) = 0;
-  virtual std::string Why() const = 0;  // describes the last kBroken
+  virtual std::string ErrorText() const = 0;  // describes the last kBroken
   // Blocks until there is room, or until the timeout. Only for use while the program shuts down.
-  virtual void AwaitRoom(Micros patience) = 0;
+  virtual void AwaitRoom(Micros timeout) = 0;
 };
 
 // One connection. Notifications are edge-triggered: after one, repeat the operation until it returns kLater.
@@ -38,9 +38,9 @@
   virtual State Opened() = 0;                     // of a connection made by Connect()
   virtual Io Read(std::string& into) = 0;         // appends what has arrived, up to a bounded size
   virtual Io Write(std::string_view& bytes) = 0;  // removes the accepted bytes from the front
-  virtual bool Quiet() = 0;                       // open, with no unread bytes: fit for reuse
+  virtual bool IsIdle() = 0;                      // open, with no unread bytes: fit for reuse
   // Whether the peer has ended its sending or is gone; known even while earlier bytes are still unread.
-  virtual bool Ended() = 0;
+  virtual bool PeerEnded() = 0;
   virtual void Finish() = 0;  // half-close: ends our sending; the peer may go on sending
   virtual void Reset() = 0;   // closes at once, with a TCP reset to the peer
   virtual void Close() = 0;   // closes in order; the destructor does the same
@@ -61,7 +61,7 @@
   virtual Accepted Accept(std::unique_ptr<Stream>& into) = 0;
   virtual Address Local() const = 0;
   // Maximum length of the accept queue. With 0 and one connection waiting, further ones are not established.
-  virtual void Backlog(int most) = 0;
+  virtual void SetBacklog(int max) = 0;
 };
 
 // An unconnected datagram socket, bound to an address. Notified whenever a datagram may have arrived.
@@ -117,14 +117,14 @@
   // socket. Throws std::system_error if the descriptor is not open or is not a listening socket.
   virtual std::unique_ptr<Listener> Adopt(int descriptor) = 0;
   // Connects to the process that listens at this path; nullptr if none does.
-  virtual std::unique_ptr<Channel> Meet(const std::string& path) = 0;
+  virtual std::unique_ptr<Channel> ConnectChannel(const std::string& path) = 0;
   // Listens at this path and replaces an existing socket there. Nullptr, with the reason in `why`, on
   // failure.
-  virtual std::unique_ptr<ChannelListener> Await(const std::string& path, std::string& why) = 0;
+  virtual std::unique_ptr<ChannelListener> ListenOnChannel(const std::string& path, std::string& why) = 0;
   // Throws std::system_error if the address can't be bound. Port 0: any free port.
   virtual std::unique_ptr<DatagramSocket> Bind(const Address& at) = 0;
   // Sends one datagram for each Write(); nullptr if the socket can't be made.
-  virtual std::unique_ptr<Writable> Datagrams(const Address& to) = 0;
+  virtual std::unique_ptr<Writable> DatagramWriterTo(const Address& to) = 0;
 };
 
 // Waits for the connection to be established; false if it failed, or was not established by `until`.
--- a/src/io/process.cpp
+++ b/src/io/process.cpp
@@ -22,15 +22,15 @@
 namespace burlfall {
 namespace {
 
-constexpr size_t kStack = 64 * 1024;  // bytes, of the child until execve()
-constexpr size_t kPiece = 64 * 1024;  // bytes read from a continuous stream between two pauses
+constexpr size_t kStackBytes = 64 * 1024;     // of the child until execve()
+constexpr size_t kBytesPerPause = 64 * 1024;  // bytes read from a continuous stream between two pauses
 constexpr Micros kPause = 5 * kMs;
 constexpr Micros kSecondInMicros = 1'000'000;
 
 // Parameters and result of the child's code between clone() and execve(). It runs in this program's memory
 // while the thread that started it is suspended, so it only makes system calls, allocates nothing, takes no
 // lock, and writes only to this struct.
-struct Birth {
+struct ChildSetup {
   const char* program;
   char* const* arguments;
   char* const* environment;
@@ -42,50 +42,50 @@
   bool limit_descriptors;
   bool limit_address_space;
   const cpu_set_t* cores;  // nullptr: inherited
-  int joins_by;            // -1: no cgroup
+  int cgroup_procs;        // -1: no cgroup
   // The call that failed, nullptr if none, and its errno.
   const char* failed;
   int error;
 };
 
 // Excludes a function from the sanitizers, which do not know the stack that the child runs on.
-#define BURLFALL_UNCHECKED __attribute__((no_sanitize("address", "undefined")))
+#define BURLFALL_NO_SANITIZE __attribute__((no_sanitize("address", "undefined")))
 
-[[noreturn]] BURLFALL_UNCHECKED void Fail(Birth& birth, const char* what) {
-  birth.failed = what;
-  birth.error = errno;
+[[noreturn]] BURLFALL_NO_SANITIZE void Fail(ChildSetup& setup, const char* what) {
+  setup.failed = what;
+  setup.error = errno;
   _exit(127);
 }
 
-BURLFALL_UNCHECKED int BeBorn(void* given) {
-  Birth& birth = *static_cast<Birth*>(given);
+BURLFALL_NO_SANITIZE int RunChild(void* given) {
+  ChildSetup& setup = *static_cast<ChildSetup*>(given);
   // All signals are blocked here. Reset them, so that none runs a handler of this program or stays ignored in
   // the new program.
-  struct sigaction usual {};
-  usual.sa_handler = SIG_DFL;
-  for (int one = 1; one < NSIG; ++one) sigaction(one, &usual, nullptr);
-  if (prctl(PR_SET_PDEATHSIG, SIGKILL) != 0) Fail(birth, "prctl");
-  if (getppid() != birth.parent) _exit(127);  // the parent died before prctl took effect
-  if (setpgid(0, 0) != 0) Fail(birth, "setpgid");
-  if (birth.joins_by >= 0 && write(birth.joins_by, "0", 1) != 1) Fail(birth, "cgroup");
-  if (birth.cores != nullptr && sched_setaffinity(0, sizeof *birth.cores, birth.cores) != 0)
-    Fail(birth, "cores");
-  if (birth.folder != nullptr && chdir(birth.folder) != 0) Fail(birth, "folder");
+  struct sigaction default_action {};
+  default_action.sa_handler = SIG_DFL;
+  for (int one = 1; one < NSIG; ++one) sigaction(one, &default_action, nullptr);
+  if (prctl(PR_SET_PDEATHSIG, SIGKILL) != 0) Fail(setup, "prctl");
+  if (getppid() != setup.parent) _exit(127);  // the parent died before prctl took effect
+  if (setpgid(0, 0) != 0) Fail(setup, "setpgid");
+  if (setup.cgroup_procs >= 0 && write(setup.cgroup_procs, "0", 1) != 1) Fail(setup, "cgroup");
+  if (setup.cores != nullptr && sched_setaffinity(0, sizeof *setup.cores, setup.cores) != 0)
+    Fail(setup, "cores");
+  if (setup.folder != nullptr && chdir(setup.folder) != 0) Fail(setup, "folder");
   for (int i = 0; i < 3; ++i) {
-    if (dup2(birth.streams[static_cast<size_t>(i)], i) < 0) Fail(birth, "dup2");
+    if (dup2(setup.streams[static_cast<size_t>(i)], i) < 0) Fail(setup, "dup2");
   }
   // Our own descriptors are close-on-exec; this covers those opened by libraries. Old kernels lack the call,
   // so its result is ignored.
   syscall(SYS_close_range, 3u, UINT_MAX, 4u /* CLOSE_RANGE_CLOEXEC */);
-  if (birth.limit_descriptors && setrlimit(RLIMIT_NOFILE, &birth.descriptors) != 0)
-    Fail(birth, "descriptors");
-  if (birth.limit_address_space && setrlimit(RLIMIT_AS, &birth.address_space) != 0)
-    Fail(birth, "address space");
+  if (setup.limit_descriptors && setrlimit(RLIMIT_NOFILE, &setup.descriptors) != 0)
+    Fail(setup, "descriptors");
+  if (setup.limit_address_space && setrlimit(RLIMIT_AS, &setup.address_space) != 0)
+    Fail(setup, "address space");
   sigset_t none;
   sigemptyset(&none);
   sigprocmask(SIG_SETMASK, &none, nullptr);
-  execve(birth.program, birth.arguments, birth.environment);
-  Fail(birth, "exec");
+  execve(setup.program, setup.arguments, setup.environment);
+  Fail(setup, "exec");
 }
 
 [[noreturn]] void Throw(int error, const std::string& what) {
@@ -93,7 +93,7 @@
 }
 
 // Moves a descriptor above the standard streams, so that dup2 in the child does not overwrite it too early.
-Descriptor Above(Descriptor fd) {
+Descriptor AboveStandardStreams(Descriptor fd) {
   if (!fd || fd.get() > STDERR_FILENO) return fd;
   return Descriptor(fcntl(fd.get(), F_DUPFD_CLOEXEC, STDERR_FILENO + 1));
 }
@@ -103,8 +103,8 @@
   Pipe() {
     int ends[2];
     if (pipe2(ends, O_CLOEXEC) != 0) Throw(errno, "pipe");
-    read = Above(Descriptor(ends[0]));
-    write = Above(Descriptor(ends[1]));
+    read = AboveStandardStreams(Descriptor(ends[0]));
+    write = AboveStandardStreams(Descriptor(ends[1]));
     if (!read || !write || fcntl(read.get(), F_SETFL, O_NONBLOCK) != 0) Throw(errno, "pipe");
   }
 };
@@ -122,7 +122,7 @@
   return all;
 }
 
-std::vector<char*> Pointers(std::vector<std::string>& texts) {
+std::vector<char*> NullTerminated(std::vector<std::string>& texts) {
   std::vector<char*> pointers;
   for (std::string& text : texts) pointers.push_back(text.data());
   pointers.push_back(nullptr);
@@ -138,7 +138,7 @@
   return limit;
 }
 
-Micros Span(const timeval& time) { return time.tv_sec * kSecondInMicros + time.tv_usec; }
+Micros ToMicros(const timeval& time) { return time.tv_sec * kSecondInMicros + time.tv_usec; }
 
 }  // namespace
 
@@ -151,7 +151,7 @@
   std::vector<std::string> words = {spec.program};
   words.insert(words.end(), spec.arguments.begin(), spec.arguments.end());
   std::vector<std::string> variables = Environment(spec);
-  const std::vector<char*> arguments = Pointers(words), environment = Pointers(variables);
+  const std::vector<char*> arguments = NullTerminated(words), environment = NullTerminated(variables);
   cpu_set_t cores;
   CPU_ZERO(&cores);
   for (int core : spec.cores) {
@@ -160,46 +160,46 @@
   }
   if (spec.cpu_share > 0) {
     cpu_share_ = CpuShare::Make(spec.cpu_share, share_.why);
-    share_.held = cpu_share_ != nullptr;
+    share_.enforced = cpu_share_ != nullptr;
   }
-  const Descriptor nothing = Above(Descriptor(open("/dev/null", O_RDONLY | O_CLOEXEC)));
-  if (!nothing) Throw(errno, "/dev/null");
+  const Descriptor dev_null = AboveStandardStreams(Descriptor(open("/dev/null", O_RDONLY | O_CLOEXEC)));
+  if (!dev_null) Throw(errno, "/dev/null");
   Pipe output, error;
-  Birth birth{.program = spec.program.c_str(),
-              .arguments = arguments.data(),
-              .environment = environment.data(),
-              .folder = spec.folder.empty() ? nullptr : spec.folder.c_str(),
-              .streams = {nothing.get(), output.write.get(), error.write.get()},
-              .parent = getpid(),
-              .descriptors = Limit(RLIMIT_NOFILE, spec.most_descriptors),
-              .address_space = Limit(RLIMIT_AS, spec.most_address_space),
-              .limit_descriptors = spec.most_descriptors > 0,
-              .limit_address_space = spec.most_address_space > 0,
-              .cores = spec.cores.empty() ? nullptr : &cores,
-              .joins_by = cpu_share_ ? cpu_share_->joins_by() : -1,
-              .failed = nullptr,
-              .error = 0};
+  ChildSetup setup{.program = spec.program.c_str(),
+                   .arguments = arguments.data(),
+                   .environment = environment.data(),
+                   .folder = spec.folder.empty() ? nullptr : spec.folder.c_str(),
+                   .streams = {dev_null.get(), output.write.get(), error.write.get()},
+                   .parent = getpid(),
+                   .descriptors = Limit(RLIMIT_NOFILE, spec.max_descriptors),
+                   .address_space = Limit(RLIMIT_AS, spec.max_address_space),
+                   .limit_descriptors = spec.max_descriptors > 0,
+                   .limit_address_space = spec.max_address_space > 0,
+                   .cores = spec.cores.empty() ? nullptr : &cores,
+                   .cgroup_procs = cpu_share_ ? cpu_share_->join_descriptor() : -1,
+                   .failed = nullptr,
+                   .error = 0};
   // Like posix_spawn, which does not support limits, cgroups and CPU sets: the child shares this program's
   // memory, so the cost does not depend on its size, and has its own stack. This thread resumes once the
   // child has called execve() or has failed.
-  const auto stack = std::make_unique<std::byte[]>(kStack);
-  void* top = stack.get() + kStack - reinterpret_cast<uintptr_t>(stack.get() + kStack) % 16;
+  const auto stack = std::make_unique<std::byte[]>(kStackBytes);
+  void* top = stack.get() + kStackBytes - reinterpret_cast<uintptr_t>(stack.get() + kStackBytes) % 16;
   sigset_t all, before;
   sigfillset(&all);
   pthread_sigmask(SIG_BLOCK, &all, &before);
   int pidfd = -1;
-  pid_ = clone(BeBorn, top, CLONE_VM | CLONE_VFORK | CLONE_PIDFD | SIGCHLD, &birth, &pidfd);
+  pid_ = clone(RunChild, top, CLONE_VM | CLONE_VFORK | CLONE_PIDFD | SIGCHLD, &setup, &pidfd);
   const int clone_error = errno;
   pthread_sigmask(SIG_SETMASK, &before, nullptr);
   if (pid_ < 0) Throw(clone_error, "can't start " + spec.program);
   pidfd_ = Descriptor(pidfd);
-  if (birth.failed != nullptr) {
+  if (setup.failed != nullptr) {
     Reap(true);
-    Throw(birth.error, "can't start " + spec.program + ": " + birth.failed);
+    Throw(setup.error, "can't start " + spec.program + ": " + setup.failed);
   }
   try {
-    output_ = StreamOver(scheduler, std::move(output.read));
-    error_ = StreamOver(scheduler, std::move(error.read));
+    output_ = MakeStream(scheduler, std::move(output.read));
+    error_ = MakeStream(scheduler, std::move(error.read));
     if (!output_ || !error_) throw std::system_error(errno, std::generic_category(), "epoll_ctl");
     scheduler.Watch(pidfd_.get(), *this);
   } catch (...) {
@@ -233,7 +233,7 @@
   syscall(SYS_waitid, P_PIDFD, id, &info, WEXITED, &used);
   exit_ = {.by_signal = info.si_code != CLD_EXITED, .code = info.si_status};
   // ru_maxrss is not used: it includes this program's memory, which the child shared before execve().
-  last_usage_.cpu = Span(used.ru_utime) + Span(used.ru_stime);
+  last_usage_.cpu = ToMicros(used.ru_utime) + ToMicros(used.ru_stime);
   last_usage_.rss_bytes = 0;
   cpu_share_.reset();
   return true;
@@ -269,7 +269,7 @@
   return last_usage_ = usage;
 }
 
-Task<> ReadLines(Stream& from, size_t longest, std::function<void(std::string_view)> told) {
+Task<> ReadLines(Stream& from, size_t max_length, std::function<void(std::string_view)> on_line) {
   std::string line, piece;
   size_t read = 0;  // since the last pause
   while (true) {
@@ -284,22 +284,22 @@
     read += piece.size();
     for (std::string_view left = piece; !left.empty();) {
       const size_t end = left.find('\n');
-      line += left.substr(0, std::min(end, longest - line.size()));
+      line += left.substr(0, std::min(end, max_length - line.size()));
       if (end == std::string_view::npos) break;
-      told(line);
+      on_line(line);
       line.clear();
       left.remove_prefix(end + 1);
     }
-    if (read >= kPiece) {
+    if (read >= kBytesPerPause) {
       read = 0;
       const Micros until = from.scheduler().Now() + kPause;
       while (from.scheduler().Now() < until) co_await from.Wait(until);
     }
   }
-  if (!line.empty()) told(line);
+  if (!line.empty()) on_line(line);
 }
 
-std::string BesideThisProgram(const std::string& name) {
+std::string SiblingProgramPath(const std::string& name) {
   return (std::filesystem::read_symlink("/proc/self/exe").parent_path() / name).string();
 }
 
--- a/src/io/process.h
+++ b/src/io/process.h
@@ -30,11 +30,11 @@
   std::vector<std::string> arguments = {};
   // Added to this process's variables; on equal names these take precedence.
   std::vector<std::pair<std::string, std::string>> environment = {};
-  std::string folder = {};          // working directory; empty: inherited
-  uint64_t most_descriptors = 0;    // 0: this process's limit, the maximum in any case
-  uint64_t most_address_space = 0;  // bytes; likewise
-  std::vector<int> cores = {};      // CPUs that it may run on; empty: inherited
-  double cpu_share = 0;             // of one core, if available (Process::share); 0: no limit
+  std::string folder = {};         // working directory; empty: inherited
+  uint64_t max_descriptors = 0;    // 0: this process's limit, the maximum in any case
+  uint64_t max_address_space = 0;  // bytes; likewise
+  std::vector<int> cores = {};     // CPUs that it may run on; empty: inherited
+  double cpu_share = 0;            // of one core, if available (Process::share); 0: no limit
 };
 
 struct ProcessExit {
@@ -56,8 +56,8 @@
  public:
   // Whether `ProcessSpec::cpu_share` is in force.
   struct Share {
-    bool held = false;  // limited by a cgroup
-    std::string why;    // reason if not
+    bool enforced = false;  // limited by a cgroup
+    std::string why;        // reason if not
   };
 
   // Throws std::system_error if the program can't be started.
@@ -91,12 +91,12 @@
 };
 
 // Reads lines until the stream ends, and passes each to the callback without its line break; a longer line
-// than `longest` bytes is truncated. After each bounded amount it pauses, so that a writer that never stops
-// can't starve other coroutines.
-Task<> ReadLines(Stream& from, size_t longest, std::function<void(std::string_view)> told);
+// than `max_length` bytes is truncated. After each bounded amount it pauses, so that a writer that never
+// stops can't starve other coroutines.
+Task<> ReadLines(Stream& from, size_t max_length, std::function<void(std::string_view)> on_line);
 
 // The path of a program in the directory of this program's executable.
-std::string BesideThisProgram(const std::string& name);
+std::string SiblingProgramPath(const std::string& name);
 
 }  // namespace burlfall
 
--- a/src/io/real_channel.cpp
+++ b/src/io/real_channel.cpp
@@ -17,14 +17,16 @@
 namespace burlfall {
 namespace {
 
-constexpr int kWaiting = 8;  // length of the accept queue
-constexpr size_t kLongestMessage = 64 * 1024;
+constexpr int kBacklog = 8;  // length of the accept queue
+constexpr size_t kMaxMessageBytes = 64 * 1024;
 
-Descriptor Packets() { return Descriptor(socket(AF_UNIX, SOCK_SEQPACKET | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)); }
+Descriptor MakePacketSocket() {
+  return Descriptor(socket(AF_UNIX, SOCK_SEQPACKET | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+}
 
 // A path longer than sun_path is addressed through a descriptor of its folder, /proc/self/fd/N/NAME; `folder`
 // must stay open until the address has been used.
-std::optional<sockaddr_un> At(const std::string& path, Descriptor& folder) {
+std::optional<sockaddr_un> PathAddress(const std::string& path, Descriptor& folder) {
   sockaddr_un at{};
   at.sun_family = AF_UNIX;
   std::string text = path;
@@ -92,7 +94,7 @@
   }
 
   Io Receive(std::string& message, std::unique_ptr<Stream>& along) override {
-    message.resize(kLongestMessage);
+    message.resize(kMaxMessageBytes);
     iovec part{message.data(), message.size()};
     msghdr header{};
     header.msg_iov = &part;
@@ -112,17 +114,17 @@
     if (n == 0) return Io::kClosed;  // no message is empty
     if (n < 0) return errno == EAGAIN || errno == EWOULDBLOCK ? Io::kLater : Io::kBroken;
     // Own every received descriptor, also unexpected ones: the padding of the buffer has room for a second.
-    std::vector<Descriptor> came;
+    std::vector<Descriptor> descriptors;
     for (cmsghdr* c = CMSG_FIRSTHDR(&header); c != nullptr; c = CMSG_NXTHDR(&header, c)) {
       if (c->cmsg_level != SOL_SOCKET || c->cmsg_type != SCM_RIGHTS) continue;
       for (size_t at = CMSG_LEN(0); at + sizeof(int) <= c->cmsg_len; at += sizeof(int)) {
         int fd = -1;
         std::memcpy(&fd, reinterpret_cast<const char*>(c) + at, sizeof fd);
-        came.emplace_back(fd);
+        descriptors.emplace_back(fd);
       }
     }
-    if (came.size() == 1 && IsConnection(came.front().get()))
-      along = StreamOver(static_cast<RealScheduler&>(scheduler()), std::move(came.front()));
+    if (descriptors.size() == 1 && IsConnection(descriptors.front().get()))
+      along = MakeStream(static_cast<RealScheduler&>(scheduler()), std::move(descriptors.front()));
     return (header.msg_flags & MSG_TRUNC) != 0 ? Io::kBroken : Io::kSome;
   }
 
@@ -142,9 +144,11 @@
       if (!fd && (errno == EINTR || errno == ECONNABORTED)) continue;
       if (!fd) return nullptr;
       // Only processes of the same user are accepted, whatever the permissions of the folder.
-      ucred who{};
-      socklen_t length = sizeof who;
-      if (getsockopt(fd.get(), SOL_SOCKET, SO_PEERCRED, &who, &length) != 0 || who.uid != geteuid()) continue;
+      ucred credentials{};
+      socklen_t length = sizeof credentials;
+      if (getsockopt(fd.get(), SOL_SOCKET, SO_PEERCRED, &credentials, &length) != 0 ||
+          credentials.uid != geteuid())
+        continue;
       return std::make_unique<RealChannel>(static_cast<RealScheduler&>(scheduler()), std::move(fd));
     }
   }
@@ -155,24 +159,24 @@
 
 }  // namespace
 
-std::unique_ptr<Channel> MeetChannel(RealScheduler& scheduler, const std::string& path) {
+std::unique_ptr<Channel> ConnectRealChannel(RealScheduler& scheduler, const std::string& path) {
   Descriptor folder;
-  const std::optional<sockaddr_un> at = At(path, folder);
-  Descriptor fd = Packets();
+  const std::optional<sockaddr_un> at = PathAddress(path, folder);
+  Descriptor fd = MakePacketSocket();
   // A Unix socket connects immediately or not at all; EAGAIN means that the accept queue is full.
   if (!at || !fd || connect(fd.get(), reinterpret_cast<const sockaddr*>(&*at), sizeof *at) != 0)
     return nullptr;
   return std::make_unique<RealChannel>(scheduler, std::move(fd));
 }
 
-std::unique_ptr<ChannelListener> AwaitChannel(RealScheduler& scheduler, const std::string& path,
-                                              std::string& why) {
+std::unique_ptr<ChannelListener> ListenOnRealChannel(RealScheduler& scheduler, const std::string& path,
+                                                     std::string& why) {
   Descriptor folder;
-  const std::optional<sockaddr_un> at = At(path, folder);
-  Descriptor fd = Packets();
+  const std::optional<sockaddr_un> at = PathAddress(path, folder);
+  Descriptor fd = MakePacketSocket();
   if (at) unlink(at->sun_path);  // left by a process that has ended, or hands over to this one
   if (!at || !fd || bind(fd.get(), reinterpret_cast<const sockaddr*>(&*at), sizeof *at) != 0 ||
-      listen(fd.get(), kWaiting) != 0) {
+      listen(fd.get(), kBacklog) != 0) {
     why = at ? std::strerror(errno) : "the path is too long, or its folder can't be used";
     return nullptr;
   }
--- a/src/io/real_channel.h
+++ b/src/io/real_channel.h
@@ -10,9 +10,9 @@
 
 namespace burlfall {
 
-std::unique_ptr<Channel> MeetChannel(RealScheduler& scheduler, const std::string& path);
-std::unique_ptr<ChannelListener> AwaitChannel(RealScheduler& scheduler, const std::string& path,
-                                              std::string& why);
+std::unique_ptr<Channel> ConnectRealChannel(RealScheduler& scheduler, const std::string& path);
+std::unique_ptr<ChannelListener> ListenOnRealChannel(RealScheduler& scheduler, const std::string& path,
+                                                     std::string& why);
 
 }  // namespace burlfall
 
--- a/src/io/real_durable.cpp
+++ b/src/io/real_durable.cpp
@@ -41,34 +41,34 @@
 
 // Returns false with errno set. Errors of close() are ignored: the data is already flushed.
 bool Replace(const DurableWrite& write) {
-  const std::string beside = write.path + ".new";
-  const Descriptor fd(open(beside.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0640));
+  const std::string temporary = write.path + ".new";
+  const Descriptor fd(open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0640));
   return fd && WriteAt(fd.get(), write.bytes, 0) && fsync(fd.get()) == 0 &&
-         rename(beside.c_str(), write.path.c_str()) == 0 && FlushFolderOf(write.path);
+         rename(temporary.c_str(), write.path.c_str()) == 0 && FlushFolderOf(write.path);
 }
 
-bool WriteBehind(const DurableWrite& write) {
-  const bool made = access(write.path.c_str(), F_OK) != 0;
+bool WriteTail(const DurableWrite& write) {
+  const bool created = access(write.path.c_str(), F_OK) != 0;
   const Descriptor fd(open(write.path.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC, 0640));
   return fd && WriteAt(fd.get(), write.bytes, *write.at) &&
          ftruncate(fd.get(), static_cast<off_t>(*write.at + write.bytes.size())) == 0 &&
-         fdatasync(fd.get()) == 0 && (!made || FlushFolderOf(write.path));
+         fdatasync(fd.get()) == 0 && (!created || FlushFolderOf(write.path));
 }
 
 class RealDurable final : public DurableWriter {
  public:
   explicit RealDurable(RealScheduler& scheduler)
-      : DurableWriter(scheduler), bell_(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
-    if (!bell_) throw std::system_error(errno, std::generic_category(), "eventfd");
-    scheduler.Watch(bell_.get(), *this);
-    worker_ = std::thread([this] { Work(); });
+      : DurableWriter(scheduler), event_fd_(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
+    if (!event_fd_) throw std::system_error(errno, std::generic_category(), "eventfd");
+    scheduler.Watch(event_fd_.get(), *this);
+    worker_ = std::thread([this] { RunWorker(); });
   }
 
   // Batches that have not begun are dropped, as if the process had ended a moment earlier.
   ~RealDurable() override {
     {
       const std::lock_guard lock(mutex_);
-      over_ = true;
+      stopping_ = true;
     }
     wake_.notify_one();
     worker_.join();
@@ -85,23 +85,23 @@
     const std::lock_guard lock(mutex_);
     return done_;
   }
-  std::string Why() const override {
+  std::string ErrorText() const override {
     const std::lock_guard lock(mutex_);
     return why_;
   }
 
  private:
-  void Work() {
+  void RunWorker() {
     std::unique_lock lock(mutex_);
     while (true) {
-      wake_.wait(lock, [this] { return over_ || (why_.empty() && !waiting_.empty()); });
-      if (over_) return;
+      wake_.wait(lock, [this] { return stopping_ || (why_.empty() && !waiting_.empty()); });
+      if (stopping_) return;
       const std::vector<DurableWrite> batch = std::move(waiting_.front());
       waiting_.pop_front();
       lock.unlock();
       std::string why;
       for (const DurableWrite& write : batch) {
-        if (write.at ? WriteBehind(write) : Replace(write)) continue;
+        if (write.at ? WriteTail(write) : Replace(write)) continue;
         why = write.path + ": " + std::strerror(errno);
         break;
       }
@@ -110,17 +110,17 @@
       if (why_.empty()) ++done_;
       const uint64_t one = 1;
       // The eventfd counter can't overflow; and the owner checks again in any case.
-      if (write(bell_.get(), &one, sizeof one) < 0 && why_.empty()) continue;
+      if (write(event_fd_.get(), &one, sizeof one) < 0 && why_.empty()) continue;
     }
   }
 
-  Descriptor bell_;
+  Descriptor event_fd_;
   mutable std::mutex mutex_;
   std::condition_variable wake_;
   std::deque<std::vector<DurableWrite>> waiting_;
   uint64_t done_ = 0;
   std::string why_;
-  bool over_ = false;
+  bool stopping_ = false;
   std::thread worker_;  // last: the thread uses all members above
 };
 
--- a/src/io/real_files.cpp
+++ b/src/io/real_files.cpp
@@ -61,8 +61,8 @@
     return Io::kSome;
   }
 
-  std::string Why() const override { return why_; }
-  void AwaitRoom(Micros patience) override { HasRoom(fd(), static_cast<int>(patience / kMs)); }
+  std::string ErrorText() const override { return why_; }
+  void AwaitRoom(Micros timeout) override { HasRoom(fd(), static_cast<int>(timeout / kMs)); }
 
  private:
   int fd() const { return own_ ? own_.get() : shared_; }
@@ -87,10 +87,10 @@
   }
 
   std::unique_ptr<Writable> Write(const std::string& path, Open how, std::string& why) override {
-    const bool anew = how == Open::kNew;
+    const bool create = how == Open::kNew;
     // O_NONBLOCK, since the path may be a named pipe.
-    const int flags = O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC | (anew ? O_EXCL : O_NONBLOCK | O_NOCTTY);
-    Descriptor fd(open(path.c_str(), flags, anew ? 0640 : 0644));
+    const int flags = O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC | (create ? O_EXCL : O_NONBLOCK | O_NOCTTY);
+    Descriptor fd(open(path.c_str(), flags, create ? 0640 : 0644));
     if (!fd) {
       why = std::strerror(errno);
       return nullptr;
@@ -101,17 +101,17 @@
   bool Replace(const std::string& path, std::string_view text, std::string& why) override {
     // The temporary file has the pid in its name: two processes that write at once each publish their own
     // complete text.
-    const std::string beside = path + ".new." + std::to_string(getpid());
-    Descriptor fd(open(beside.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0640));
+    const std::string temporary = path + ".new." + std::to_string(getpid());
+    Descriptor fd(open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0640));
     bool written = static_cast<bool>(fd);
     while (written && !text.empty()) {
       const ssize_t n = write(fd.get(), text.data(), text.size());
       if (n > 0) text.remove_prefix(static_cast<size_t>(n));
       written = n > 0 || (n < 0 && errno == EINTR);
     }
-    if (written && rename(beside.c_str(), path.c_str()) == 0) return true;
+    if (written && rename(temporary.c_str(), path.c_str()) == 0) return true;
     why = std::strerror(errno);
-    if (fd) unlink(beside.c_str());
+    if (fd) unlink(temporary.c_str());
     return false;
   }
 
@@ -121,7 +121,7 @@
     return !error;
   }
 
-  bool Usable(const std::string& folder, std::string& why) override {
+  bool IsWritableFolder(const std::string& folder, std::string& why) override {
     std::error_code error;
     const bool usable = std::filesystem::is_directory(folder, error);
     if (usable && access(folder.c_str(), W_OK | X_OK) == 0) return true;
@@ -147,21 +147,21 @@
 
 std::unique_ptr<Files> MakeRealFiles() { return std::make_unique<RealFiles>(); }
 
-std::unique_ptr<Writable> WriteToNobody() {
+std::unique_ptr<Writable> MakeClosedWriter() {
   return std::make_unique<DescriptorWriter>(DescriptorWriter::Kind::kClosed, -1, Descriptor());
 }
 
-std::unique_ptr<Writable> WriteTo(int fd, bool anew) {
+std::unique_ptr<Writable> MakeDescriptorWriter(int fd, bool reopen) {
   using Kind = DescriptorWriter::Kind;
   struct stat status {};
   // Never write to a closed descriptor: its number may soon belong to a client link.
-  if (fstat(fd, &status) != 0) return WriteToNobody();
+  if (fstat(fd, &status) != 0) return MakeClosedWriter();
   if (S_ISSOCK(status.st_mode)) return std::make_unique<DescriptorWriter>(Kind::kSocket, fd, Descriptor());
   // A regular file is not reopened: two descriptions have separate offsets and would overwrite each other.
   if (S_ISREG(status.st_mode)) return std::make_unique<DescriptorWriter>(Kind::kOwn, fd, Descriptor());
   Descriptor own;  // stays empty for another user's pipe, which can't be opened
   const std::string path = "/proc/self/fd/" + std::to_string(fd);
-  if (anew) own = Descriptor(open(path.c_str(), O_WRONLY | O_NONBLOCK | O_CLOEXEC | O_NOCTTY));
+  if (reopen) own = Descriptor(open(path.c_str(), O_WRONLY | O_NONBLOCK | O_CLOEXEC | O_NOCTTY));
   const Kind kind = own ? Kind::kOwn : Kind::kShared;
   return std::make_unique<DescriptorWriter>(kind, fd, std::move(own));
 }
--- a/src/io/real_machine.cpp
+++ b/src/io/real_machine.cpp
@@ -23,7 +23,7 @@
 namespace burlfall {
 namespace {
 
-constexpr int kMostRounds = 64;  // of reading events, before the woken coroutines run
+constexpr int kMaxPolls = 64;  // reads of pending events before the woken coroutines run
 
 template <typename Clock>
 Micros Read() {
@@ -42,7 +42,8 @@
   if (fd_ >= 0) close(fd_);
 }
 
-RealScheduler::RealScheduler(bool fine) : epoll_(epoll_create1(EPOLL_CLOEXEC)), fine_(fine) {
+RealScheduler::RealScheduler(bool precise_timers)
+    : epoll_(epoll_create1(EPOLL_CLOEXEC)), precise_timers_(precise_timers) {
   if (!epoll_) throw std::system_error(errno, std::generic_category(), "epoll_create1");
   offset_ = Read<std::chrono::system_clock>() - Read<std::chrono::steady_clock>();
 }
@@ -71,35 +72,35 @@
     wait = static_cast<int>(std::min<Micros>((left + kMs - 1) / kMs, 60000));
   }
   std::array<epoll_event, 256> events;
-  const int most = static_cast<int>(events.size());
+  const int max_events = static_cast<int>(events.size());
   int n = -1;
-  if (fine_ && wait > 0) {
+  if (precise_timers_ && wait > 0) {
     const Micros left = std::clamp<Micros>(until - Now(), 0, 60 * kSecond);
     const timespec exactly{left / kSecond, left % kSecond * 1000};
-    n = epoll_pwait2(epoll_.get(), events.data(), most, &exactly, nullptr);
-    if (n < 0 && errno != EINTR) fine_ = false;  // the kernel lacks epoll_pwait2
+    n = epoll_pwait2(epoll_.get(), events.data(), max_events, &exactly, nullptr);
+    if (n < 0 && errno != EINTR) precise_timers_ = false;  // the kernel lacks epoll_pwait2
   }
-  if (!fine_ || wait <= 0) n = epoll_wait(epoll_.get(), events.data(), most, wait);
+  if (!precise_timers_ || wait <= 0) n = epoll_wait(epoll_.get(), events.data(), max_events, wait);
   // A process that was stopped and continued gets EINTR, whatever has arrived meanwhile: read the events.
-  if (n < 0 && errno == EINTR) n = epoll_wait(epoll_.get(), events.data(), most, 0);
+  if (n < 0 && errno == EINTR) n = epoll_wait(epoll_.get(), events.data(), max_events, 0);
   if (n < 0 && errno != EINTR) throw std::system_error(errno, std::generic_category(), "epoll_wait");
   // No coroutine runs in this loop, so no Signal that a later event refers to can be destroyed meanwhile. All
-  // pending events are read before any coroutine runs: otherwise a high-priority signal (Signal::GoFirst)
-  // would wait behind the coroutines of the events read before it.
-  for (int rounds = 0; n > 0; ++rounds) {
+  // pending events are read before any coroutine runs: otherwise a high-priority signal
+  // (Signal::SetHighPriority) would wait behind the coroutines of the events read before it.
+  for (int polls = 0; n > 0; ++polls) {
     for (int i = 0; i < n; ++i) {
       const epoll_event& event = events[static_cast<size_t>(i)];
       Signal& signal = *static_cast<Signal*>(event.data.ptr);
-      event.events&(EPOLLRDHUP | EPOLLHUP | EPOLLERR) ? signal.NotifyEnd() : signal.Notify();
+      event.events&(EPOLLRDHUP | EPOLLHUP | EPOLLERR) ? signal.NotifyPeerEnded() : signal.Notify();
     }
-    if (n < most || rounds >= kMostRounds) break;
-    n = epoll_wait(epoll_.get(), events.data(), most, 0);
+    if (n < max_events || polls >= kMaxPolls) break;
+    n = epoll_wait(epoll_.get(), events.data(), max_events, 0);
   }
 }
 
-RealMachine::RealMachine(bool fine)
+RealMachine::RealMachine(bool precise_timers)
     : standard_error_open_(fcntl(STDERR_FILENO, F_GETFD) >= 0),
-      scheduler_(fine),
+      scheduler_(precise_timers),
       network_(MakeRealNetwork(scheduler_)),
       files_(MakeRealFiles()) {}
 RealMachine::~RealMachine() = default;
@@ -117,10 +118,10 @@
 }
 
 std::unique_ptr<Writable> RealMachine::StandardError() {
-  return standard_error_open_ ? WriteTo(STDERR_FILENO) : WriteToNobody();
+  return standard_error_open_ ? MakeDescriptorWriter(STDERR_FILENO) : MakeClosedWriter();
 }
 
-size_t RealMachine::MostDescriptors() {
+size_t RealMachine::MaxDescriptors() {
   rlimit limit{};
   return getrlimit(RLIMIT_NOFILE, &limit) == 0 ? static_cast<size_t>(limit.rlim_cur) : 1024;
 }
--- a/src/io/real_machine.h
+++ b/src/io/real_machine.h
@@ -28,7 +28,7 @@
 // A scheduler over epoll.
 class RealScheduler final : public Scheduler {
  public:
-  explicit RealScheduler(bool fine = false);
+  explicit RealScheduler(bool precise_timers = false);
   Micros Now() const override;
   // Notifies the signal at each edge (EPOLLET) of the descriptor, until it is closed. Throws
   // std::system_error.
@@ -41,15 +41,15 @@
   void Poll(Micros until) override;
 
   Descriptor epoll_;
-  bool fine_;
+  bool precise_timers_;
   Micros offset_ = 0;  // added to the steady clock gives Unix time
 };
 
 class RealMachine final : public Machine {
  public:
-  // `fine`: timers have microsecond precision, as far as the system can. Otherwise they fire up to a
-  // millisecond late, so that those of one millisecond fire together.
-  explicit RealMachine(bool fine = false);
+  // `precise_timers`: timers have microsecond precision, as far as the system can. Otherwise they fire up to
+  // a millisecond late, so that those of one millisecond fire together.
+  explicit RealMachine(bool precise_timers = false);
   ~RealMachine() override;
   RealScheduler& scheduler() override { return scheduler_; }
   Network& network() override { return *network_; }
@@ -58,7 +58,7 @@
   Micros WallClock() override;
   uint64_t Entropy() override;
   std::unique_ptr<Writable> StandardError() override;
-  size_t MostDescriptors() override;
+  size_t MaxDescriptors() override;
   size_t ResidentBytes() override;
 
  private:
@@ -69,14 +69,14 @@
   std::unique_ptr<Files> files_;
 };
 
-// Writes to any descriptor as Machine::StandardError() does; the caller keeps ownership. With `anew` false it
-// is never reopened.
-std::unique_ptr<Writable> WriteTo(int fd, bool anew = true);
-std::unique_ptr<Writable> WriteToNobody();  // every write returns kBroken
+// Writes to any descriptor as Machine::StandardError() does; the caller keeps ownership. With `reopen` false
+// it is never reopened.
+std::unique_ptr<Writable> MakeDescriptorWriter(int fd, bool reopen = true);
+std::unique_ptr<Writable> MakeClosedWriter();  // every write returns kBroken
 
 // A stream over a non-blocking descriptor: a socket, or the read end of a pipe. Nullptr if it can't be added
 // to the epoll set.
-std::unique_ptr<Stream> StreamOver(RealScheduler& scheduler, Descriptor fd);
+std::unique_ptr<Stream> MakeStream(RealScheduler& scheduler, Descriptor fd);
 
 // Receives process signals (signalfd); they are blocked from then on, so they no longer end the process.
 class ProcessSignals final : public Signal {
--- a/src/io/real_network.cpp
+++ b/src/io/real_network.cpp
@@ -18,7 +18,7 @@
 namespace burlfall {
 namespace {
 
-bool Later() { return errno == EAGAIN || errno == EWOULDBLOCK; }
+bool WouldBlock() { return errno == EAGAIN || errno == EWOULDBLOCK; }
 
 class RealStream final : public Stream {
  public:
@@ -47,7 +47,7 @@
       }
       if (n == 0) return Io::kClosed;
       if (errno == EINTR) continue;
-      return Later() ? Io::kLater : Io::kBroken;
+      return WouldBlock() ? Io::kLater : Io::kBroken;
     }
   }
 
@@ -58,19 +58,19 @@
       if (n >= 0) {
         bytes.remove_prefix(static_cast<size_t>(n));
       } else if (errno != EINTR) {
-        return Later() ? Io::kLater : Io::kBroken;
+        return WouldBlock() ? Io::kLater : Io::kBroken;
       }
     }
     return Io::kSome;
   }
 
-  bool Quiet() override {
+  bool IsIdle() override {
     char byte;
     ssize_t n = recv(fd_.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    return n < 0 && Later();
+    return n < 0 && WouldBlock();
   }
 
-  bool Ended() override { return heard_end(); }
+  bool PeerEnded() override { return peer_ended(); }
 
   void Finish() override { shutdown(fd_.get(), SHUT_WR); }
 
@@ -83,11 +83,11 @@
   void Close() override { fd_ = Descriptor(); }
   int fd() const { return fd_.get(); }
 
-  Address Peer() const override { return Ask(getpeername); }
-  Address Local() const override { return Ask(getsockname); }
+  Address Peer() const override { return QueryAddress(getpeername); }
+  Address Local() const override { return QueryAddress(getsockname); }
 
  private:
-  Address Ask(int (*call)(int, sockaddr*, socklen_t*)) const {
+  Address QueryAddress(int (*call)(int, sockaddr*, socklen_t*)) const {
     sockaddr_storage at{};
     socklen_t length = sizeof at;
     if (call(fd_.get(), reinterpret_cast<sockaddr*>(&at), &length) != 0) return Address();
@@ -98,12 +98,12 @@
 };
 
 // Nullptr if the stream can't be added to the epoll set: an exception would end the process.
-std::unique_ptr<RealStream> Watched(RealScheduler& scheduler, Descriptor fd) {
+std::unique_ptr<RealStream> MakeWatchedStream(RealScheduler& scheduler, Descriptor fd) {
   auto stream = std::make_unique<RealStream>(scheduler, std::move(fd));
   return scheduler.TryWatch(stream->fd(), *stream) ? std::move(stream) : nullptr;
 }
 
-void NoDelay(int fd) {
+void SetNoDelay(int fd) {
   int on = 1;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
@@ -129,12 +129,12 @@
   Accepted Accept(std::unique_ptr<Stream>& into) override {
     while (true) {
       Descriptor fd(accept4(fd_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
-      if (!fd && Later()) return Accepted::kNone;
+      if (!fd && WouldBlock()) return Accepted::kNone;
       if (!fd && (errno == EINTR || errno == ECONNABORTED || errno == EPROTO))
         continue;  // the peer has gone already
       if (!fd) return Accepted::kNoRoom;
-      NoDelay(fd.get());
-      into = Watched(static_cast<RealScheduler&>(scheduler()), std::move(fd));
+      SetNoDelay(fd.get());
+      into = MakeWatchedStream(static_cast<RealScheduler&>(scheduler()), std::move(fd));
       return into ? Accepted::kOne : Accepted::kNoRoom;
     }
   }
@@ -146,15 +146,15 @@
     return ToAddress(at, length);
   }
 
-  void Backlog(int most) override { listen(fd_.get(), most); }
+  void SetBacklog(int max) override { listen(fd_.get(), max); }
 
  private:
   Descriptor fd_;
 };
 
-class Datagrams final : public Writable {
+class DatagramWriter final : public Writable {
  public:
-  explicit Datagrams(Descriptor fd) : fd_(std::move(fd)) {}
+  explicit DatagramWriter(Descriptor fd) : fd_(std::move(fd)) {}
   Io Write(std::string_view& bytes) override {
     while (!bytes.empty()) {
       ssize_t n = send(fd_.get(), bytes.data(), bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
@@ -167,7 +167,7 @@
     }
     return Io::kSome;
   }
-  std::string Why() const override { return why_; }
+  std::string ErrorText() const override { return why_; }
   void AwaitRoom(Micros) override {}
 
  private:
@@ -194,7 +194,7 @@
       if (errno == EINTR) continue;
       // An ICMP error for an earlier datagram is reported here, and says nothing about this one.
       if (errno == ECONNREFUSED) return Io::kSome;
-      return Later() || errno == ENOBUFS ? Io::kLater : Io::kBroken;
+      return WouldBlock() || errno == ENOBUFS ? Io::kLater : Io::kBroken;
     }
   }
 
@@ -211,7 +211,7 @@
         return Io::kSome;
       }
       if (errno == EINTR || errno == ECONNREFUSED) continue;
-      return Later() ? Io::kLater : Io::kBroken;
+      return WouldBlock() ? Io::kLater : Io::kBroken;
     }
   }
 
@@ -227,7 +227,7 @@
 };
 
 // Binds to the host only. The port is chosen at connect(), so that one source port can serve many peers.
-bool BoundTo(int fd, const Address* from) {
+bool BindToHost(int fd, const Address* from) {
   if (from == nullptr) return true;
   sockaddr_storage host = from->storage;
   if (host.ss_family == AF_INET6) {
@@ -247,15 +247,16 @@
   std::unique_ptr<Stream> ConnectFrom(const Address* from, const Address& to, NoConnection& why) override {
     Descriptor fd(socket(to.storage.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     if (fd) {
-      NoDelay(fd.get());
-      if (BoundTo(fd.get(), from) && (connect(fd.get(), to.get(), to.length) == 0 || errno == EINPROGRESS)) {
+      SetNoDelay(fd.get());
+      if (BindToHost(fd.get(), from) &&
+          (connect(fd.get(), to.get(), to.length) == 0 || errno == EINPROGRESS)) {
         why = NoConnection::kNoRoom;
-        return Watched(scheduler_, std::move(fd));
+        return MakeWatchedStream(scheduler_, std::move(fd));
       }
     }
-    const bool ours =
+    const bool local_shortage =
         errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM || errno == EADDRNOTAVAIL;
-    why = ours ? NoConnection::kNoRoom : NoConnection::kRefused;
+    why = local_shortage ? NoConnection::kNoRoom : NoConnection::kRefused;
     return nullptr;
   }
 
@@ -279,19 +280,21 @@
     return std::make_unique<RealListener>(scheduler_, std::move(own));
   }
 
-  std::unique_ptr<Channel> Meet(const std::string& path) override { return MeetChannel(scheduler_, path); }
-  std::unique_ptr<ChannelListener> Await(const std::string& path, std::string& why) override {
-    return AwaitChannel(scheduler_, path, why);
+  std::unique_ptr<Channel> ConnectChannel(const std::string& path) override {
+    return ConnectRealChannel(scheduler_, path);
+  }
+  std::unique_ptr<ChannelListener> ListenOnChannel(const std::string& path, std::string& why) override {
+    return ListenOnRealChannel(scheduler_, path, why);
   }
 
   std::unique_ptr<DatagramSocket> Bind(const Address& at) override {
     return std::make_unique<RealDatagramSocket>(scheduler_, at);
   }
-  std::unique_ptr<Writable> Datagrams(const Address& to) override {
+  std::unique_ptr<Writable> DatagramWriterTo(const Address& to) override {
     Descriptor fd(socket(to.storage.ss_family, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     // Connected, so that a later send reports an error if nothing listens at the address.
     if (!fd || connect(fd.get(), to.get(), to.length) != 0) return nullptr;
-    return std::make_unique<burlfall::Datagrams>(std::move(fd));
+    return std::make_unique<DatagramWriter>(std::move(fd));
   }
 
  private:
@@ -306,8 +309,8 @@
 
 int DescriptorOf(const Stream& stream) { return static_cast<const RealStream&>(stream).fd(); }
 
-std::unique_ptr<Stream> StreamOver(RealScheduler& scheduler, Descriptor fd) {
-  return Watched(scheduler, std::move(fd));
+std::unique_ptr<Stream> MakeStream(RealScheduler& scheduler, Descriptor fd) {
+  return MakeWatchedStream(scheduler, std::move(fd));
 }
 
 }  // namespace burlfall
--- a/src/io/run_folder.cpp
+++ b/src/io/run_folder.cpp
@@ -15,8 +15,8 @@
 namespace burlfall {
 
 RunFolder::RunFolder(std::string parent) : path_(std::move(parent)) {
-  const char* given = getenv("TMPDIR");
-  if (path_.empty()) path_ = given != nullptr && *given != 0 ? given : "/tmp";
+  const char* temporary_root = getenv("TMPDIR");
+  if (path_.empty()) path_ = temporary_root != nullptr && *temporary_root != 0 ? temporary_root : "/tmp";
   path_ += "/burlfall-run-XXXXXX";
   if (mkdtemp(path_.data()) == nullptr) throw std::system_error(errno, std::generic_category(), path_);
 }
@@ -27,10 +27,10 @@
 }
 
 void RunFolder::Write(const std::string& name, std::string_view text) const {
-  const std::string path = Path(name), fresh = path + ".new";
-  auto fail = [&fresh] { throw std::system_error(errno, std::generic_category(), fresh); };
+  const std::string path = Path(name), temporary = path + ".new";
+  auto fail = [&temporary] { throw std::system_error(errno, std::generic_category(), temporary); };
   {
-    const Descriptor fd(open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
+    const Descriptor fd(open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
     if (!fd) fail();
     while (!text.empty()) {
       const ssize_t n = write(fd.get(), text.data(), text.size());
@@ -38,7 +38,7 @@
       if (n > 0) text.remove_prefix(static_cast<size_t>(n));
     }
   }
-  if (rename(fresh.c_str(), path.c_str()) != 0) fail();
+  if (rename(temporary.c_str(), path.c_str()) != 0) fail();
 }
 
 }  // namespace burlfall
--- a/src/io/scheduler.cpp
+++ b/src/io/scheduler.cpp
@@ -6,10 +6,10 @@
 namespace burlfall {
 
 void Scheduler::Run() {
-  while (!stopped_) Turn();
+  while (!stopped_) RunOnce();
 }
 
-void Scheduler::Turn() {
+void Scheduler::RunOnce() {
   // Only the coroutines ready now: those woken meanwhile wait for the next iteration, so that sockets and
   // timers are served in between.
   for (size_t n = ready_.size(); n > 0 && !stopped_ && !ready_.empty(); --n) {
@@ -22,7 +22,7 @@
   if (stopped_) return;
   Poll(!ready_.empty() ? 0 : timers_.empty() ? kNever : timers_.begin()->first);
   const Micros now = Now();
-  heard_at_ = now;
+  last_poll_at_ = now;
   while (!timers_.empty() && timers_.begin()->first <= now) timers_.begin()->second->Wake(false);
 }
 
@@ -54,7 +54,7 @@
   notified_ = notified;
   queued_ = true;
   std::deque<Waiter*>& ready = signal_.scheduler_.ready_;
-  signal_.first_ ? ready.push_front(this) : ready.push_back(this);
+  signal_.high_priority_ ? ready.push_front(this) : ready.push_back(this);
 }
 
 void Signal::Notify() {
@@ -65,8 +65,8 @@
   }
 }
 
-void Signal::NotifyEnd() {
-  heard_end_ = true;
+void Signal::NotifyPeerEnded() {
+  peer_ended_ = true;
   Notify();
 }
 
--- a/src/io/scheduler.h
+++ b/src/io/scheduler.h
@@ -26,7 +26,7 @@
   // Unix time at the start plus the time elapsed since: it never jumps.
   virtual Micros Now() const = 0;
   // Time of the last poll for external events: later events have not been seen yet.
-  Micros heard_at() const { return heard_at_; }
+  Micros last_poll_at() const { return last_poll_at_; }
   void Run();  // until Stop()
   virtual void Stop() { stopped_ = true; }
 
@@ -40,10 +40,10 @@
   friend class Waiter;
   using Timers = std::multimap<Micros, Waiter*>;
 
-  void Turn();
+  void RunOnce();
 
   bool stopped_ = false;
-  Micros heard_at_ = 0;
+  Micros last_poll_at_ = 0;
   Timers timers_;
   std::deque<Waiter*> ready_;
 };
@@ -80,10 +80,10 @@
   Signal(const Signal&) = delete;
   void Notify();
   // Like Notify(), and records that the peer has ended its sending or is gone.
-  void NotifyEnd();
-  bool heard_end() const { return heard_end_; }
+  void NotifyPeerEnded();
+  bool peer_ended() const { return peer_ended_; }
   // Its waiter is resumed before all others that are ready.
-  void GoFirst() { first_ = true; }
+  void SetHighPriority() { high_priority_ = true; }
   // The wait yields true if notified, false if `until` passed first.
   Waiter Wait(Micros until = kNever) { return Waiter(*this, until); }
   Scheduler& scheduler() const { return scheduler_; }
@@ -97,8 +97,8 @@
   Scheduler& scheduler_;
   Waiter* waiter_ = nullptr;
   bool notified_ = false;
-  bool heard_end_ = false;
-  bool first_ = false;
+  bool peer_ended_ = false;
+  bool high_priority_ = false;
 };
 
 // A Signal that belongs to no other object.
--- a/src/lab/commands.cpp
+++ b/src/lab/commands.cpp
@@ -158,7 +158,7 @@
   }
   options.start_within = static_cast<Micros>(words.start_within_s * kSecond);
   if (!words.policy.empty()) {
-    options.command = {BesideThisProgram("burlfall-lab-serve"), "--policy", words.policy, "--log-format",
+    options.command = {SiblingProgramPath("burlfall-lab-serve"), "--policy", words.policy, "--log-format",
                        "json"};
   } else if (!words.program.empty()) {
     options.command = {fs::absolute(words.program).string(), "serve", "--log-format", "json"};
--- a/src/lab/council/real_council.cpp
+++ b/src/lab/council/real_council.cpp
@@ -438,7 +438,7 @@
     const Micros until = machine_.Now() + kPatience;
     std::string answer;
     while (machine_.Now() < until && played_.why_not.empty()) {
-      std::unique_ptr<Channel> channel = machine_.network().Meet(Stem(i) + ".council");
+      std::unique_ptr<Channel> channel = machine_.network().ConnectChannel(Stem(i) + ".council");
       if (!channel) {
         co_await moved_.Wait(machine_.Now() + kLookEvery);
         continue;
--- a/src/lab/load/http_link.h
+++ b/src/lab/load/http_link.h
@@ -41,7 +41,7 @@
 
   // On a link that is up and free. kBroken: it can't be written to, and is to be closed.
   Sent Send(std::string_view query);
-  bool Quiet() { return stream_->Quiet(); }  // open, and nothing has come unasked
+  bool Quiet() { return stream_->IsIdle(); }  // open, and nothing has come unasked
   void Close();
 
   bool up() const { return up_; }
--- a/src/lab/load/rude.cpp
+++ b/src/lab/load/rude.cpp
@@ -114,7 +114,7 @@
   piece.resize(kPourPiece, 'x');
   for (size_t poured = 0; poured < kPourMost; poured += kPourPiece) {
     const bool written = co_await WriteAll(stream, piece, until);
-    if (!written || !stream.Quiet()) break;
+    if (!written || !stream.IsIdle()) break;
     piece.assign(kPourPiece, 'x');
     co_await stream.Wait(machine_.Now());  // a piece a turn: the others want theirs
   }
--- a/src/lab/paths/paths.cpp
+++ b/src/lab/paths/paths.cpp
@@ -71,14 +71,14 @@
   const bool cut = Cut(door.from, door.to);
   if (cut && !door.filler) {
     door.task = Task<>();
-    door.listener->Backlog(0);
+    door.listener->SetBacklog(0);
     NoConnection why = NoConnection::kRefused;
     door.filler = machine_.network().Connect(door.listener->Local(), why);
   } else if (!cut && door.filler) {
     door.filler.reset();
     std::unique_ptr<Stream> stream;
     while (door.listener->Accept(stream) == Listener::Accepted::kOne) stream->Reset();
-    door.listener->Backlog(kBacklog);
+    door.listener->SetBacklog(kBacklog);
   }
   if (cut || !door.task.Done()) return;
   door.task = Accept(door);
@@ -120,7 +120,7 @@
 // Until its path is whole, or whoever connected has given up.
 Task<> Paths::Held(Link& link) {
   Stream& near = *link.near.stream;
-  while (Cut(link.near.self, link.near.other) && near.Quiet()) {
+  while (Cut(link.near.self, link.near.other) && near.IsIdle()) {
     co_await near.Wait(machine_.Now() + kHeldLook);
   }
   // What it said meanwhile stays in the line.
--- a/src/lab/run/children.cpp
+++ b/src/lab/run/children.cpp
@@ -60,7 +60,7 @@
   folder_.Write(ConfigName(i), spec.config);
   ProcessSpec start;
   if (settings_.command.empty()) {
-    start.program = BesideThisProgram("burlfall");
+    start.program = SiblingProgramPath("burlfall");
     start.arguments = {"serve", "--log-format", "json"};
     if (!settings_.properties.empty()) {
       start.arguments.insert(start.arguments.end(), {"--config", settings_.properties});
@@ -81,8 +81,8 @@
   tell(platform::kListenVariable, spec.listen);
   tell(platform::kDiscoveryVariable, spec.discovery);
   tell(platform::kFolderVariable, spec.folder);
-  start.most_descriptors = spec.descriptors;
-  start.most_address_space = spec.address_space_bytes;
+  start.max_descriptors = spec.descriptors;
+  start.max_address_space = spec.address_space_bytes;
   start.cores = spec.cores;
   start.cpu_share = spec.cpu_share;
   auto child = std::make_unique<Child>(scheduler_, start, spec.name, ++lives_);
--- a/src/lab/site/stand_in.cpp
+++ b/src/lab/site/stand_in.cpp
@@ -102,7 +102,7 @@
 }
 
 void StandIn::CutOff(Gate& gate) {
-  gate.listener->Backlog(0);
+  gate.listener->SetBacklog(0);
   NoConnection why = NoConnection::kRefused;
   gate.filler = machine_.network().Connect(gate.at, why);
   for (auto& link : links_) {
@@ -126,7 +126,7 @@
   // What came up in the machine's line meanwhile was as silent as the rest.
   std::unique_ptr<Stream> stream;
   while (gate.listener->Accept(stream) == Listener::Accepted::kOne) stream->Reset();
-  gate.listener->Backlog(kBacklog);
+  gate.listener->SetBacklog(kBacklog);
 }
 
 Task<> StandIn::Accept(Gate& gate) {
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -126,7 +126,7 @@
 // if no answer arrives within `patience`.
 std::optional<std::string> AskAt(const std::string& socket, const std::string& question, Micros patience) {
   RealMachine machine;
-  const std::unique_ptr<Channel> channel = machine.network().Meet(socket);
+  const std::unique_ptr<Channel> channel = machine.network().ConnectChannel(socket);
   if (!channel) {
     std::cerr << "burlfall: nobody answers at " << socket << "\n";
     return {};
--- a/src/member/member.cpp
+++ b/src/member/member.cpp
@@ -118,7 +118,7 @@
   log_.Tell<"cluster_serving">(settings_.site, detector_.self().address);
   if (!setup_.socket.empty()) {
     std::string why;
-    command_listener_ = machine_.network().Await(setup_.socket, why);
+    command_listener_ = machine_.network().ListenOnChannel(setup_.socket, why);
     if (command_listener_) {
       command_accept_task_ = AcceptCommandClients();
       command_accept_task_.Start();
--- a/src/membership/discovery.cpp
+++ b/src/membership/discovery.cpp
@@ -67,7 +67,7 @@
   link_.reset();
   following_ = true;
   clock_.Anew(scheduler_.Now());
-  if (pace_ != nullptr) pace_->BeginAnew(scheduler_.Now(), machine_.Draw());
+  if (pace_ != nullptr) pace_->BeginAnew(scheduler_.Now(), machine_.RandomUnit());
   Start({});  // another service may count its versions otherwise
 }
 
@@ -134,7 +134,7 @@
 // What keeps time hears of each call's end before anybody else.
 void Discovery::Settle(const Answer& answer, Micros called_at, bool news) {
   const Micros now = scheduler_.Now();
-  clock_.Ended(now, answer.how, answer.retry_after, machine_.Draw());
+  clock_.Ended(now, answer.how, answer.retry_after, machine_.RandomUnit());
   if (pace_ == nullptr) return;
   start::CallEnd how = start::CallEnd::kDown;
   if (answer.list) how = news ? start::CallEnd::kNews : start::CallEnd::kNothing;
@@ -142,14 +142,14 @@
   // A refusal after a while in line is for the line, and not for what is broken.
   if (answer.how == ListCallEnd::kBusy && (answer.waited || answer.retry_after > 0))
     how = start::CallEnd::kBusy;
-  pace_->Ended(now, how, now - called_at, answer.retry_after, machine_.Draw());
+  pace_->Ended(now, how, now - called_at, answer.retry_after, machine_.RandomUnit());
 }
 
 // One call.
 Task<Discovery::Answer> Discovery::Ask(std::string path, Micros patience) {
   const Micros called_at = scheduler_.Now(), until = called_at + patience;
   Answer answer;
-  if (!link_ || !link_->Quiet()) {
+  if (!link_ || !link_->IsIdle()) {
     link_.reset();
     answer.why = "no connection";
     NoConnection ours;
@@ -157,7 +157,7 @@
     if (!link_) co_return answer;
     // Guards the drain rule where this process stood still: queries that came meanwhile wait in the same line
     // as the word that was told before them.
-    link_->GoFirst();
+    link_->SetHighPriority();
     const Micros up_by = std::min(until, scheduler_.Now() + kConnectPatience);
     bool connected = co_await Connected(*link_, up_by);
     if (!connected && scheduler_.Now() >= up_by) answer.how = ListCallEnd::kSilent;
--- a/src/observe/capture.cpp
+++ b/src/observe/capture.cpp
@@ -349,7 +349,7 @@
 bool Capture::WritePending() {
   std::string_view left = pending_;
   if (file_ && file_->Write(left) != Io::kSome) {
-    DiskError(FileName(file_number_), file_->Why());
+    DiskError(FileName(file_number_), file_->ErrorText());
     return false;
   }
   if (file_ && !pending_.empty()) disk_told_ = false;  // the next trouble is another one
--- a/src/observe/figures.cpp
+++ b/src/observe/figures.cpp
@@ -44,8 +44,9 @@
                  Outlet& errors, Counters& counters)
     : settings_(settings),
       counters_(counters),
-      own_(settings.collector ? Outlet(machine.scheduler(), machine.network().Datagrams(*settings.collector))
-                              : Outlet(machine.scheduler(), machine.files(), settings.target)),
+      own_(settings.collector
+               ? Outlet(machine.scheduler(), machine.network().DatagramWriterTo(*settings.collector))
+               : Outlet(machine.scheduler(), machine.files(), settings.target)),
       out_(settings.target == "stderr" ? errors : own_),
       tick_(machine.scheduler()) {
   for (const auto& c : names.classes) classes_.push_back(c.name);
--- a/src/serve/program.cpp
+++ b/src/serve/program.cpp
@@ -203,12 +203,12 @@
   if (!asking_) return {};
   return [this](Micros patience) -> std::optional<Micros> {
     if (hosts_.Ready() > 0) return std::nullopt;
-    return asking_->Refuses(machine_.Now(), patience, machine_.Draw());
+    return asking_->Refuses(machine_.Now(), patience, machine_.RandomUnit());
   };
 }
 
 size_t Program::descriptors() const {
-  return std::min(static_cast<size_t>(config_.sockets), machine_.MostDescriptors());
+  return std::min(static_cast<size_t>(config_.sockets), machine_.MaxDescriptors());
 }
 
 void Program::Allow() {
@@ -242,7 +242,7 @@
   if (capture_) capture_->Start();
   began_at_ = machine_.Now();
   if (asking_) {
-    asking_->Begin(began_at_, hosts_.Ready() > 0, machine_.Draw(), estate ? 0 : BeganBefore());
+    asking_->Begin(began_at_, hosts_.Ready() > 0, machine_.RandomUnit(), estate ? 0 : BeganBefore());
   }
   // Where starts are paced, the service hands out whole lists first and begins watches once all have theirs.
   const bool has_list = !asking_ && !list_moved_ && hosts_.Ready() > 0;
--- a/src/upstream/http_upstream.cpp
+++ b/src/upstream/http_upstream.cpp
@@ -225,7 +225,7 @@
     const BodySource::Next rest_sent = co_await SendBodyRest(*link->stream, body_rest);
     if (rest_sent == BodySource::Next::kLater) answer.outcome = Outcome::kMoot;  // the host is not at fault
     if (rest_sent != BodySource::Next::kDone) co_return answer;
-    until = body_rest->Patience();
+    until = body_rest->ResponseDeadline();
   }
   answer.outcome = Outcome::kReset;  // from here on it may have run
   const Micros written = scheduler_.Now();
@@ -303,7 +303,7 @@
   const Micros now = scheduler_.Now(), idle = now - link.idle_since;
   if (link.host_generation != host.era || idle >= idle_timeout_ || !idle_reuse_stats_.Usable(idle, now))
     return false;
-  if (link.stream->Quiet()) return true;
+  if (link.stream->IsIdle()) return true;
   std::string in;
   if (link.stream->Read(in) == Io::kSome) {
     ++counters_.unasked;
--- a/src/world/virtual_machine.cpp
+++ b/src/world/virtual_machine.cpp
@@ -107,11 +107,11 @@
     return bytes.empty() ? Io::kSome : Io::kLater;
   }
 
-  bool Quiet() override {
+  bool IsIdle() override {
     return !own().closed && !own().reset && own().come.empty() && !other().finished &&
            of_->state == State::kUp;
   }
-  bool Ended() override { return own().reset || other().finished; }
+  bool PeerEnded() override { return own().reset || other().finished; }
   void Finish() override {
     own().finished = true;
     of_->Tell(1 - side_);
@@ -165,7 +165,7 @@
     return Accepted::kOne;
   }
   Address Local() const override { return at_; }
-  void Backlog(int most) override { backlog_ = static_cast<size_t>(most); }
+  void SetBacklog(int max) override { backlog_ = static_cast<size_t>(max); }
 
   // Adds a connection to the accept queue; false if the queue is full, and the connection is not established.
   bool Take(const std::shared_ptr<Connection>& one) {
@@ -274,12 +274,12 @@
     throw std::system_error(std::make_error_code(std::errc::bad_file_descriptor),
                             "descriptor " + std::to_string(descriptor));
   }
-  std::unique_ptr<Channel> Meet(const std::string&) override { return nullptr; }
-  std::unique_ptr<ChannelListener> Await(const std::string&, std::string& why) override {
+  std::unique_ptr<Channel> ConnectChannel(const std::string&) override { return nullptr; }
+  std::unique_ptr<ChannelListener> ListenOnChannel(const std::string&, std::string& why) override {
     why = "there are none in this world";
     return nullptr;
   }
-  std::unique_ptr<Writable> Datagrams(const Address&) override { return nullptr; }
+  std::unique_ptr<Writable> DatagramWriterTo(const Address&) override { return nullptr; }
 
  private:
   // The address; for port 0 with a free port. Ports wrap around after 65535.
@@ -310,7 +310,7 @@
     text_.append(std::exchange(bytes, {}));
     return Io::kSome;
   }
-  std::string Why() const override { return kDiskFull; }
+  std::string ErrorText() const override { return kDiskFull; }
   void AwaitRoom(Micros) override {}
 
  private:
@@ -342,7 +342,7 @@
     return true;
   }
   bool MakeFolder(const std::string&) override { return !machine_.disk_full; }
-  bool Usable(const std::string&, std::string&) override { return true; }
+  bool IsWritableFolder(const std::string&, std::string&) override { return true; }
   std::vector<std::string> List(const std::string& folder) override {
     std::vector<std::string> names;
     for (const auto& [path, text] : files_) {
@@ -385,7 +385,7 @@
     Notify();
   }
   uint64_t done() const override { return done_; }
-  std::string Why() const override { return why_; }
+  std::string ErrorText() const override { return why_; }
 
  private:
   std::map<std::string, std::string>& files_;
@@ -402,7 +402,7 @@
     to_.append(std::exchange(bytes, {}));
     return Io::kSome;
   }
-  std::string Why() const override { return ""; }
+  std::string ErrorText() const override { return ""; }
   void AwaitRoom(Micros) override {}
 
  private:
--- a/src/world/virtual_machine.h
+++ b/src/world/virtual_machine.h
@@ -72,7 +72,7 @@
   Micros WallClock() override { return world_.scheduler.Now() + wall_off; }
   uint64_t Entropy() override { return world_.chance(); }
   std::unique_ptr<Writable> StandardError() override;
-  size_t MostDescriptors() override { return descriptors; }
+  size_t MaxDescriptors() override { return descriptors; }
   size_t ResidentBytes() override { return 0; }
 
   size_t descriptors;        // limit of open descriptors
--- a/tests/attempts/attempts_test.cpp
+++ b/tests/attempts/attempts_test.cpp
@@ -77,7 +77,7 @@
 
   // Fills the listen backlog: connections come up only once it has been read and they retry.
   void FillBacklog() {
-    listener->Backlog(0);
+    listener->SetBacklog(0);
     NoConnection why = NoConnection::kRefused;
     filler = server.network().Connect(*ReadAddress(kServerAddress), why);
   }
@@ -287,8 +287,8 @@
     bytes = {};
     return Io::kSome;
   }
-  bool Quiet() override { return false; }
-  bool Ended() override { return false; }
+  bool IsIdle() override { return false; }
+  bool PeerEnded() override { return false; }
   void Finish() override {}
   void Reset() override {}
   void Close() override {}
@@ -308,10 +308,12 @@
   }
   std::unique_ptr<Listener> Listen(const Address&) override { return nullptr; }
   std::unique_ptr<Listener> Adopt(int) override { return nullptr; }
-  std::unique_ptr<Channel> Meet(const std::string&) override { return nullptr; }
-  std::unique_ptr<ChannelListener> Await(const std::string&, std::string&) override { return nullptr; }
+  std::unique_ptr<Channel> ConnectChannel(const std::string&) override { return nullptr; }
+  std::unique_ptr<ChannelListener> ListenOnChannel(const std::string&, std::string&) override {
+    return nullptr;
+  }
   std::unique_ptr<DatagramSocket> Bind(const Address&) override { return nullptr; }
-  std::unique_ptr<Writable> Datagrams(const Address&) override { return nullptr; }
+  std::unique_ptr<Writable> DatagramWriterTo(const Address&) override { return nullptr; }
 
  private:
   Scheduler& scheduler_;
@@ -330,7 +332,7 @@
   Micros WallClock() override { return base_.WallClock(); }
   uint64_t Entropy() override { return base_.Entropy(); }
   std::unique_ptr<Writable> StandardError() override { return base_.StandardError(); }
-  size_t MostDescriptors() override { return base_.MostDescriptors(); }
+  size_t MaxDescriptors() override { return base_.MaxDescriptors(); }
   size_t ResidentBytes() override { return base_.ResidentBytes(); }
 
  private:
--- a/tests/council/durable_test.cpp
+++ b/tests/council/durable_test.cpp
@@ -27,7 +27,7 @@
   // Runs until so many batches are done, or one has failed.
   void Await(DurableWriter& writer, uint64_t done) {
     auto waiting = [&]() -> Task<> {
-      while (writer.done() < done && writer.Why().empty()) co_await writer.Wait();
+      while (writer.done() < done && writer.ErrorText().empty()) co_await writer.Wait();
       machine.scheduler().Stop();
     };
     Task<> task = waiting();
@@ -46,7 +46,7 @@
   writer->Write({{path, 5, " and more"}, {folder + "/other", 0, "x"}});
   writer->Write({{path, 2, "!"}});
   Await(*writer, 3);
-  EXPECT_EQ(writer->Why(), "");
+  EXPECT_EQ(writer->ErrorText(), "");
   EXPECT_EQ(Text(path), "wh!");
   EXPECT_EQ(Text(folder + "/other"), "x");
 }
@@ -58,7 +58,7 @@
   writer->Write({{folder + "/c", {}, "c"}});
   Await(*writer, 3);
   EXPECT_EQ(writer->done(), 1u);
-  EXPECT_NE(writer->Why().find("/none/b: No such file"), std::string::npos) << writer->Why();
+  EXPECT_NE(writer->ErrorText().find("/none/b: No such file"), std::string::npos) << writer->ErrorText();
   EXPECT_FALSE(std::filesystem::exists(folder + "/c"));
 }
 
--- a/tests/council/store_test.cpp
+++ b/tests/council/store_test.cpp
@@ -25,7 +25,7 @@
  protected:
   void Do(const std::vector<DurableWrite>& batch) {
     disk->Write(batch);
-    ASSERT_EQ(disk->Why(), "");
+    ASSERT_EQ(disk->ErrorText(), "");
   }
   Store::Opened Open(Store& store) { return store.Open(machine.files(), "/d", 77); }
   // A voter with entries 1 to 5, which has voted.
--- a/tests/features/figures_test.cpp
+++ b/tests/features/figures_test.cpp
@@ -185,7 +185,7 @@
     REQUIRE((kind == "socket" ? socketpair(AF_UNIX, SOCK_STREAM, 0, ends) : pipe(ends)) == 0);
     Descriptor in(ends[0]), out(ends[1]);
     RealMachine machine;
-    Outlet outlet(machine.scheduler(), WriteTo(out.get(), kind != "shared"));
+    Outlet outlet(machine.scheduler(), MakeDescriptorWriter(out.get(), kind != "shared"));
     std::string sent;
     Outlet::Taken taken = Outlet::Taken::kYes;
     for (int i = 0; taken == Outlet::Taken::kYes; ++i) {
@@ -217,7 +217,7 @@
   Descriptor in(ends[0]), out(ends[1]);
   REQUIRE(fcntl(out.get(), F_SETPIPE_SZ, 4096) == 4096);
   RealMachine machine;
-  Outlet errors(machine.scheduler(), WriteTo(out.get()));
+  Outlet errors(machine.scheduler(), MakeDescriptorWriter(out.get()));
   Counters counters;
   Figures figures(machine, {.on = true}, Names(), errors, counters);
   const std::string tenant = "akku-punkt-lu";
@@ -281,7 +281,7 @@
   REQUIRE(pipe(ends) == 0);
   Descriptor in(ends[0]);
   close(ends[1]);
-  Outlet closed(machine.scheduler(), WriteTo(ends[1]));
+  Outlet closed(machine.scheduler(), MakeDescriptorWriter(ends[1]));
   REQUIRE(dup2(in.get(), ends[1]) == ends[1]);  // the number is another's now
   Descriptor other(ends[1]);
   CHECK(closed.Offer("not for it\n") == Outlet::Taken::kNo);
--- a/tests/lab/children_test.cpp
+++ b/tests/lab/children_test.cpp
@@ -108,8 +108,8 @@
       ">&2");
   spec.environment = {{"GIVEN", "a b"}, {"HOME", "elsewhere"}};
   spec.folder = folder.path;
-  spec.most_descriptors = 77;
-  spec.most_address_space = uint64_t{300} << 20;
+  spec.max_descriptors = 77;
+  spec.max_address_space = uint64_t{300} << 20;
   cpu_set_t ours;
   REQUIRE(sched_getaffinity(0, sizeof ours, &ours) == 0);
   int core = 0;
@@ -223,7 +223,7 @@
     CHECK(Link::To(static_cast<uint16_t>(std::stoul(troupe.address.substr(10)))).fd() >= 0);
     CHECK(troupe.children->Usage(0)->rss_bytes > 1'000'000);
     const Process::Share& share = *troupe.children->Share(0);
-    CHECK(share.held == share.why.empty());
+    CHECK(share.enforced == share.why.empty());
     troupe.children->Reload(0, "{");
     co_await troupe.Event(0, "config_kept");
     troupe.children->Reload(0, ConfigText({.sockets = 200}));
--- a/tests/lab/scripted.h
+++ b/tests/lab/scripted.h
@@ -107,7 +107,7 @@
   }
   // From now on no connection comes up, while the one that is returned lives.
   std::unique_ptr<Stream> Stall() {
-    listener_->Backlog(0);
+    listener_->SetBacklog(0);
     NoConnection why = NoConnection::kRefused;
     return stage_.machine.network().Connect(at, why);
   }
--- a/tests/races/client_links_test.cpp
+++ b/tests/races/client_links_test.cpp
@@ -229,7 +229,7 @@
     CHECK(sends_at_once(*made));
     CHECK(sends_at_once(*accepted));
     // Like a link that another process handed over.
-    const std::unique_ptr<Stream> passed = StreamOver(static_cast<RealScheduler&>(machine.scheduler()),
+    const std::unique_ptr<Stream> passed = MakeStream(static_cast<RealScheduler&>(machine.scheduler()),
                                                       Descriptor(dup(DescriptorOf(*accepted))));
     REQUIRE(passed);
     CHECK(sends_at_once(*passed));
--- a/tests/stories/log_test.cpp
+++ b/tests/stories/log_test.cpp
@@ -67,7 +67,7 @@
     in = Descriptor(ends[0]);
     out = Descriptor(ends[1]);
     REQUIRE(fcntl(out.get(), F_SETPIPE_SZ, bytes) == bytes);
-    outlet.emplace(clock, WriteTo(out.get()));
+    outlet.emplace(clock, MakeDescriptorWriter(out.get()));
     log.emplace(clock, *outlet, format, counters);
   }
   std::string Heard() {  // what has come so far
