--- a/src/io/real_network.cpp
+++ b/src/io/real_network.cpp
@@ -294,7 +294,7 @@
     Descriptor fd(socket(to.storage.ss_family, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     // Connected, so that a later send reports an error if nothing listens at the address.
     if (!fd || connect(fd.get(), to.get(), to.length) != 0) return nullptr;
-    return std::make_unique<DatagramWriter>(std::move(fd));
+    return std::make_unique<burlfall::DatagramWriter>(std::move(fd));
   }
 
  private:
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -33,10 +33,10 @@
 namespace options = boost::program_options;
 
 constexpr int kUsageError = 2;
-constexpr Micros kClusterPatience = 2 * kSecond;
-constexpr Micros kCouncilPatience = 20 * kSecond;
+constexpr Micros kClusterTimeout = 2 * kSecond;
+constexpr Micros kCouncilTimeout = 20 * kSecond;
 constexpr int kCouncilError = 10;  // plus the value of owner::Error: exit code of `burlfall council`
-constexpr int64_t kLongestToken = 10 * 365 * 86400;  // seconds of validity
+constexpr int64_t kMaxTokenSeconds = 10 * 365 * 86400;  // maximum validity of a token
 constexpr char kUsage[] =
     "usage: burlfall COMMAND [OPTIONS]\n"
     "\n"
@@ -64,12 +64,12 @@
   const auto environment = [](const char* name) -> const char* { return std::getenv(name); };
   Config config = LoadConfig(environment, machine.files());
   const Properties properties = path.empty() ? Properties() : LoadProperties(path, machine.files());
-  std::string wrong;
-  if (!start.empty()) ReadStart(start, machine.files(), wrong);
-  if (!cluster.empty()) ReadCluster(cluster, machine.files(), wrong);
-  if (!council.empty()) ReadCouncil(council, machine.files(), wrong);
-  if (!wrong.empty()) {
-    std::cerr << wrong;
+  std::string errors;
+  if (!start.empty()) ReadStart(start, machine.files(), errors);
+  if (!cluster.empty()) ReadCluster(cluster, machine.files(), errors);
+  if (!council.empty()) ReadCouncil(council, machine.files(), errors);
+  if (!errors.empty()) {
+    std::cerr << errors;
     return kUsageError;
   }
   std::cout << "name " << config.name << ", listens at " << config.listen.text << ", discovery at "
@@ -83,7 +83,7 @@
 
 // Replaces this process by the tool burlfall-COMMAND. Tools are separate programs, as they need libraries
 // that serving does not. Throws if the tool can't be started.
-int StartTool(const std::string& command, const std::vector<std::string>& words) {
+int ExecTool(const std::string& command, const std::vector<std::string>& words) {
   const std::filesystem::path tool =
       std::filesystem::read_symlink("/proc/self/exe").replace_filename("burlfall-" + command);
   if (!std::filesystem::exists(tool)) {
@@ -103,8 +103,8 @@
 
 // Parses the options of one command. Returns false if the command line is wrong or help was requested; `code`
 // is then the exit code.
-bool Options(options::options_description known, const std::vector<std::string>& words,
-             options::variables_map& given, int& code) {
+bool ParseOptions(options::options_description known, const std::vector<std::string>& words,
+                  options::variables_map& given, int& code) {
   known.add_options()("help,h", "prints this");
   try {
     options::store(options::command_line_parser(words)
@@ -123,8 +123,9 @@
 }
 
 // Sends a question to the process at the Unix socket and returns its answer; nothing, after an error message,
-// if no answer arrives within `patience`.
-std::optional<std::string> AskAt(const std::string& socket, const std::string& question, Micros patience) {
+// if no answer arrives within `timeout`.
+std::optional<std::string> QuerySocket(const std::string& socket, const std::string& question,
+                                       Micros timeout) {
   RealMachine machine;
   const std::unique_ptr<Channel> channel = machine.network().ConnectChannel(socket);
   if (!channel) {
@@ -132,23 +133,23 @@
     return {};
   }
   std::optional<std::string> answer;
-  auto asking = [&]() -> Task<> {
-    const Micros until = machine.Now() + patience;
+  auto exchange = [&]() -> Task<> {
+    const Micros until = machine.Now() + timeout;
     Io io = channel->Send(question);
     while (io == Io::kLater && co_await channel->Wait(until)) io = channel->Send(question);
     std::string piece;
-    std::unique_ptr<Stream> along;
+    std::unique_ptr<Stream> unused;
     while (io == Io::kSome) {
-      const Io came = channel->Receive(piece, along);
-      if (came == Io::kSome) {
+      const Io received = channel->Receive(piece, unused);
+      if (received == Io::kSome) {
         answer = answer.value_or("") + piece;
-      } else if (came != Io::kLater || !co_await channel->Wait(until)) {
+      } else if (received != Io::kLater || !co_await channel->Wait(until)) {
         break;
       }
     }
     machine.scheduler().Stop();
   };
-  Task<> task = asking();
+  Task<> task = exchange();
   task.Start();
   machine.scheduler().Run();
   if (!answer) std::cerr << "burlfall: no answer at " << socket << "\n";
@@ -156,8 +157,8 @@
 }
 
 // Sends a question to the process at the Unix socket and prints the answer. Returns the exit code.
-int AskOnce(const std::string& socket, const std::string& question) {
-  const std::optional<std::string> answer = AskAt(socket, question, kClusterPatience);
+int PrintAnswer(const std::string& socket, const std::string& question) {
+  const std::optional<std::string> answer = QuerySocket(socket, question, kClusterTimeout);
   if (!answer) return 1;
   std::cout << *answer;
   return 0;
@@ -165,7 +166,7 @@
 
 // `burlfall council`: queries and operations. Each error has an exit code of its own, from 10
 // (docs/council.md).
-int AskCouncil(const std::vector<std::string>& words) {
+int RunCouncilCommand(const std::vector<std::string>& words) {
   options::variables_map given;
   int code = 0;
   std::string socket;
@@ -185,23 +186,24 @@
       "socket", options::value(&socket)->value_name("PATH")->required(),
       "the balancer's socket: burlfall-NAME.council in the folder that its council.toml names")("json",
                                                                                                 "as JSON");
-  std::vector<std::string> said;
+  std::vector<std::string> arguments;
   size_t at = 0;
-  while (at < words.size() && !words[at].starts_with("-")) said.push_back(words[at++]);
-  if (!Options(known, {words.begin() + static_cast<std::ptrdiff_t>(at), words.end()}, given, code))
+  while (at < words.size() && !words[at].starts_with("-")) arguments.push_back(words[at++]);
+  if (!ParseOptions(known, {words.begin() + static_cast<std::ptrdiff_t>(at), words.end()}, given, code))
     return code;
-  if (said.empty())
+  if (arguments.empty())
     return UsageError("council knows status, explain, begin, add, remove, hand-over and take-away");
-  constexpr std::pair<std::string_view, size_t> kKnown[] = {
+  constexpr std::pair<std::string_view, size_t> kCommands[] = {
       {"status", 1}, {"explain", 2},   {"begin", 1},     {"add", 2},
       {"remove", 2}, {"hand-over", 3}, {"take-away", 4}, {"incident", 5}};
-  const auto* const one = std::ranges::find(kKnown, said[0], &std::pair<std::string_view, size_t>::first);
-  if (one == std::end(kKnown)) return UsageError("council does not know " + said[0]);
-  if (said.size() < one->second) return UsageError("council " + said[0] + ": too few words");
+  const auto* const found =
+      std::ranges::find(kCommands, arguments[0], &std::pair<std::string_view, size_t>::first);
+  if (found == std::end(kCommands)) return UsageError("council does not know " + arguments[0]);
+  if (arguments.size() < found->second) return UsageError("council " + arguments[0] + ": too few words");
   std::string question;
-  for (const std::string& word : said) question += (question.empty() ? "" : " ") + word;
+  for (const std::string& word : arguments) question += (question.empty() ? "" : " ") + word;
   if (given.contains("json")) question += " json";
-  const std::optional<std::string> answer = AskAt(socket, question, kCouncilPatience);
+  const std::optional<std::string> answer = QuerySocket(socket, question, kCouncilTimeout);
   if (!answer) return 1;
   if (!answer->starts_with("!")) {
     std::cout << *answer;
@@ -216,7 +218,7 @@
 }
 
 // `burlfall cluster`: queries about the members of the cluster.
-int AskCluster(const std::vector<std::string>& words) {
+int RunClusterCommand(const std::vector<std::string>& words) {
   options::variables_map given;
   int code = 0;
   std::string socket;
@@ -226,26 +228,27 @@
       "socket", options::value(&socket)->value_name("PATH")->required(),
       "the balancer's socket: burlfall-NAME.cluster in the folder that its cluster.toml names")("json",
                                                                                                 "as JSON");
-  const bool asks = !words.empty() && (words[0] == "--help" || words[0] == "-h");
+  const bool wants_help = !words.empty() && (words[0] == "--help" || words[0] == "-h");
   if (words.empty()) return UsageError("cluster knows members, watch, who-differs and explain NAME");
   const std::string what = words[0];
   // In `cluster explain --help` the second word is no member name.
-  const bool helps = words.size() > 1 && (words[1] == "--help" || words[1] == "-h");
-  const bool explain = what == "explain" && !helps;
-  if (!asks && what != "members" && what != "watch" && what != "who-differs" && what != "explain") {
+  const bool wants_explain_help = words.size() > 1 && (words[1] == "--help" || words[1] == "-h");
+  const bool explain = what == "explain" && !wants_explain_help;
+  if (!wants_help && what != "members" && what != "watch" && what != "who-differs" && what != "explain") {
     return UsageError("cluster does not know " + what);
   }
   if (explain && (words.size() < 2 || words[1].starts_with("--"))) return UsageError("explain whom?");
-  const size_t own = asks ? 0 : explain ? 2 : 1;
-  if (!Options(known, {words.begin() + static_cast<std::ptrdiff_t>(own), words.end()}, given, code))
+  const size_t first_option = wants_help ? 0 : explain ? 2 : 1;
+  if (!ParseOptions(known, {words.begin() + static_cast<std::ptrdiff_t>(first_option), words.end()}, given,
+                    code))
     return code;
   std::string question = explain ? "explain " + words[1] : what == "watch" ? "members" : what;
   if (given.contains("json")) question += " json";
-  if (what != "watch") return AskOnce(socket, question);
+  if (what != "watch") return PrintAnswer(socket, question);
   while (true) {
     const bool screen = isatty(STDOUT_FILENO) != 0 && !given.contains("json");
     if (screen) std::cout << "\x1b[H\x1b[2J";
-    if (AskOnce(socket, question) != 0) return 1;
+    if (PrintAnswer(socket, question) != 0) return 1;
     std::cout << std::flush;
     sleep(1);
   }
@@ -283,7 +286,7 @@
       known.add_options()("log-format", options::value(&format)->value_name("FORMAT"),
                           "text, or json: each event of the log as one line of JSON");
     }
-    if (!Options(known, rest, given, code)) return code;
+    if (!ParseOptions(known, rest, given, code)) return code;
     if (given.contains("config") && file.empty()) return UsageError("--config names no file");
     if (given.contains("start") && start.empty()) return UsageError("--start names no file");
     if (given.contains("cluster") && cluster.empty()) return UsageError("--cluster names no file");
@@ -292,35 +295,37 @@
     if (!log) return UsageError("--log-format is text or json");
     return serve ? Serve(file, *log, start, cluster, council) : CheckConfig(file, start, cluster, council);
   }
-  if (command == "cluster") return AskCluster(rest);
-  if (command == "council") return AskCouncil(rest);
+  if (command == "cluster") return RunClusterCommand(rest);
+  if (command == "council") return RunCouncilCommand(rest);
   if (command == "token") {
     std::string key, holder, classes;
     int64_t ttl = 0;
     options::options_description known(
         "burlfall token issue --config FILE --key ID --holder NAME --classes A+B --ttl SECONDS");
-    auto need = [](std::string* to, const char* name) {
+    auto required_text = [](std::string* to, const char* name) {
       return options::value(to)->value_name(name)->required();
     };
-    known.add_options()("config", need(&file, "FILE"), "the operators' properties, which hold the keys")(
-        "key", need(&key, "ID"), "the key to sign with: k1 for tokens.key.k1")(
-        "holder", need(&holder, "NAME"), "whose token it is")("classes", need(&classes, "A+B"),
-                                                              "what it is good for")(
+    known.add_options()("config", required_text(&file, "FILE"),
+                        "the operators' properties, which hold the keys")(
+        "key", required_text(&key, "ID"), "the key to sign with: k1 for tokens.key.k1")(
+        "holder", required_text(&holder, "NAME"), "whose token it is")(
+        "classes", required_text(&classes, "A+B"), "what it is good for")(
         "ttl", options::value(&ttl)->value_name("SECONDS")->required(), "for how long, from now on");
-    const bool asks = !rest.empty() && (rest[0] == "--help" || rest[0] == "-h");
-    if (!asks && (rest.empty() || rest[0] != "issue")) return UsageError("token knows only issue");
-    if (!Options(known, asks ? rest : std::vector<std::string>(rest.begin() + 1, rest.end()), given, code)) {
+    const bool wants_help = !rest.empty() && (rest[0] == "--help" || rest[0] == "-h");
+    if (!wants_help && (rest.empty() || rest[0] != "issue")) return UsageError("token knows only issue");
+    if (!ParseOptions(known, wants_help ? rest : std::vector<std::string>(rest.begin() + 1, rest.end()),
+                      given, code)) {
       return code;
     }
-    if (ttl < 1 || ttl > kLongestToken)
-      return UsageError("--ttl: from 1 to " + std::to_string(kLongestToken));
+    if (ttl < 1 || ttl > kMaxTokenSeconds)
+      return UsageError("--ttl: from 1 to " + std::to_string(kMaxTokenSeconds));
     Tokens tokens;
     RealMachine machine;
     tokens.Configure(LoadProperties(file, machine.files()).tokens);
     std::cout << tokens.Issue(key, holder, classes, machine.WallClock() / kSecond + ttl) << "\n";
     return 0;
   }
-  if (command == "lab" || command == "config") return StartTool(command, rest);
+  if (command == "lab" || command == "config") return ExecTool(command, rest);
   if (command == "replay") {
     std::string capture;
     options::options_description known("burlfall replay --capture FILE --config FILE");
@@ -329,12 +334,12 @@
     known.add_options()(
         "config", options::value(&file)->value_name("FILE")->required(),
         "the operators' properties, or a platform's configuration with other settings to try");
-    if (!Options(known, rest, given, code)) return code;
+    if (!ParseOptions(known, rest, given, code)) return code;
     RealMachine machine;
     return Replay(capture, file, machine.files(), std::cout, std::cerr);
   }
   if (command == "version") {
-    if (!Options(options::options_description("burlfall version"), rest, given, code)) return code;
+    if (!ParseOptions(options::options_description("burlfall version"), rest, given, code)) return code;
     std::cout << "burlfall " << BURLFALL_VERSION << "\n";
     return 0;
   }
--- a/src/sim/adapter.cpp
+++ b/src/sim/adapter.cpp
@@ -23,8 +23,8 @@
     reply_.Begin();
     target_.reset();
     DecodeBatch(frame, now_, *this);
-    if (now_ < last_) throw BadInput("batch: the clock runs backwards");
-    last_ = now_;
+    if (now_ < last_batch_at_) throw BadInput("batch: the clock runs backwards");
+    last_batch_at_ = now_;
     return reply_.Finish();
   }
 
@@ -34,28 +34,30 @@
     reply_.At(instance);
   }
   void Born(uint64_t seed, const meadowslip::Settings& settings) override {
-    uint32_t who = Who();
-    instances_.erase(who);
-    instances_.emplace(who, Balancer(settings, seed));
+    uint32_t target = TargetId();
+    instances_.erase(target);
+    instances_.emplace(target, Balancer(settings, seed));
   }
   void Destroyed() override {
-    Node();
-    instances_.erase(Who());
+    TargetBalancer();
+    instances_.erase(TargetId());
   }
-  void List(const meadowslip::BackendList& list) override { Node().OnList(now_, list, reply_); }
-  void Job(const meadowslip::Request& r) override { Node().OnRequest(now_, r, reply_); }
-  void First(meadowslip::RequestId id, int n) override { Node().OnStreamStarted(now_, id, n, reply_); }
-  void Done(const meadowslip::AttemptResult& r) override { Node().OnResult(now_, r, reply_); }
-  void Left(meadowslip::RequestId id) override { Node().OnClientLeft(now_, id, reply_); }
-  void Timer(uint64_t name) override { Node().OnTimer(now_, name, reply_); }
-  void Probed(const meadowslip::ProbeResult& r) override { Node().OnProbe(now_, r, reply_); }
+  void List(const meadowslip::BackendList& list) override { TargetBalancer().OnList(now_, list, reply_); }
+  void Job(const meadowslip::Request& r) override { TargetBalancer().OnRequest(now_, r, reply_); }
+  void First(meadowslip::RequestId id, int n) override {
+    TargetBalancer().OnStreamStarted(now_, id, n, reply_);
+  }
+  void Done(const meadowslip::AttemptResult& r) override { TargetBalancer().OnResult(now_, r, reply_); }
+  void Left(meadowslip::RequestId id) override { TargetBalancer().OnClientLeft(now_, id, reply_); }
+  void Timer(uint64_t name) override { TargetBalancer().OnTimer(now_, name, reply_); }
+  void Probed(const meadowslip::ProbeResult& r) override { TargetBalancer().OnProbe(now_, r, reply_); }
 
-  uint32_t Who() const {
+  uint32_t TargetId() const {
     if (!target_) throw BadInput("an event before any TARGET_INSTANCE");
     return *target_;
   }
-  Balancer& Node() {
-    auto it = instances_.find(Who());
+  Balancer& TargetBalancer() {
+    auto it = instances_.find(TargetId());
     if (it == instances_.end()) {
       throw BadInput("an event for instance " + std::to_string(*target_) + ", which was not started");
     }
@@ -66,7 +68,7 @@
   meadowslip::wire::Reply reply_;
   std::optional<uint32_t> target_;
   Micros now_ = 0;
-  Micros last_ = 0;
+  Micros last_batch_at_ = 0;
 };
 
 void Run() {
@@ -74,9 +76,9 @@
   std::vector<std::byte> frame;
   while (true) {
     std::byte head[4];
-    size_t got = std::fread(head, 1, sizeof head, stdin);
-    if (got == 0) return;
-    if (got < sizeof head) throw BadInput("batch: the input ends within a length");
+    size_t length_read = std::fread(head, 1, sizeof head, stdin);
+    if (length_read == 0) return;
+    if (length_read < sizeof head) throw BadInput("batch: the input ends within a length");
     uint32_t length = meadowslip::wire::Reader(head, "length").U32();
     if (length > meadowslip::wire::kMaxFrame) {
       throw BadInput("batch: length " + std::to_string(length) + " is over the limit");
--- a/src/sim/wire.cpp
+++ b/src/sim/wire.cpp
@@ -6,27 +6,27 @@
 
 namespace meadowslip::wire {
 
-uint64_t Reader::Little(size_t width) {
+uint64_t Reader::LittleEndian(size_t width) {
   std::span<const std::byte> raw = Take(width);
   uint64_t value = 0;
   for (size_t i = width; i-- > 0;) value = value << 8 | std::to_integer<uint64_t>(raw[i]);
   return value;
 }
-uint8_t Reader::U8() { return static_cast<uint8_t>(Little(1)); }
-uint16_t Reader::U16() { return static_cast<uint16_t>(Little(2)); }
-uint32_t Reader::U32() { return static_cast<uint32_t>(Little(4)); }
-uint64_t Reader::U64() { return Little(8); }
+uint8_t Reader::U8() { return static_cast<uint8_t>(LittleEndian(1)); }
+uint16_t Reader::U16() { return static_cast<uint16_t>(LittleEndian(2)); }
+uint32_t Reader::U32() { return static_cast<uint32_t>(LittleEndian(4)); }
+uint64_t Reader::U64() { return LittleEndian(8); }
 float Reader::F32() { return std::bit_cast<float>(U32()); }
 
 std::span<const std::byte> Reader::Take(size_t n) {
-  if (n > bytes_.size()) throw BadInput(std::string(what_) + ": ends before its last field");
+  if (n > bytes_.size()) throw BadInput(std::string(context_) + ": ends before its last field");
   std::span<const std::byte> head = bytes_.first(n);
   bytes_ = bytes_.subspan(n);
   return head;
 }
 
 void Reader::ExpectEnd() const {
-  if (!bytes_.empty()) throw BadInput(std::string(what_) + ": bytes left over after its last field");
+  if (!bytes_.empty()) throw BadInput(std::string(context_) + ": bytes left over after its last field");
 }
 
 namespace {
@@ -85,7 +85,7 @@
   list.kind = static_cast<ListKind>(form);
   uint32_t n = in.U32();
   constexpr size_t kEntryBytes = 21;
-  if (n > in.left() / kEntryBytes) throw BadInput("PEERS_KNOWN: ends before its last entry");
+  if (n > in.remaining() / kEntryBytes) throw BadInput("PEERS_KNOWN: ends before its last entry");
   list.entries.reserve(n);
   for (; n > 0; --n) {
     BackendEntry e;
@@ -217,15 +217,15 @@
 void Reply::Begin() {
   out_.assign(8, std::byte{0});
   count_ = 0;
-  instance_ = written_ = -1;
+  instance_ = last_instance_ = -1;
 }
 
 std::span<const std::byte> Reply::Finish() {
-  auto poke = [this](size_t at, uint32_t value) {
+  auto put_u32 = [this](size_t at, uint32_t value) {
     for (size_t i = 0; i < 4; ++i) out_[at + i] = static_cast<std::byte>(value >> (8 * i) & 0xff);
   };
-  poke(0, static_cast<uint32_t>(out_.size() - 4));
-  poke(4, count_);
+  put_u32(0, static_cast<uint32_t>(out_.size() - 4));
+  put_u32(4, count_);
   return out_;
 }
 
@@ -234,8 +234,8 @@
 }
 
 void Reply::Record(uint16_t code, uint32_t length) {
-  if (instance_ != written_) {
-    written_ = instance_;
+  if (instance_ != last_instance_) {
+    last_instance_ = instance_;
     Record(1120, 4);
     Put(static_cast<uint64_t>(instance_), 4);
   }
@@ -245,7 +245,7 @@
 }
 
 namespace {
-uint64_t Clip32(Micros span) {
+uint64_t ClampSpan(Micros span) {
   return static_cast<uint64_t>(std::clamp<Micros>(span, 0, int64_t{70} * 60 * 1000000));
 }
 }  // namespace
@@ -254,12 +254,12 @@
   Record(1000, 16);
   Put(id, 8);
   Put(backend, 4);
-  Put(std::min<uint64_t>(Clip32(timeout), INT32_MAX), 4);
+  Put(std::min<uint64_t>(ClampSpan(timeout), INT32_MAX), 4);
 }
 void Reply::Refuse(RequestId id, Micros retry_after) {
   Record(1010, 12);
   Put(id, 8);
-  Put(Clip32(retry_after), 4);
+  Put(ClampSpan(retry_after), 4);
 }
 void Reply::Fail(RequestId id) {
   Record(1020, 8);
@@ -272,7 +272,7 @@
 }
 void Reply::Schedule(Micros delay, uint64_t timer) {
   Record(1040, 12);
-  Put(Clip32(delay), 4);
+  Put(ClampSpan(delay), 4);
   Put(timer, 8);
 }
 void Reply::Probe(BackendId backend) {
--- a/src/sim/wire.h
+++ b/src/sim/wire.h
@@ -17,23 +17,23 @@
 
 constexpr uint32_t kMaxFrame = 512u << 20;  // bytes
 
-// Reads consecutive fields; throws BadInput, which names `what`, at the end of the bytes.
+// Reads consecutive fields; throws BadInput, which names `context`, at the end of the bytes.
 class Reader {
  public:
-  Reader(std::span<const std::byte> bytes, const char* what) : bytes_(bytes), what_(what) {}
+  Reader(std::span<const std::byte> bytes, const char* context) : bytes_(bytes), context_(context) {}
   uint8_t U8();
   uint16_t U16();
   uint32_t U32();
   uint64_t U64();
   float F32();
   std::span<const std::byte> Take(size_t n);
-  size_t left() const { return bytes_.size(); }
+  size_t remaining() const { return bytes_.size(); }
   void ExpectEnd() const;
 
  private:
-  uint64_t Little(size_t width);
+  uint64_t LittleEndian(size_t width);
   std::span<const std::byte> bytes_;
-  const char* what_;
+  const char* context_;
 };
 
 // Receives the events of a batch in order; one method for each record type.
@@ -78,7 +78,7 @@
   std::vector<std::byte> out_;
   uint32_t count_ = 0;
   int64_t instance_ = -1;
-  int64_t written_ = -1;
+  int64_t last_instance_ = -1;
 };
 
 }  // namespace meadowslip::wire
--- a/src/tools/config_main.cpp
+++ b/src/tools/config_main.cpp
@@ -23,9 +23,9 @@
 
 using Json = nlohmann::ordered_json;
 
-constexpr int kDone = 0;
-constexpr int kWrong = 1;     // failure: a reference page differs, a file can't be written
-constexpr int kUnusable = 2;  // usage error, or an unusable input file
+constexpr int kSuccess = 0;
+constexpr int kFailure = 1;     // a reference page differs, a file can't be written
+constexpr int kUsageError = 2;  // usage error, or an unusable input file
 
 // Reports an error, as a line on standard error or a JSON object on standard output. Returns `code`.
 int Fail(bool json, int code, const std::string& line) {
@@ -112,7 +112,7 @@
   } else {
     for (const ConfigError& e : errors) std::cerr << e.Line() << "\n";
   }
-  return kUnusable;
+  return kUsageError;
 }
 
 const Kind* KindByName(std::string_view name) {
@@ -129,63 +129,63 @@
 }
 
 // The text of a file and its kind, or the exit code if it can't be used; the error has then been reported.
-struct Opened {
+struct InputFile {
   std::string text;
   const Kind* kind = nullptr;
-  int code = kDone;
+  int code = kSuccess;
 };
-Opened Open(const std::string& file, const std::string& kind_name, bool json) {
-  Opened opened;
+InputFile OpenInput(const std::string& file, const std::string& kind_name, bool json) {
+  InputFile input;
   std::string error;
   std::optional<std::string> text = ReadFile(file, error);
-  if (!text) return {"", nullptr, Fail(json, kUnusable, error)};
-  opened.text = std::move(*text);
-  opened.kind = kind_name.empty() ? KindOfFile(Kinds(), file, opened.text) : KindByName(kind_name);
-  if (opened.kind != nullptr) return opened;
+  if (!text) return {"", nullptr, Fail(json, kUsageError, error)};
+  input.text = std::move(*text);
+  input.kind = kind_name.empty() ? KindOfFile(Kinds(), file, input.text) : KindByName(kind_name);
+  if (input.kind != nullptr) return input;
   if (!kind_name.empty()) {
-    return {"", nullptr, Fail(json, kUnusable, "no kind " + kind_name + "; there are: " + KindNames())};
+    return {"", nullptr, Fail(json, kUsageError, "no kind " + kind_name + "; there are: " + KindNames())};
   }
-  const TomlText toml = ReadToml(file, opened.text);
+  const TomlText toml = ReadToml(file, input.text);
   if (!toml.errors.empty()) return {"", nullptr, PrintErrors(json, toml.errors)};
   return {
       "", nullptr,
-      Fail(json, kUnusable,
+      Fail(json, kUsageError,
            file +
                ": of no known kind; name it KIND.toml or ANYTHING.KIND.toml, or give --kind KIND; kinds: " +
                KindNames())};
 }
 
 int Check(const std::vector<std::string>& files, const std::string& kind_name, bool json) {
-  Json good = Json::array();
+  Json valid = Json::array();
   std::vector<ConfigError> errors;
-  int code = kDone;
+  int code = kSuccess;
   for (const std::string& file : files) {
-    const Opened opened = Open(file, kind_name, json);
-    if (opened.code != kDone) {
-      if (json) return opened.code;  // the output must be a single JSON object
-      code = opened.code;
+    const InputFile input = OpenInput(file, kind_name, json);
+    if (input.code != kSuccess) {
+      if (json) return input.code;  // the output must be a single JSON object
+      code = input.code;
       continue;
     }
-    const FileValues values = ValuesInForce(opened.kind->schema, file, opened.text);
+    const FileValues values = ValuesInForce(input.kind->schema, file, input.text);
     errors.insert(errors.end(), values.errors.begin(), values.errors.end());
     if (!values.errors.empty()) continue;
-    good.push_back({{"file", file}, {"kind", opened.kind->name}});
-    if (!json) std::cout << file << ": a right " << opened.kind->name << "\n";
+    valid.push_back({{"file", file}, {"kind", input.kind->name}});
+    if (!json) std::cout << file << ": a right " << input.kind->name << "\n";
   }
   if (!errors.empty()) return PrintErrors(json, errors);
-  if (json) Print({{"ok", true}, {"files", good}});
+  if (json) Print({{"ok", true}, {"files", valid}});
   return code;
 }
 
 int ExplainFile(const std::string& file, const std::string& kind_name, bool json) {
-  const Opened opened = Open(file, kind_name, json);
-  if (opened.code != kDone) return opened.code;
-  const FileValues values = ValuesInForce(opened.kind->schema, file, opened.text);
+  const InputFile input = OpenInput(file, kind_name, json);
+  if (input.code != kSuccess) return input.code;
+  const FileValues values = ValuesInForce(input.kind->schema, file, input.text);
   if (!values.errors.empty()) return PrintErrors(json, values.errors);
   if (!json) {
-    std::cout << "# " << file << ": " << opened.kind->name << ", " << opened.kind->what << "\n"
+    std::cout << "# " << file << ": " << input.kind->name << ", " << input.kind->what << "\n"
               << ExplainValues(values.rows);
-    return kDone;
+    return kSuccess;
   }
   Json rows = Json::array();
   for (const ValueRow& row : values.rows) {
@@ -194,19 +194,19 @@
     if (row.line > 0) value["line"] = row.line;
     rows.push_back(std::move(value));
   }
-  Print({{"ok", true}, {"file", file}, {"kind", opened.kind->name}, {"values", rows}});
-  return kDone;
+  Print({{"ok", true}, {"file", file}, {"kind", input.kind->name}, {"values", rows}});
+  return kSuccess;
 }
 
 int ExplainOneKind(const Kind& kind, bool json) {
   if (!json) {
     std::cout << ExplainKind(kind);
-    return kDone;
+    return kSuccess;
   }
   Json keys = Json::array();
   for (const KeyRow& row : KeyRows(kind.schema)) keys.push_back(ToJson(row));
   Print({{"ok", true}, {"kind", kind.name}, {"what", kind.what}, {"keys", keys}});
-  return kDone;
+  return kSuccess;
 }
 
 int ListKinds(bool json) {
@@ -216,7 +216,7 @@
     list.push_back({{"kind", kind.name}, {"what", kind.what}});
   }
   if (json) Print({{"ok", true}, {"kinds", list}});
-  return kDone;
+  return kSuccess;
 }
 
 // Removes array indices: "nodes[2].speed" and "nodes[].speed" mean the same key as "nodes.speed".
@@ -232,7 +232,7 @@
 
 int Explain(const std::string& what, const std::string& kind_name, bool json) {
   if (!kind_name.empty() && KindByName(kind_name) == nullptr) {
-    return Fail(json, kUnusable, "no kind " + kind_name + "; there are: " + KindNames());
+    return Fail(json, kUsageError, "no kind " + kind_name + "; there are: " + KindNames());
   }
   if (what.empty()) return kind_name.empty() ? ListKinds(json) : ExplainOneKind(*KindByName(kind_name), json);
   const bool is_file = what.find('/') != what.npos || what.ends_with(".toml");
@@ -256,22 +256,22 @@
   std::error_code code;
   if (found.empty() && std::filesystem::exists(what, code)) return ExplainFile(what, kind_name, json);
   if (found.empty()) {
-    return Fail(json, kUnusable, "neither a file, a kind nor a key: " + what + DidYouMean(what, paths));
+    return Fail(json, kUsageError, "neither a file, a kind nor a key: " + what + DidYouMean(what, paths));
   }
   if (json) {
     Print({{"ok", true}, {"keys", found}});
   } else {
     std::cout << text;
   }
-  return kDone;
+  return kSuccess;
 }
 
 // Reports the faults in the definitions of the kinds; no page is written or checked if there are any.
-int Faults() {
-  int result = kDone;
+int ReportSchemaFaults() {
+  int result = kSuccess;
   for (const Kind& kind : Kinds()) {
     for (const std::string& fault : SchemaFaults(kind.schema))
-      result = Fail(false, kWrong, kind.name + ": " + fault);
+      result = Fail(false, kFailure, kind.name + ": " + fault);
   }
   return result;
 }
@@ -279,32 +279,32 @@
 int WriteReference(const std::filesystem::path& dir) {
   std::error_code code;
   std::filesystem::create_directories(dir, code);
-  if (code) return Fail(false, kWrong, dir.string() + ": " + code.message());
+  if (code) return Fail(false, kFailure, dir.string() + ": " + code.message());
   for (const Kind& kind : Kinds()) {
     const std::filesystem::path page = dir / (kind.name + ".md");
     std::ofstream out(page, std::ios::binary | std::ios::trunc);
     out << ReferencePage(kind);
     out.close();
-    if (!out) return Fail(false, kWrong, page.string() + ": can't be written");
+    if (!out) return Fail(false, kFailure, page.string() + ": can't be written");
     std::cout << page.string() << "\n";
   }
-  return kDone;
+  return kSuccess;
 }
 
 // Reports pages that differ or are missing, and generated pages of kinds that no longer exist.
 int CheckReference(const std::filesystem::path& dir) {
-  int result = kDone;
-  const auto differs = [&](const std::filesystem::path& page, const std::string& how) {
-    result = Fail(false, kWrong, page.string() + ": " + how);
+  int result = kSuccess;
+  const auto report = [&](const std::filesystem::path& page, const std::string& how) {
+    result = Fail(false, kFailure, page.string() + ": " + how);
   };
   for (const Kind& kind : Kinds()) {
     const std::filesystem::path page = dir / (kind.name + ".md");
     std::string error;
     const std::optional<std::string> text = ReadFile(page.string(), error);
     if (!text) {
-      result = Fail(false, kWrong, error);
+      result = Fail(false, kFailure, error);
     } else if (*text != ReferencePage(kind)) {
-      differs(page, "differs from the schema; `burlfall-config reference --write` makes it anew");
+      report(page, "differs from the schema; `burlfall-config reference --write` makes it anew");
     }
   }
   std::error_code code;
@@ -313,7 +313,7 @@
     std::string error;
     const std::optional<std::string> text = ReadFile(entry.path().string(), error);
     if (text && text->starts_with(kReferenceMark))
-      differs(entry.path(), "of a kind that is no more; remove it");
+      report(entry.path(), "of a kind that is no more; remove it");
   }
   return result;
 }
@@ -356,17 +356,17 @@
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
-    return app.exit(error) == 0 ? kDone : kUnusable;
+    return app.exit(error) == 0 ? kSuccess : kUsageError;
   }
-  int code = kDone;
+  int code = kSuccess;
   if (explain->parsed()) code = Explain(what, kind, json);
   if (check->parsed()) code = Check(files, kind, json);
-  if (reference->parsed()) code = Faults();
-  if (reference->parsed() && code == kDone) {
+  if (reference->parsed()) code = ReportSchemaFaults();
+  if (reference->parsed() && code == kSuccess) {
     code = write_dir.empty() ? CheckReference(check_dir) : WriteReference(write_dir);
   }
   std::cout.flush();
-  return std::cout ? code : kWrong;
+  return std::cout ? code : kFailure;
 }
 
 }  // namespace
--- a/src/world/virtual_machine.cpp
+++ b/src/world/virtual_machine.cpp
@@ -9,19 +9,19 @@
 namespace burlfall::world {
 namespace {
 
-constexpr size_t kBuffer = 64 * 1024;  // bytes in flight of a connection, in each direction
-constexpr size_t kPiece = 16 * 1024;   // bytes, maximum of one read
-constexpr size_t kBacklog = 4096;      // connections in the accept queue
+constexpr size_t kBufferBytes = 64 * 1024;  // bytes in flight of a connection, in each direction
+constexpr size_t kReadBytes = 16 * 1024;    // bytes, maximum of one read
+constexpr size_t kBacklog = 4096;           // connections in the accept queue
 constexpr const char* kDiskFull = "No space left on device";
 
-Address At(const std::string& text) { return *ReadAddress(text); }
+Address ParseAddress(const std::string& text) { return *ReadAddress(text); }
 
 }  // namespace
 
 void VirtualScheduler::Poll(Micros until) {
   if (until == kNever) {
-    stuck_ = true;
-    return Halt();
+    deadlocked_ = true;
+    return StopAll();
   }
   now_ = std::max(now_ + 1, until);
 }
@@ -33,9 +33,9 @@
 // An established or pending connection. sides[0] is the connecting side.
 struct Connection {
   struct Side {
-    VirtualStream* end = nullptr;  // while it exists
-    std::string come;              // received, not yet read
-    bool finished = false;         // has ended its sending
+    VirtualStream* endpoint = nullptr;  // while it exists
+    std::string received;               // not yet read
+    bool finished = false;              // has ended its sending
     bool closed = false;
     bool reset = false;    // by the other side
     bool blocked = false;  // has bytes to write, but the buffer is full
@@ -44,46 +44,46 @@
   std::array<Side, 2> sides;
   Stream::State state = Stream::State::kUp;
 
-  void Tell(size_t side);
+  void NotifySide(size_t side);
   // Closes this side. The other side sees the end of the stream, or a reset if received bytes were unread.
   void End(size_t side, bool by_reset) {
     Side &own = sides[side], &other = sides[1 - side];
     if (std::exchange(own.closed, true)) return;
     own.finished = true;
-    if (by_reset || !own.come.empty()) other.reset = true;
-    own.come.clear();
-    Tell(1 - side);
+    if (by_reset || !own.received.empty()) other.reset = true;
+    own.received.clear();
+    NotifySide(1 - side);
   }
 };
 
 class VirtualStream final : public Stream {
  public:
-  VirtualStream(VirtualMachine& machine, std::shared_ptr<Connection> of, size_t side)
-      : Stream(machine.scheduler()), machine_(machine), of_(std::move(of)), side_(side) {
-    own().end = this;
-    ++machine_.open;
+  VirtualStream(VirtualMachine& machine, std::shared_ptr<Connection> connection, size_t side)
+      : Stream(machine.scheduler()), machine_(machine), connection_(std::move(connection)), side_(side) {
+    own().endpoint = this;
+    ++machine_.open_descriptors;
   }
   // Retries a connection that found the accept queue full, like TCP: after 1 s, and then with doubled
   // intervals.
-  void AskAgain(World& world) {
-    asking_ = Ask(world);
-    asking_.Start();
+  void RetryConnecting(World& world) {
+    retries_ = RetryLoop(world);
+    retries_.Start();
   }
   ~VirtualStream() override {
     Close();
-    own().end = nullptr;
+    own().endpoint = nullptr;
   }
 
-  State Opened() override { return of_->state; }
+  State Opened() override { return connection_->state; }
 
   Io Read(std::string& into) override {
-    if (own().closed || of_->state == State::kFailed) return Io::kBroken;
-    std::string& come = own().come;
-    if (!come.empty()) {
-      const size_t n = std::min(come.size(), kPiece);
-      into.append(come, 0, n);
-      come.erase(0, n);
-      if (std::exchange(other().blocked, false)) of_->Tell(1 - side_);
+    if (own().closed || connection_->state == State::kFailed) return Io::kBroken;
+    std::string& received = own().received;
+    if (!received.empty()) {
+      const size_t n = std::min(received.size(), kReadBytes);
+      into.append(received, 0, n);
+      received.erase(0, n);
+      if (std::exchange(other().blocked, false)) connection_->NotifySide(1 - side_);
       return Io::kSome;
     }
     if (own().reset) return Io::kBroken;
@@ -91,55 +91,55 @@
   }
 
   Io Write(std::string_view& bytes) override {
-    if (own().finished || own().reset || of_->state == State::kFailed) return Io::kBroken;
-    if (of_->state == State::kOpening) return Io::kLater;
+    if (own().finished || own().reset || connection_->state == State::kFailed) return Io::kBroken;
+    if (connection_->state == State::kOpening) return Io::kLater;
     if (other().closed) {  // accepted locally; the other machine answers with a reset
       bytes = {};
       own().reset = true;
       Notify();
       return Io::kSome;
     }
-    const size_t n = std::min(bytes.size(), kBuffer - std::min(kBuffer, other().come.size()));
-    other().come.append(bytes.substr(0, n));
+    const size_t n = std::min(bytes.size(), kBufferBytes - std::min(kBufferBytes, other().received.size()));
+    other().received.append(bytes.substr(0, n));
     bytes.remove_prefix(n);
-    if (n > 0) of_->Tell(1 - side_);
+    if (n > 0) connection_->NotifySide(1 - side_);
     own().blocked = !bytes.empty();
     return bytes.empty() ? Io::kSome : Io::kLater;
   }
 
   bool IsIdle() override {
-    return !own().closed && !own().reset && own().come.empty() && !other().finished &&
-           of_->state == State::kUp;
+    return !own().closed && !own().reset && own().received.empty() && !other().finished &&
+           connection_->state == State::kUp;
   }
   bool PeerEnded() override { return own().reset || other().finished; }
   void Finish() override {
     own().finished = true;
-    of_->Tell(1 - side_);
+    connection_->NotifySide(1 - side_);
   }
   void Reset() override { Shut(true); }
   void Close() override { Shut(false); }
-  Address Peer() const override { return of_->sides[1 - side_].at; }
-  Address Local() const override { return of_->sides[side_].at; }
+  Address Peer() const override { return connection_->sides[1 - side_].at; }
+  Address Local() const override { return connection_->sides[side_].at; }
 
  private:
-  Connection::Side& own() { return of_->sides[side_]; }
-  Connection::Side& other() { return of_->sides[1 - side_]; }
+  Connection::Side& own() { return connection_->sides[side_]; }
+  Connection::Side& other() { return connection_->sides[1 - side_]; }
   void Shut(bool by_reset) {
     if (own().closed) return;
-    --machine_.open;
-    of_->End(side_, by_reset);
+    --machine_.open_descriptors;
+    connection_->End(side_, by_reset);
   }
 
-  Task<> Ask(World& world);
+  Task<> RetryLoop(World& world);
 
   VirtualMachine& machine_;
-  std::shared_ptr<Connection> of_;
+  std::shared_ptr<Connection> connection_;
   const size_t side_;
-  Task<> asking_;
+  Task<> retries_;
 };
 
-void Connection::Tell(size_t side) {
-  if (sides[side].end != nullptr) sides[side].end->Notify();
+void Connection::NotifySide(size_t side) {
+  if (sides[side].endpoint != nullptr) sides[side].endpoint->Notify();
 }
 
 class VirtualListener final : public Listener {
@@ -149,28 +149,28 @@
     if (!world_.listeners.emplace(at_.text, this).second) {
       throw std::system_error(std::make_error_code(std::errc::address_in_use), "can't listen on " + at_.text);
     }
-    ++machine_.open;
+    ++machine_.open_descriptors;
   }
   ~VirtualListener() override {
-    --machine_.open;
+    --machine_.open_descriptors;
     world_.listeners.erase(at_.text);
-    for (const auto& one : waiting_) one->End(1, true);
+    for (const auto& pending : waiting_) pending->End(1, true);
   }
 
   Accepted Accept(std::unique_ptr<Stream>& into) override {
     if (waiting_.empty()) return Accepted::kNone;
-    if (machine_.open >= machine_.descriptors) return Accepted::kNoRoom;
+    if (machine_.open_descriptors >= machine_.max_descriptors) return Accepted::kNoRoom;
     into = std::make_unique<VirtualStream>(machine_, std::move(waiting_.front()), 1);
     waiting_.pop_front();
     return Accepted::kOne;
   }
   Address Local() const override { return at_; }
-  void SetBacklog(int max) override { backlog_ = static_cast<size_t>(max); }
+  void SetBacklog(int limit) override { backlog_ = static_cast<size_t>(limit); }
 
   // Adds a connection to the accept queue; false if the queue is full, and the connection is not established.
-  bool Take(const std::shared_ptr<Connection>& one) {
+  bool Enqueue(const std::shared_ptr<Connection>& pending) {
     if (waiting_.size() > backlog_) return false;
-    waiting_.push_back(one);
+    waiting_.push_back(pending);
     Notify();
     return true;
   }
@@ -183,15 +183,15 @@
   std::deque<std::shared_ptr<Connection>> waiting_;
 };
 
-Task<> VirtualStream::Ask(World& world) {
+Task<> VirtualStream::RetryLoop(World& world) {
   Event pause(world.scheduler);
-  for (Micros wait = kSecond; of_->state == State::kOpening && !own().closed; wait *= 2) {
+  for (Micros wait = kSecond; connection_->state == State::kOpening && !own().closed; wait *= 2) {
     co_await pause.Wait(world.scheduler.Now() + wait);
-    const auto listener = world.listeners.find(of_->sides[1].at.text);
+    const auto listener = world.listeners.find(connection_->sides[1].at.text);
     if (listener == world.listeners.end()) {
-      of_->state = State::kFailed;
-    } else if (!own().closed && listener->second->Take(of_)) {
-      of_->state = State::kUp;
+      connection_->state = State::kFailed;
+    } else if (!own().closed && listener->second->Enqueue(connection_)) {
+      connection_->state = State::kUp;
     }
   }
   Notify();
@@ -206,39 +206,39 @@
       throw std::system_error(std::make_error_code(std::errc::address_in_use),
                               "can't take datagrams at " + at_.text);
     }
-    ++machine_.open;
+    ++machine_.open_descriptors;
   }
   ~VirtualSocket() override {
-    --machine_.open;
+    --machine_.open_descriptors;
     world_.sockets.erase(at_.text);
   }
 
   Io Send(const Address& to, std::string_view datagram) override {
     const auto other = world_.sockets.find(to.text);
-    if (other != world_.sockets.end()) other->second->Take(datagram, at_);
+    if (other != world_.sockets.end()) other->second->Enqueue(datagram, at_);
     return Io::kSome;
   }
   Io Receive(std::string& into, Address& from) override {
-    if (come_.empty()) return Io::kLater;
-    into = std::move(come_.front().first);
-    from = come_.front().second;
-    come_.pop_front();
+    if (received_.empty()) return Io::kLater;
+    into = std::move(received_.front().first);
+    from = received_.front().second;
+    received_.pop_front();
     return Io::kSome;
   }
   Address Local() const override { return at_; }
 
  private:
-  void Take(std::string_view datagram, const Address& from) {
-    if (come_.size() >= kMostWaiting) return;
-    come_.emplace_back(datagram, from);
+  void Enqueue(std::string_view datagram, const Address& from) {
+    if (received_.size() >= kMaxWaiting) return;
+    received_.emplace_back(datagram, from);
     Notify();
   }
 
-  static constexpr size_t kMostWaiting = 512;
+  static constexpr size_t kMaxWaiting = 512;
   World& world_;
   VirtualMachine& machine_;
   const Address at_;
-  std::deque<std::pair<std::string, Address>> come_;
+  std::deque<std::pair<std::string, Address>> received_;
 };
 
 namespace {
@@ -248,27 +248,27 @@
   VirtualNetwork(World& world, VirtualMachine& machine) : world_(world), machine_(machine) {}
 
   std::unique_ptr<Stream> ConnectFrom(const Address* from, const Address& to, NoConnection& why) override {
-    if (machine_.open >= machine_.descriptors) {
+    if (machine_.open_descriptors >= machine_.max_descriptors) {
       why = NoConnection::kNoRoom;
       return nullptr;
     }
-    auto one = std::make_shared<Connection>();
+    auto pending = std::make_shared<Connection>();
     const std::string host = from == nullptr ? "127.0.0.1" : HostOf(*from);
-    one->sides[0].at = At(host + ":" + std::to_string(NextPort()));
-    one->sides[1].at = to;
+    pending->sides[0].at = ParseAddress(host + ":" + std::to_string(NextPort()));
+    pending->sides[1].at = to;
     const auto listener = world_.listeners.find(to.text);
-    one->state = listener == world_.listeners.end() ? Stream::State::kFailed
-                 : listener->second->Take(one)      ? Stream::State::kUp
-                                                    : Stream::State::kOpening;
-    auto stream = std::make_unique<VirtualStream>(machine_, one, 0);
-    one->state == Stream::State::kOpening ? stream->AskAgain(world_) : stream->Notify();
+    pending->state = listener == world_.listeners.end()   ? Stream::State::kFailed
+                     : listener->second->Enqueue(pending) ? Stream::State::kUp
+                                                          : Stream::State::kOpening;
+    auto stream = std::make_unique<VirtualStream>(machine_, pending, 0);
+    pending->state == Stream::State::kOpening ? stream->RetryConnecting(world_) : stream->Notify();
     return stream;
   }
   std::unique_ptr<Listener> Listen(const Address& at) override {
-    return std::make_unique<VirtualListener>(world_, machine_, Free(at, world_.listeners));
+    return std::make_unique<VirtualListener>(world_, machine_, WithFreePort(at, world_.listeners));
   }
   std::unique_ptr<DatagramSocket> Bind(const Address& at) override {
-    return std::make_unique<VirtualSocket>(world_, machine_, Free(at, world_.sockets));
+    return std::make_unique<VirtualSocket>(world_, machine_, WithFreePort(at, world_.sockets));
   }
   std::unique_ptr<Listener> Adopt(int descriptor) override {
     throw std::system_error(std::make_error_code(std::errc::bad_file_descriptor),
@@ -283,13 +283,13 @@
 
  private:
   // The address; for port 0 with a free port. Ports wrap around after 65535.
-  template <typename Held>
-  Address Free(const Address& at, const Held& held) {
+  template <typename Map>
+  Address WithFreePort(const Address& at, const Map& used) {
     if (PortOf(at) != 0) return at;
     const std::string host = at.text.substr(0, at.text.rfind(':') + 1);
     std::string text = host + std::to_string(NextPort());
-    while (held.contains(text)) text = host + std::to_string(NextPort());
-    return At(text);
+    while (used.contains(text)) text = host + std::to_string(NextPort());
+    return ParseAddress(text);
   }
   int NextPort() {
     world_.last_port = world_.last_port == 65535 ? 20001 : world_.last_port + 1;
@@ -395,9 +395,9 @@
 };
 
 // Appends to a string.
-class Said final : public Writable {
+class StringWriter final : public Writable {
  public:
-  explicit Said(std::string& to) : to_(to) {}
+  explicit StringWriter(std::string& to) : to_(to) {}
   Io Write(std::string_view& bytes) override {
     to_.append(std::exchange(bytes, {}));
     return Io::kSome;
@@ -411,8 +411,8 @@
 
 }  // namespace
 
-VirtualMachine::VirtualMachine(World& world, size_t most)
-    : descriptors(most),
+VirtualMachine::VirtualMachine(World& world, size_t limit)
+    : max_descriptors(limit),
       world_(world),
       network_(std::make_unique<VirtualNetwork>(world, *this)),
       files_(std::make_unique<VirtualFiles>(world, *this)) {}
@@ -423,6 +423,8 @@
 
 VirtualMachine::~VirtualMachine() = default;
 
-std::unique_ptr<Writable> VirtualMachine::StandardError() { return std::make_unique<Said>(said); }
+std::unique_ptr<Writable> VirtualMachine::StandardError() {
+  return std::make_unique<StringWriter>(standard_error_text);
+}
 
 }  // namespace burlfall::world
--- a/src/world/virtual_machine.h
+++ b/src/world/virtual_machine.h
@@ -32,9 +32,9 @@
     if (on_stop) on_stop();
   }
   // Advances the clock while a coroutine runs: simulates a stall of the whole process.
-  void StandStill(Micros span) { now_ += span; }
-  void Halt() { Scheduler::Stop(); }     // ends Run() for all machines
-  bool stuck() const { return stuck_; }  // nothing was ready and no timer was set
+  void AdvanceClock(Micros span) { now_ += span; }
+  void StopAll() { Scheduler::Stop(); }            // ends Run() for all machines
+  bool deadlocked() const { return deadlocked_; }  // nothing was ready and no timer was set
   std::function<void()> on_stop;
 
  protected:
@@ -44,16 +44,16 @@
 
  private:
   Micros now_;
-  bool stuck_ = false;
+  bool deadlocked_ = false;
 };
 
 // State that all machines share.
 struct World {
-  World(Micros begins_at, uint64_t seed) : scheduler(begins_at), chance(seed) {}
+  World(Micros begins_at, uint64_t seed) : scheduler(begins_at), random(seed) {}
   World(const World&) = delete;
 
   VirtualScheduler scheduler;
-  std::mt19937_64 chance;
+  std::mt19937_64 random;
   std::map<std::string, VirtualListener*> listeners;  // by address
   std::map<std::string, VirtualSocket*> sockets;      // datagram sockets, by address
   std::map<std::string, std::string> files;           // by path
@@ -62,25 +62,25 @@
 
 class VirtualMachine final : public Machine {
  public:
-  explicit VirtualMachine(World& world, size_t descriptors = 1024);
+  explicit VirtualMachine(World& world, size_t max_descriptors = 1024);
   ~VirtualMachine() override;
 
   Scheduler& scheduler() override { return world_.scheduler; }
   Network& network() override { return *network_; }
   Files& files() override { return *files_; }
   std::unique_ptr<DurableWriter> Durable() override;
-  Micros WallClock() override { return world_.scheduler.Now() + wall_off; }
-  uint64_t Entropy() override { return world_.chance(); }
+  Micros WallClock() override { return world_.scheduler.Now() + wall_clock_offset; }
+  uint64_t Entropy() override { return world_.random(); }
   std::unique_ptr<Writable> StandardError() override;
-  size_t MaxDescriptors() override { return descriptors; }
+  size_t MaxDescriptors() override { return max_descriptors; }
   size_t ResidentBytes() override { return 0; }
 
-  size_t descriptors;        // limit of open descriptors
-  size_t open = 0;           // currently open descriptors
-  bool disk_full = false;    // all writes fail
-  bool flush_fails = false;  // the next flush fails, once: the bytes are written, but may not be relied on
-  Micros wall_off = 0;       // WallClock() minus the true time
-  std::string said;          // what was written to standard error
+  size_t max_descriptors;       // limit of open descriptors
+  size_t open_descriptors = 0;  // currently open descriptors
+  bool disk_full = false;       // all writes fail
+  bool flush_fails = false;     // the next flush fails, once: the bytes are written, but may not be relied on
+  Micros wall_clock_offset = 0;     // WallClock() minus the true time
+  std::string standard_error_text;  // what was written to standard error
 
  private:
   World& world_;
--- a/tests/attempts/attempts_test.cpp
+++ b/tests/attempts/attempts_test.cpp
@@ -99,12 +99,12 @@
   void RunScenario(const std::function<Task<>()>& scenario) {
     const auto run_and_halt = [&]() -> Task<> {
       co_await scenario();
-      world.scheduler.Halt();
+      world.scheduler.StopAll();
     };
     Task<> running = run_and_halt();
     running.Start();
     world.scheduler.Run();
-    EXPECT_FALSE(world.scheduler.stuck());
+    EXPECT_FALSE(world.scheduler.deadlocked());
   }
 
   world::World world{1'700'000'000 * kSecond, 1};
@@ -150,7 +150,7 @@
     co_await Until(began + 300 * kMs);
     Accept();
     co_await Until(began + kConnectRetry);  // the connection is up, but the attempt has not run yet
-    world.scheduler.StandStill(500 * kMs);
+    world.scheduler.AdvanceClock(500 * kMs);
     co_await Until(Now() + kMs);
     const auto link = Accept();
     EXPECT_EQ(link ? Read(*link) : "no connection", "");
@@ -184,7 +184,7 @@
     const auto link = Accept();
     std::string received = Read(*link);  // the socket has space for the rest now
     EXPECT_GE(received.size(), kMaxHeldBody);
-    world.scheduler.StandStill(300 * kMs);
+    world.scheduler.AdvanceClock(300 * kMs);
     co_await Until(Now() + kMs);
     received += Read(*link);
     EXPECT_LT(received.size() - received.find("\r\n\r\n") - 4, kMaxHeldBody)
--- a/tests/council/links_test.cpp
+++ b/tests/council/links_test.cpp
@@ -17,7 +17,7 @@
   Links one(a, at_a,
             {[&](Links::Link&, std::string_view frame) {
                heard_a.emplace_back(frame);
-               if (frame == "back") world.scheduler.Halt();
+               if (frame == "back") world.scheduler.StopAll();
              },
              [] { return std::string("hello of a"); }});
   Links two(b, at_b,
--- a/tests/histories/ends_test.cpp
+++ b/tests/histories/ends_test.cpp
@@ -83,12 +83,12 @@
   std::unique_ptr<Listener> Listen(const char* at) { return outside.network().Listen(*ReadAddress(at)); }
   void Play(Task<> story) {
     story.Start();
-    while (!over_ && !world_.scheduler.stuck()) world_.scheduler.Run();
+    while (!over_ && !world_.scheduler.deadlocked()) world_.scheduler.Run();
     EXPECT_TRUE(over_);
   }
   void Over() {
     over_ = true;
-    world_.scheduler.Halt();
+    world_.scheduler.StopAll();
   }
 
  private:
--- a/tests/histories/stall_test.cpp
+++ b/tests/histories/stall_test.cpp
@@ -61,7 +61,7 @@
       EXPECT_EQ(upstream.to_.size(), 1u);  // at once, as a rule
       co_await pause.Wait(world.scheduler.Now() + kMs);
       upstream.to_.clear();
-      world.scheduler.StandStill(pause_for);
+      world.scheduler.AdvanceClock(pause_for);
       ask();
       EXPECT_TRUE(upstream.to_.empty());
       dispatcher.OnList(
@@ -69,7 +69,7 @@
       co_await pause.Wait(world.scheduler.Now() + 20 * kMs);
       for (meadowslip::BackendId to : upstream.to_) EXPECT_EQ(to, 2u) << seed;
       EXPECT_EQ(sink.told, 2);
-      world.scheduler.Halt();
+      world.scheduler.StopAll();
     };
     Task<> telling = story();
     telling.Start();
--- a/tests/histories/virtual_run.h
+++ b/tests/histories/virtual_run.h
@@ -48,7 +48,7 @@
     tending.Start();
     playing.Start();
     world_.scheduler.Run();
-    if (world_.scheduler.stuck()) out_.why_not = "nothing was left that could happen";
+    if (world_.scheduler.deadlocked()) out_.why_not = "nothing was left that could happen";
     for (const Life& life : lives_) out_.said.push_back(life.machine ? life.machine->said : "");
     return std::move(out_);
   }
@@ -154,7 +154,7 @@
     out_.why_not = run_.failed();
     out_.whole = out_.why_not.empty();
     out_.verdict = std::move(run_.verdict());
-    world_.scheduler.Halt();
+    world_.scheduler.StopAll();
   }
 
   void Ask(Order order) {
--- a/tests/membership/watch_test.cpp
+++ b/tests/membership/watch_test.cpp
@@ -90,7 +90,7 @@
         co_await pause.Wait(world_.scheduler.Now() + say.each);
       }
       if (say.what && say.each == 0) co_await WriteAll(*link.stream, *say.what, kNever);
-      world_.scheduler.StandStill(say.stands);
+      world_.scheduler.AdvanceClock(say.stands);
       if (say.ends) link.stream->Close();
       if (say.ends) co_return;
     }
@@ -134,7 +134,7 @@
   const auto end = [&]() -> Task<> {
     Event pause(world.scheduler);
     co_await pause.Wait(kBegin + length);
-    world.scheduler.Halt();
+    world.scheduler.StopAll();
   };
   Task<> ending = end();
   ending.Start();
@@ -410,7 +410,7 @@
       discovery.Again();
     }
     co_await pause.Wait(kBegin + length);
-    world.scheduler.Halt();
+    world.scheduler.StopAll();
   };
   Task<> playing = story();
   playing.Start();
@@ -547,7 +547,7 @@
     discovery.Start(1);
     discovery.Follow();
     co_await pause.Wait(kBegin + 2 * kSecond);
-    world.scheduler.Halt();
+    world.scheduler.StopAll();
   };
   Task<> playing = story();
   playing.Start();
