--- a/src/io/real_files.cpp
+++ b/src/io/real_files.cpp
@@ -54,7 +54,7 @@
         bytes.remove_prefix(static_cast<size_t>(n));
       } else if (n == 0 || errno != EINTR) {
         if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return Io::kLater;
-        why_ = n == 0 ? "nothing more can be written" : std::strerror(errno);
+        why_ = n == 0 ? "the write accepted no bytes" : std::strerror(errno);
         return Io::kBroken;
       }
     }
--- a/src/io/real_network.cpp
+++ b/src/io/real_network.cpp
@@ -181,7 +181,7 @@
       : DatagramSocket(scheduler),
         fd_(socket(at.storage.ss_family, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)) {
     if (!fd_ || bind(fd_.get(), at.get(), at.length) != 0) {
-      throw std::system_error(errno, std::generic_category(), "can't take datagrams at " + at.text);
+      throw std::system_error(errno, std::generic_category(), "can't receive datagrams at " + at.text);
     }
     scheduler.Watch(fd_.get(), *this);
   }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -41,22 +41,21 @@
     "usage: burlfall COMMAND [OPTIONS]\n"
     "\n"
     "  serve          runs the balancer in the foreground until SIGTERM\n"
-    "  check-config   reads the configuration, prints what it says and ends\n"
-    "  cluster        asks a balancer that runs with --cluster about the others: members, watch, "
-    "who-differs, explain\n"
-    "  council        asks a balancer that runs with --council what they decided together: status, explain; "
-    "and\n"
-    "                 tells them: begin, add, remove, hand-over, take-away, incident\n"
+    "  check-config   reads the configuration and prints a summary of it\n"
+    "  cluster        queries a balancer that runs with --cluster about the cluster: members, watch,\n"
+    "                 who-differs, explain\n"
+    "  council        queries the council of a balancer that runs with --council: status, explain;\n"
+    "                 and changes it: begin, add, remove, hand-over, take-away, incident\n"
     "  replay         feeds a capture to the decisions and prints where they differ\n"
     "  token issue    prints a token, signed with one of the operators' keys\n"
-    "  lab            a site to try balancers on: load, experiments, reports (burlfall-lab)\n"
+    "  lab            a simulated site to test balancers on: load, experiments, reports (burlfall-lab)\n"
     "  config         explains and checks TOML files (burlfall-config)\n"
     "  version        prints the version\n"
     "  help           prints this\n"
     "\n"
     "serve and check-config read the file that PROXY_CONFIG names; PROXY_NAME, PROXY_LISTEN and\n"
-    "PROXY_DISCOVERY go before what it says. A balancer that runs prints its counters on SIGUSR1, and reads\n"
-    "its files anew on SIGHUP. burlfall COMMAND --help tells a command's options.\n";
+    "PROXY_DISCOVERY override it. A running balancer prints its counters on SIGUSR1 and reloads its files\n"
+    "on SIGHUP. burlfall COMMAND --help lists the options of a command.\n";
 
 int CheckConfig(const std::string& path, const std::string& start, const std::string& cluster,
                 const std::string& council) {
@@ -129,7 +128,7 @@
   RealMachine machine;
   const std::unique_ptr<Channel> channel = machine.network().ConnectChannel(socket);
   if (!channel) {
-    std::cerr << "burlfall: nobody answers at " << socket << "\n";
+    std::cerr << "burlfall: no process listens at " << socket << "\n";
     return {};
   }
   std::optional<std::string> answer;
@@ -192,14 +191,15 @@
   if (!ParseOptions(known, {words.begin() + static_cast<std::ptrdiff_t>(at), words.end()}, given, code))
     return code;
   if (arguments.empty())
-    return UsageError("council knows status, explain, begin, add, remove, hand-over and take-away");
+    return UsageError(
+        "council needs a command: status, explain, begin, add, remove, hand-over, take-away or incident");
   constexpr std::pair<std::string_view, size_t> kCommands[] = {
       {"status", 1}, {"explain", 2},   {"begin", 1},     {"add", 2},
       {"remove", 2}, {"hand-over", 3}, {"take-away", 4}, {"incident", 5}};
   const auto* const found =
       std::ranges::find(kCommands, arguments[0], &std::pair<std::string_view, size_t>::first);
-  if (found == std::end(kCommands)) return UsageError("council does not know " + arguments[0]);
-  if (arguments.size() < found->second) return UsageError("council " + arguments[0] + ": too few words");
+  if (found == std::end(kCommands)) return UsageError("unknown council command " + arguments[0]);
+  if (arguments.size() < found->second) return UsageError("council " + arguments[0] + ": too few arguments");
   std::string question;
   for (const std::string& word : arguments) question += (question.empty() ? "" : " ") + word;
   if (given.contains("json")) question += " json";
@@ -229,15 +229,17 @@
       "the balancer's socket: burlfall-NAME.cluster in the folder that its cluster.toml names")("json",
                                                                                                 "as JSON");
   const bool wants_help = !words.empty() && (words[0] == "--help" || words[0] == "-h");
-  if (words.empty()) return UsageError("cluster knows members, watch, who-differs and explain NAME");
+  if (words.empty())
+    return UsageError("cluster needs a command: members, watch, who-differs or explain NAME");
   const std::string what = words[0];
   // In `cluster explain --help` the second word is no member name.
   const bool wants_explain_help = words.size() > 1 && (words[1] == "--help" || words[1] == "-h");
   const bool explain = what == "explain" && !wants_explain_help;
   if (!wants_help && what != "members" && what != "watch" && what != "who-differs" && what != "explain") {
-    return UsageError("cluster does not know " + what);
+    return UsageError("unknown cluster command " + what);
   }
-  if (explain && (words.size() < 2 || words[1].starts_with("--"))) return UsageError("explain whom?");
+  if (explain && (words.size() < 2 || words[1].starts_with("--")))
+    return UsageError("cluster explain: the name of a member is missing");
   const size_t first_option = wants_help ? 0 : explain ? 2 : 1;
   if (!ParseOptions(known, {words.begin() + static_cast<std::ptrdiff_t>(first_option), words.end()}, given,
                     code))
@@ -273,15 +275,13 @@
                                        (serve ? " [--log-format text|json]" : ""));
     known.add_options()("config", options::value(&file)->value_name("FILE"),
                         "the operators' properties; without them every feature is off");
-    known.add_options()(
-        "start", options::value(&start)->value_name("FILE"),
-        "how a start spares the list service and the nodes (deploy/start.toml); without it, not");
-    known.add_options()(
-        "cluster", options::value(&cluster)->value_name("FILE"),
-        "how it knows the other balancers (deploy/cluster.toml); without it, it knows of none");
-    known.add_options()(
-        "council", options::value(&council)->value_name("FILE"),
-        "what it decides together with the others (deploy/council.toml); without it, nothing");
+    known.add_options()("start", options::value(&start)->value_name("FILE"),
+                        "limits the load on the list service and the nodes after a start "
+                        "(deploy/start.toml); default: no limits");
+    known.add_options()("cluster", options::value(&cluster)->value_name("FILE"),
+                        "how it discovers the other balancers (deploy/cluster.toml); default: it does not");
+    known.add_options()("council", options::value(&council)->value_name("FILE"),
+                        "the council that it takes part in (deploy/council.toml); default: none");
     if (serve) {
       known.add_options()("log-format", options::value(&format)->value_name("FORMAT"),
                           "text, or json: each event of the log as one line of JSON");
@@ -308,11 +308,12 @@
     known.add_options()("config", required_text(&file, "FILE"),
                         "the operators' properties, which hold the keys")(
         "key", required_text(&key, "ID"), "the key to sign with: k1 for tokens.key.k1")(
-        "holder", required_text(&holder, "NAME"), "whose token it is")(
-        "classes", required_text(&classes, "A+B"), "what it is good for")(
-        "ttl", options::value(&ttl)->value_name("SECONDS")->required(), "for how long, from now on");
+        "holder", required_text(&holder, "NAME"), "the holder of the token")(
+        "classes", required_text(&classes, "A+B"), "the classes that it permits")(
+        "ttl", options::value(&ttl)->value_name("SECONDS")->required(), "validity, from now on");
     const bool wants_help = !rest.empty() && (rest[0] == "--help" || rest[0] == "-h");
-    if (!wants_help && (rest.empty() || rest[0] != "issue")) return UsageError("token knows only issue");
+    if (!wants_help && (rest.empty() || rest[0] != "issue"))
+      return UsageError("token needs the command issue");
     if (!ParseOptions(known, wants_help ? rest : std::vector<std::string>(rest.begin() + 1, rest.end()),
                       given, code)) {
       return code;
--- a/src/tools/config_main.cpp
+++ b/src/tools/config_main.cpp
@@ -143,7 +143,8 @@
   input.kind = kind_name.empty() ? KindOfFile(Kinds(), file, input.text) : KindByName(kind_name);
   if (input.kind != nullptr) return input;
   if (!kind_name.empty()) {
-    return {"", nullptr, Fail(json, kUsageError, "no kind " + kind_name + "; there are: " + KindNames())};
+    return {"", nullptr,
+            Fail(json, kUsageError, "unknown kind " + kind_name + "; known kinds: " + KindNames())};
   }
   const TomlText toml = ReadToml(file, input.text);
   if (!toml.errors.empty()) return {"", nullptr, PrintErrors(json, toml.errors)};
@@ -170,7 +171,7 @@
     errors.insert(errors.end(), values.errors.begin(), values.errors.end());
     if (!values.errors.empty()) continue;
     valid.push_back({{"file", file}, {"kind", input.kind->name}});
-    if (!json) std::cout << file << ": a right " << input.kind->name << "\n";
+    if (!json) std::cout << file << ": valid " << input.kind->name << "\n";
   }
   if (!errors.empty()) return PrintErrors(json, errors);
   if (json) Print({{"ok", true}, {"files", valid}});
@@ -232,7 +233,7 @@
 
 int Explain(const std::string& what, const std::string& kind_name, bool json) {
   if (!kind_name.empty() && KindByName(kind_name) == nullptr) {
-    return Fail(json, kUsageError, "no kind " + kind_name + "; there are: " + KindNames());
+    return Fail(json, kUsageError, "unknown kind " + kind_name + "; known kinds: " + KindNames());
   }
   if (what.empty()) return kind_name.empty() ? ListKinds(json) : ExplainOneKind(*KindByName(kind_name), json);
   const bool is_file = what.find('/') != what.npos || what.ends_with(".toml");
@@ -304,7 +305,7 @@
     if (!text) {
       result = Fail(false, kFailure, error);
     } else if (*text != ReferencePage(kind)) {
-      report(page, "differs from the schema; `burlfall-config reference --write` makes it anew");
+      report(page, "differs from the schema; `burlfall-config reference --write` regenerates it");
     }
   }
   std::error_code code;
@@ -313,7 +314,7 @@
     std::string error;
     const std::optional<std::string> text = ReadFile(entry.path().string(), error);
     if (text && text->starts_with(kReferenceMark))
-      report(entry.path(), "of a kind that is no more; remove it");
+      report(entry.path(), "of a kind that no longer exists; remove it");
   }
   return result;
 }
@@ -321,7 +322,7 @@
 int Main(int argc, char** argv) {
   CLI::App app{
       "burlfall-config: checks the TOML files of burlfall, and explains their keys and values.\n"
-      "Exit codes: 0 done, 1 it went wrong, 2 wrong usage or a file that can't be used.",
+      "Exit codes: 0 success, 1 failure, 2 usage error or a file that can't be used.",
       "burlfall-config"};
   app.require_subcommand(1);
   std::string what;
@@ -333,20 +334,21 @@
 
   CLI::App* explain = app.add_subcommand(
       "explain",
-      "What a key means, which keys a kind of file has, or which values a file brings into force.");
+      "What a key means, which keys a kind of file has, or which values are in force with a file.");
   explain->add_option("WHAT", what,
-                      "a FILE, a KEY such as site.nodes.speed, or a KIND; nothing lists the kinds");
-  CLI::App* check =
-      app.add_subcommand("check", "Reads files as the program would, and says all that is wrong.");
+                      "a FILE, a KEY such as site.nodes.speed, or a KIND; without it, lists the kinds");
+  CLI::App* check = app.add_subcommand("check", "Reads files as the program would, and reports all errors.");
   check->add_option("FILE", files, "the files")->required();
   for (CLI::App* command : {explain, check}) {
-    command->add_option("--kind", kind, "the kind of file, where neither its name nor its keys tell");
+    command->add_option("--kind", kind, "the kind of file, if neither its name nor its keys identify it");
     command->add_flag("--json", json, "one JSON object on standard output, errors included");
   }
   CLI::App* reference = app.add_subcommand("reference", "The reference pages, one for each kind of file.");
   CLI::Option* write = reference->add_option("--write", write_dir, "writes DIR/KIND.md")->type_name("DIR");
   CLI::Option* compare =
-      reference->add_option("--check", check_dir, "says which pages in DIR are not what --write would write")
+      reference
+          ->add_option("--check", check_dir,
+                       "reports the pages in DIR that differ from what --write would write")
           ->type_name("DIR");
   write->excludes(compare);
   reference->callback([&] {
--- a/src/world/virtual_machine.cpp
+++ b/src/world/virtual_machine.cpp
@@ -204,7 +204,7 @@
       : DatagramSocket(machine.scheduler()), world_(world), machine_(machine), at_(std::move(at)) {
     if (!world_.sockets.emplace(at_.text, this).second) {
       throw std::system_error(std::make_error_code(std::errc::address_in_use),
-                              "can't take datagrams at " + at_.text);
+                              "can't receive datagrams at " + at_.text);
     }
     ++machine_.open_descriptors;
   }
@@ -276,7 +276,7 @@
   }
   std::unique_ptr<Channel> ConnectChannel(const std::string&) override { return nullptr; }
   std::unique_ptr<ChannelListener> ListenOnChannel(const std::string&, std::string& why) override {
-    why = "there are none in this world";
+    why = "channels are not simulated";
     return nullptr;
   }
   std::unique_ptr<Writable> DatagramWriterTo(const Address&) override { return nullptr; }
--- a/tests/config/schema_test.cpp
+++ b/tests/config/schema_test.cpp
@@ -373,7 +373,7 @@
 TEST_F(Program, ChecksFiles) {
   const std::string good = File("a.sample.toml", kNode);
   const std::string bad = File("b.toml", "balancers = 0\n" + kNode);
-  EXPECT_EQ(Tool("check " + good).out, good + ": a right sample\n");
+  EXPECT_EQ(Tool("check " + good).out, good + ": valid sample\n");
   EXPECT_EQ(Tool("check " + good).code, 0);
   const Ran ran = Tool("check " + bad);
   EXPECT_EQ(ran.code, 2);
@@ -403,7 +403,7 @@
   EXPECT_EQ(Tool("reference --write " + dir).code, 0);
   EXPECT_EQ(Tool("reference --check " + dir).code, 0);
   std::filesystem::copy(dir + "/sample.md", dir + "/gone.md");
-  EXPECT_NE(Tool("reference --check " + dir).out.find("gone.md: of a kind that is no more"),
+  EXPECT_NE(Tool("reference --check " + dir).out.find("gone.md: of a kind that no longer exists"),
             std::string::npos);
   File("pages/gone.md", "by hand");
   EXPECT_EQ(Tool("reference --check " + dir).code, 0);
