--- a/src/council/links.cpp
+++ b/src/council/links.cpp
@@ -115,7 +115,7 @@
     }
     const Listener::Accepted accepted = listener_->Accept(stream);
     if (accepted == Listener::Accepted::kNone) co_await listener_->Wait(machine_.Now() + kSecond);
-    if (accepted == Listener::Accepted::kNoRoom) co_await room_.Wait(machine_.Now() + kLookAgain);
+    if (accepted == Listener::Accepted::kNoResources) co_await room_.Wait(machine_.Now() + kLookAgain);
     if (accepted != Listener::Accepted::kOne) continue;
     accepted_.push_back(std::make_unique<Link>(machine_.scheduler()));
     Link& link = *accepted_.back();
--- a/src/front/http_front.cpp
+++ b/src/front/http_front.cpp
@@ -154,7 +154,7 @@
     switch (listener_->Accept(stream)) {
       case Listener::Accepted::kNone:
         return true;
-      case Listener::Accepted::kNoRoom:
+      case Listener::Accepted::kNoResources:
         parts_.budget.EnsureCapacity();
         return false;
       case Listener::Accepted::kOne:
--- a/src/io/network.h
+++ b/src/io/network.h
@@ -1,6 +1,6 @@
 // The interface to the network: connections, listeners, datagrams and channels between processes. No call
-// blocks, except Writable::AwaitRoom(). A caller that gets kLater waits on the object, which is a Signal, and
-// tries again.
+// blocks, except Writable::WaitUntilWritable(). A caller that gets kLater waits on the object, which is a
+// Signal, and then tries again.
 #ifndef BURLFALL_IO_NETWORK_H_
 #define BURLFALL_IO_NETWORK_H_
 
@@ -25,7 +25,7 @@
   virtual Io Write(std::string_view& bytes) = 0;
   virtual std::string ErrorText() const = 0;  // describes the last kBroken
   // Blocks until there is room, or until the timeout. Only for use while the program shuts down.
-  virtual void AwaitRoom(Micros timeout) = 0;
+  virtual void WaitUntilWritable(Micros timeout) = 0;
 };
 
 // One connection. Notifications are edge-triggered: after one, repeat the operation until it returns kLater.
@@ -52,8 +52,8 @@
  public:
   enum class Accepted {
     kOne,
-    kNone,    // no connection is waiting
-    kNoRoom,  // one is waiting, but no descriptor or memory is left; no notification follows when there is
+    kNone,         // no connection is waiting
+    kNoResources,  // one is waiting, but no descriptor or memory is left; freeing one sends no notification
   };
 
   using Signal::Signal;
@@ -79,8 +79,8 @@
 
 // Why a connection attempt failed immediately.
 enum class NoConnection {
-  kRefused,  // by the peer or the network
-  kNoRoom,   // this process has no descriptor, port or memory left: the peer is not at fault
+  kRefused,      // by the peer or the network
+  kNoResources,  // this process has no descriptor, port or memory left: the peer is not at fault
 };
 
 // A message channel between two processes of one machine, which can pass connections along with messages.
--- a/src/io/real_files.cpp
+++ b/src/io/real_files.cpp
@@ -21,7 +21,7 @@
 namespace burlfall {
 namespace {
 
-bool HasRoom(int fd, int wait_ms) {
+bool IsWritable(int fd, int wait_ms) {
   pollfd one{fd, POLLOUT, 0};
   return poll(&one, 1, wait_ms) == 1 && (one.revents & POLLOUT) != 0;
 }
@@ -45,7 +45,7 @@
         n = send(fd(), bytes.data(), bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
       } else if (kind_ == Kind::kShared) {
         // A pipe that polls as writable has room for PIPE_BUF bytes; more could block.
-        if (!HasRoom(fd(), 0)) return Io::kLater;
+        if (!IsWritable(fd(), 0)) return Io::kLater;
         n = write(fd(), bytes.data(), std::min<size_t>(bytes.size(), PIPE_BUF));
       } else {
         n = write(fd(), bytes.data(), bytes.size());
@@ -62,7 +62,7 @@
   }
 
   std::string ErrorText() const override { return why_; }
-  void AwaitRoom(Micros timeout) override { HasRoom(fd(), static_cast<int>(timeout / kMs)); }
+  void WaitUntilWritable(Micros timeout) override { IsWritable(fd(), static_cast<int>(timeout / kMs)); }
 
  private:
   int fd() const { return own_ ? own_.get() : shared_; }
--- a/src/io/real_network.cpp
+++ b/src/io/real_network.cpp
@@ -132,10 +132,10 @@
       if (!fd && WouldBlock()) return Accepted::kNone;
       if (!fd && (errno == EINTR || errno == ECONNABORTED || errno == EPROTO))
         continue;  // the peer has gone already
-      if (!fd) return Accepted::kNoRoom;
+      if (!fd) return Accepted::kNoResources;
       SetNoDelay(fd.get());
       into = MakeWatchedStream(static_cast<RealScheduler&>(scheduler()), std::move(fd));
-      return into ? Accepted::kOne : Accepted::kNoRoom;
+      return into ? Accepted::kOne : Accepted::kNoResources;
     }
   }
 
@@ -168,7 +168,7 @@
     return Io::kSome;
   }
   std::string ErrorText() const override { return why_; }
-  void AwaitRoom(Micros) override {}
+  void WaitUntilWritable(Micros) override {}
 
  private:
   Descriptor fd_;
@@ -250,13 +250,13 @@
       SetNoDelay(fd.get());
       if (BindToHost(fd.get(), from) &&
           (connect(fd.get(), to.get(), to.length) == 0 || errno == EINPROGRESS)) {
-        why = NoConnection::kNoRoom;
+        why = NoConnection::kNoResources;
         return MakeWatchedStream(scheduler_, std::move(fd));
       }
     }
     const bool local_shortage =
         errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM || errno == EADDRNOTAVAIL;
-    why = local_shortage ? NoConnection::kNoRoom : NoConnection::kRefused;
+    why = local_shortage ? NoConnection::kNoResources : NoConnection::kRefused;
     return nullptr;
   }
 
--- a/src/lab/load/clients.cpp
+++ b/src/lab/load/clients.cpp
@@ -286,7 +286,7 @@
   std::unique_ptr<Stream> stream =
       machine_.network().Connect(balancers_[static_cast<size_t>(pool.balancer)].at, why);
   if (!stream) {
-    if (why == NoConnection::kNoRoom) ++counts_.no_room;
+    if (why == NoConnection::kNoResources) ++counts_.no_room;
     Settle(slot, {End::kUnreached, 0, {}, 0});
     return;
   }
--- a/src/lab/load/rude.cpp
+++ b/src/lab/load/rude.cpp
@@ -79,7 +79,7 @@
   const Micros until = machine_.Now() + kPatience;
   NoConnection why = NoConnection::kRefused;
   const std::unique_ptr<Stream> stream = machine_.network().Connect(target.at, why);
-  if (!stream && why == NoConnection::kNoRoom) ++counts_.no_room;
+  if (!stream && why == NoConnection::kNoResources) ++counts_.no_room;
   if (!stream) co_return;
   const bool up = co_await Connected(*stream, until);
   if (!up) co_return;
--- a/src/lab/paths/paths.cpp
+++ b/src/lab/paths/paths.cpp
@@ -90,7 +90,7 @@
     std::unique_ptr<Stream> stream;
     const Listener::Accepted accepted = door.listener->Accept(stream);
     if (accepted == Listener::Accepted::kNone) co_await door.listener->Wait();
-    if (accepted == Listener::Accepted::kNoRoom) {
+    if (accepted == Listener::Accepted::kNoResources) {
       Event pause(machine_.scheduler());
       co_await pause.Wait(machine_.Now() + kNoRoomPause);
     }
--- a/src/lab/site/stand_in.cpp
+++ b/src/lab/site/stand_in.cpp
@@ -134,7 +134,7 @@
     std::unique_ptr<Stream> stream;
     const Listener::Accepted accepted = gate.listener->Accept(stream);
     if (accepted == Listener::Accepted::kNone) co_await gate.listener->Wait();
-    if (accepted == Listener::Accepted::kNoRoom) co_await Rest(machine_.Now() + kNoRoomPause);
+    if (accepted == Listener::Accepted::kNoResources) co_await Rest(machine_.Now() + kNoRoomPause);
     if (accepted != Listener::Accepted::kOne) continue;
     if (links() >= limits_.most_links + kMostSurplus) {
       stream->Reset();
--- a/src/member/member.cpp
+++ b/src/member/member.cpp
@@ -242,7 +242,7 @@
     }
     const Listener::Accepted accepted = listener_->Accept(stream);
     if (accepted == Listener::Accepted::kNone) co_await listener_->Wait();
-    if (accepted == Listener::Accepted::kNoRoom)
+    if (accepted == Listener::Accepted::kNoResources)
       co_await capacity_event_.Wait(machine_.Now() + kRetryInterval);
     if (accepted != Listener::Accepted::kOne) continue;
     auto connection = std::make_unique<Connection>();
--- a/src/observe/outlet.cpp
+++ b/src/observe/outlet.cpp
@@ -65,7 +65,7 @@
 }
 
 void Outlet::AwaitRoom(Micros patience) const {
-  if (to_) to_->AwaitRoom(patience);
+  if (to_) to_->WaitUntilWritable(patience);
 }
 
 bool Outlet::Drain(Micros patience) {
--- a/src/upstream/http_upstream.cpp
+++ b/src/upstream/http_upstream.cpp
@@ -187,7 +187,7 @@
     NoConnection why = NoConnection::kRefused;
     std::unique_ptr<Stream> stream = network_.Connect(host.address, why);
     // Nor is it if this process has no descriptor or port left: that must not put a healthy host to sleep.
-    if (!stream && why == NoConnection::kNoRoom) co_return answer;
+    if (!stream && why == NoConnection::kNoResources) co_return answer;
     answer.outcome = Outcome::kConnectFailed;
     if (!stream) co_return answer;
     ++counters_.server_links;
--- a/src/world/virtual_machine.cpp
+++ b/src/world/virtual_machine.cpp
@@ -159,7 +159,7 @@
 
   Accepted Accept(std::unique_ptr<Stream>& into) override {
     if (waiting_.empty()) return Accepted::kNone;
-    if (machine_.open_descriptors >= machine_.max_descriptors) return Accepted::kNoRoom;
+    if (machine_.open_descriptors >= machine_.max_descriptors) return Accepted::kNoResources;
     into = std::make_unique<VirtualStream>(machine_, std::move(waiting_.front()), 1);
     waiting_.pop_front();
     return Accepted::kOne;
@@ -249,7 +249,7 @@
 
   std::unique_ptr<Stream> ConnectFrom(const Address* from, const Address& to, NoConnection& why) override {
     if (machine_.open_descriptors >= machine_.max_descriptors) {
-      why = NoConnection::kNoRoom;
+      why = NoConnection::kNoResources;
       return nullptr;
     }
     auto pending = std::make_shared<Connection>();
@@ -311,7 +311,7 @@
     return Io::kSome;
   }
   std::string ErrorText() const override { return kDiskFull; }
-  void AwaitRoom(Micros) override {}
+  void WaitUntilWritable(Micros) override {}
 
  private:
   const VirtualMachine& machine_;
@@ -403,7 +403,7 @@
     return Io::kSome;
   }
   std::string ErrorText() const override { return ""; }
-  void AwaitRoom(Micros) override {}
+  void WaitUntilWritable(Micros) override {}
 
  private:
   std::string& to_;
