--- a/tests/config/platform_test.cpp
+++ b/tests/config/platform_test.cpp
@@ -21,7 +21,7 @@
   std::unique_ptr<Writable> Write(const std::string&, Open, std::string&) override { return nullptr; }
   bool Replace(const std::string&, std::string_view, std::string&) override { return false; }
   bool MakeFolder(const std::string&) override { return false; }
-  bool Usable(const std::string&, std::string&) override { return true; }
+  bool IsWritableFolder(const std::string&, std::string&) override { return true; }
   std::vector<std::string> List(const std::string&) override { return {}; }
   bool Remove(const std::string&) override { return false; }
 
