--- a/tests/histories/ends_test.cpp
+++ b/tests/histories/ends_test.cpp
@@ -74,7 +74,7 @@
   void Terminate() { program_->Drain(); }
   // As the system does with what a process that ended, or was killed, leaves.
   void Bury() { program_.reset(); }
-  const std::string& said() const { return machine_.said; }
+  const std::string& said() const { return machine_.standard_error_text; }
   const Counters& counters() const { return counters_; }
   std::unique_ptr<Stream> Connect(const char* to = kDoor) {
     NoConnection why{};
--- a/tests/histories/virtual_run.h
+++ b/tests/histories/virtual_run.h
@@ -49,7 +49,8 @@
     playing.Start();
     world_.scheduler.Run();
     if (world_.scheduler.deadlocked()) out_.why_not = "nothing was left that could happen";
-    for (const Life& life : lives_) out_.said.push_back(life.machine ? life.machine->said : "");
+    for (const Life& life : lives_)
+      out_.standard_error_text.push_back(life.machine ? life.machine->said : "");
     return std::move(out_);
   }
 
