--- a/tests/histories/virtual_run.h
+++ b/tests/histories/virtual_run.h
@@ -50,7 +50,7 @@
     world_.scheduler.Run();
     if (world_.scheduler.deadlocked()) out_.why_not = "nothing was left that could happen";
     for (const Life& life : lives_)
-      out_.standard_error_text.push_back(life.machine ? life.machine->said : "");
+      out_.said.push_back(life.machine ? life.machine->standard_error_text : "");
     return std::move(out_);
   }
 
