--- a/src/council/coordinator_member.cpp
+++ b/src/council/coordinator_member.cpp
@@ -193,7 +193,7 @@
   follower_.emplace(consensus::FollowerRules{}, setup_.name, seeds, machine_.Entropy());
   follower_->Begin(machine_.Now());
   std::string why;
-  operator_listener_ = machine_.network().Await(setup_.stem + ".council", why);
+  operator_listener_ = machine_.network().ListenOnChannel(setup_.stem + ".council", why);
   if (operator_listener_) {
     accept_operators_task_ = AcceptOperators();
     accept_operators_task_.Start();
@@ -282,7 +282,7 @@
         core_->OnWritten(machine_.Now(), number, true);
       }
     }
-    if (const std::string why = log_disk_->Why(); !why.empty() && disk_fault_.empty()) {
+    if (const std::string why = log_disk_->ErrorText(); !why.empty() && disk_fault_.empty()) {
       disk_fault_ = "failed, " + why;
       log_.Emit<"council_disk">("failed", why);
       if (core_ && !pending_log_writes_.empty())
@@ -306,7 +306,7 @@
       executor_->OnWritten(pending_epoch_writes_.front(), true);
       pending_epoch_writes_.pop_front();
     }
-    if (const std::string why = epoch_disk_->Why(); !why.empty()) {
+    if (const std::string why = epoch_disk_->ErrorText(); !why.empty()) {
       log_.Emit<"council_disk">("failed", why);
       while (!pending_epoch_writes_.empty()) {
         executor_->OnWritten(pending_epoch_writes_.front(), false);
--- a/src/council/member_connections.cpp
+++ b/src/council/member_connections.cpp
@@ -118,7 +118,7 @@
     }
     const Listener::Accepted accepted = listener_->Accept(stream);
     if (accepted == Listener::Accepted::kNone) co_await listener_->Wait(machine_.Now() + kSecond);
-    if (accepted == Listener::Accepted::kNoRoom)
+    if (accepted == Listener::Accepted::kNoResources)
       co_await capacity_freed_.Wait(machine_.Now() + kAcceptRetryInterval);
     if (accepted != Listener::Accepted::kOne) continue;
     incoming_.push_back(std::make_unique<Connection>(machine_.scheduler()));
--- a/src/council/store.cpp
+++ b/src/council/store.cpp
@@ -107,7 +107,7 @@
 
 Store::Opened Store::Open(Files& files, const std::string& folder, uint64_t new_disk) {
   Opened opened;
-  if (!files.Usable(folder, opened.reason)) {
+  if (!files.IsWritableFolder(folder, opened.reason)) {
     opened.fault = StoreFault::kUnusable;
     opened.reason = folder + ": " + opened.reason;
     disk_ = std::max<uint64_t>(new_disk, 1);
--- a/src/io/real_channel.h
+++ b/src/io/real_channel.h
@@ -1,4 +1,4 @@
-// Channels of the real machine: packets on Unix sockets, descriptors as SCM_RIGHTS (unix(7)).
+// Channels over Unix sockets of type SOCK_SEQPACKET; connections are passed as SCM_RIGHTS (unix(7)).
 #ifndef BURLFALL_IO_REAL_CHANNEL_H_
 #define BURLFALL_IO_REAL_CHANNEL_H_
 
@@ -10,9 +10,9 @@
 
 namespace burlfall {
 
-std::unique_ptr<Channel> MeetChannel(RealScheduler& scheduler, const std::string& path);
-std::unique_ptr<ChannelListener> AwaitChannel(RealScheduler& scheduler, const std::string& path,
-                                              std::string& why);
+std::unique_ptr<Channel> ConnectRealChannel(RealScheduler& scheduler, const std::string& path);
+std::unique_ptr<ChannelListener> ListenOnRealChannel(RealScheduler& scheduler, const std::string& path,
+                                                     std::string& why);
 
 }  // namespace burlfall
 
--- a/src/io/real_files.cpp
+++ b/src/io/real_files.cpp
@@ -21,7 +21,7 @@
 namespace burlfall {
 namespace {
 
-bool HasRoom(int fd, int wait_ms) {
+bool IsWritable(int fd, int wait_ms) {
   pollfd one{fd, POLLOUT, 0};
   return poll(&one, 1, wait_ms) == 1 && (one.revents & POLLOUT) != 0;
 }
@@ -29,8 +29,8 @@
 class DescriptorWriter final : public Writable {
  public:
   enum class Kind {
-    kOwn,     // a description of our own, which never blocks, or a plain file
-    kShared,  // others hold the description too, and it may block
+    kOwn,     // an open file description of our own, which never blocks, or a regular file
+    kShared,  // a description shared with other processes, which may block
     kSocket,
     kClosed,
   };
@@ -44,8 +44,8 @@
       if (kind_ == Kind::kSocket) {
         n = send(fd(), bytes.data(), bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
       } else if (kind_ == Kind::kShared) {
-        // A pipe that polls as writable has room for so much; more could block.
-        if (!HasRoom(fd(), 0)) return Io::kLater;
+        // A pipe that polls as writable has room for PIPE_BUF bytes; more could block.
+        if (!IsWritable(fd(), 0)) return Io::kLater;
         n = write(fd(), bytes.data(), std::min<size_t>(bytes.size(), PIPE_BUF));
       } else {
         n = write(fd(), bytes.data(), bytes.size());
@@ -54,15 +54,15 @@
         bytes.remove_prefix(static_cast<size_t>(n));
       } else if (n == 0 || errno != EINTR) {
         if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return Io::kLater;
-        why_ = n == 0 ? "nothing more can be written" : std::strerror(errno);
+        why_ = n == 0 ? "the write accepted no bytes" : std::strerror(errno);
         return Io::kBroken;
       }
     }
     return Io::kSome;
   }
 
-  std::string Why() const override { return why_; }
-  void AwaitRoom(Micros patience) override { HasRoom(fd(), static_cast<int>(patience / kMs)); }
+  std::string ErrorText() const override { return why_; }
+  void WaitUntilWritable(Micros timeout) override { IsWritable(fd(), static_cast<int>(timeout / kMs)); }
 
  private:
   int fd() const { return own_ ? own_.get() : shared_; }
@@ -81,16 +81,16 @@
       if (!file) return {};
       std::string text(std::istreambuf_iterator<char>(file), {});
       if (!file.bad()) return text;
-    } catch (const std::ios_base::failure&) {  // a folder, for one
+    } catch (const std::ios_base::failure&) {  // the path is a folder, for example
     }
     return {};
   }
 
   std::unique_ptr<Writable> Write(const std::string& path, Open how, std::string& why) override {
-    const bool anew = how == Open::kNew;
-    // A file never blocks, but what stands at its path may be a pipe.
-    const int flags = O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC | (anew ? O_EXCL : O_NONBLOCK | O_NOCTTY);
-    Descriptor fd(open(path.c_str(), flags, anew ? 0640 : 0644));
+    const bool create = how == Open::kNew;
+    // O_NONBLOCK, since the path may be a named pipe.
+    const int flags = O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC | (create ? O_EXCL : O_NONBLOCK | O_NOCTTY);
+    Descriptor fd(open(path.c_str(), flags, create ? 0640 : 0644));
     if (!fd) {
       why = std::strerror(errno);
       return nullptr;
@@ -99,19 +99,19 @@
   }
 
   bool Replace(const std::string& path, std::string_view text, std::string& why) override {
-    // Of its own process: two that write at once each publish what they have written, and never the other's
-    // half.
-    const std::string beside = path + ".new." + std::to_string(getpid());
-    Descriptor fd(open(beside.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0640));
+    // The temporary file has the pid in its name: two processes that write at once each publish their own
+    // complete text.
+    const std::string temporary = path + ".new." + std::to_string(getpid());
+    Descriptor fd(open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0640));
     bool written = static_cast<bool>(fd);
     while (written && !text.empty()) {
       const ssize_t n = write(fd.get(), text.data(), text.size());
       if (n > 0) text.remove_prefix(static_cast<size_t>(n));
       written = n > 0 || (n < 0 && errno == EINTR);
     }
-    if (written && rename(beside.c_str(), path.c_str()) == 0) return true;
+    if (written && rename(temporary.c_str(), path.c_str()) == 0) return true;
     why = std::strerror(errno);
-    if (fd) unlink(beside.c_str());
+    if (fd) unlink(temporary.c_str());
     return false;
   }
 
@@ -121,7 +121,7 @@
     return !error;
   }
 
-  bool Usable(const std::string& folder, std::string& why) override {
+  bool IsWritableFolder(const std::string& folder, std::string& why) override {
     std::error_code error;
     const bool usable = std::filesystem::is_directory(folder, error);
     if (usable && access(folder.c_str(), W_OK | X_OK) == 0) return true;
@@ -147,21 +147,21 @@
 
 std::unique_ptr<Files> MakeRealFiles() { return std::make_unique<RealFiles>(); }
 
-std::unique_ptr<Writable> WriteToNobody() {
+std::unique_ptr<Writable> MakeClosedWriter() {
   return std::make_unique<DescriptorWriter>(DescriptorWriter::Kind::kClosed, -1, Descriptor());
 }
 
-std::unique_ptr<Writable> WriteTo(int fd, bool anew) {
+std::unique_ptr<Writable> MakeDescriptorWriter(int fd, bool reopen) {
   using Kind = DescriptorWriter::Kind;
   struct stat status {};
-  // One that is closed is never written to: its number may be a client's link soon.
-  if (fstat(fd, &status) != 0) return WriteToNobody();
+  // Never write to a closed descriptor: its number may soon belong to a client link.
+  if (fstat(fd, &status) != 0) return MakeClosedWriter();
   if (S_ISSOCK(status.st_mode)) return std::make_unique<DescriptorWriter>(Kind::kSocket, fd, Descriptor());
-  // A file is not opened anew: two descriptions of one have two places to write at, and overwrite each other.
+  // A regular file is not reopened: two descriptions have separate offsets and would overwrite each other.
   if (S_ISREG(status.st_mode)) return std::make_unique<DescriptorWriter>(Kind::kOwn, fd, Descriptor());
-  Descriptor own;  // another user's pipe can't be opened
+  Descriptor own;  // stays empty for another user's pipe, which can't be opened
   const std::string path = "/proc/self/fd/" + std::to_string(fd);
-  if (anew) own = Descriptor(open(path.c_str(), O_WRONLY | O_NONBLOCK | O_CLOEXEC | O_NOCTTY));
+  if (reopen) own = Descriptor(open(path.c_str(), O_WRONLY | O_NONBLOCK | O_CLOEXEC | O_NOCTTY));
   const Kind kind = own ? Kind::kOwn : Kind::kShared;
   return std::make_unique<DescriptorWriter>(kind, fd, std::move(own));
 }
--- a/src/lab/council/coordinator_run.cpp
+++ b/src/lab/council/coordinator_run.cpp
@@ -449,7 +449,7 @@
     const Micros deadline = machine_.Now() + kTimeout;
     std::string answer;
     while (machine_.Now() < deadline && result_.failure.empty()) {
-      std::unique_ptr<Channel> channel = machine_.network().Meet(FileStem(i) + ".council");
+      std::unique_ptr<Channel> channel = machine_.network().ConnectChannel(FileStem(i) + ".council");
       if (!channel) {
         co_await changed_.Wait(machine_.Now() + kPollInterval);
         continue;
--- a/src/lab/load/rude.cpp
+++ b/src/lab/load/rude.cpp
@@ -79,7 +79,7 @@
   const Micros until = machine_.Now() + kPatience;
   NoConnection why = NoConnection::kRefused;
   const std::unique_ptr<Stream> stream = machine_.network().Connect(target.at, why);
-  if (!stream && why == NoConnection::kNoRoom) ++counts_.no_room;
+  if (!stream && why == NoConnection::kNoResources) ++counts_.no_room;
   if (!stream) co_return;
   const bool up = co_await Connected(*stream, until);
   if (!up) co_return;
@@ -114,7 +114,7 @@
   piece.resize(kPourPiece, 'x');
   for (size_t poured = 0; poured < kPourMost; poured += kPourPiece) {
     const bool written = co_await WriteAll(stream, piece, until);
-    if (!written || !stream.Quiet()) break;
+    if (!written || !stream.IsIdle()) break;
     piece.assign(kPourPiece, 'x');
     co_await stream.Wait(machine_.Now());  // a piece a turn: the others want theirs
   }
--- a/src/member/member.cpp
+++ b/src/member/member.cpp
@@ -118,7 +118,7 @@
   log_.Emit<"cluster_serving">(settings_.site, detector_.self().address);
   if (!setup_.socket.empty()) {
     std::string why;
-    command_listener_ = machine_.network().Await(setup_.socket, why);
+    command_listener_ = machine_.network().ListenOnChannel(setup_.socket, why);
     if (command_listener_) {
       command_accept_task_ = AcceptCommandClients();
       command_accept_task_.Start();
@@ -242,7 +242,7 @@
     }
     const Listener::Accepted accepted = listener_->Accept(stream);
     if (accepted == Listener::Accepted::kNone) co_await listener_->Wait();
-    if (accepted == Listener::Accepted::kNoRoom)
+    if (accepted == Listener::Accepted::kNoResources)
       co_await capacity_event_.Wait(machine_.Now() + kRetryInterval);
     if (accepted != Listener::Accepted::kOne) continue;
     auto connection = std::make_unique<Connection>();
--- a/src/membership/discovery.cpp
+++ b/src/membership/discovery.cpp
@@ -69,7 +69,7 @@
   link_.reset();
   following_ = true;
   clock_.Reset(scheduler_.Now());
-  if (pacer_ != nullptr) pacer_->Restart(scheduler_.Now(), machine_.Draw());
+  if (pacer_ != nullptr) pacer_->Restart(scheduler_.Now(), machine_.RandomUnit());
   Start({});  // another service may number its versions differently
 }
 
@@ -142,7 +142,7 @@
 // Reports the end of a call to the clock and the pacer, before any callback.
 void Discovery::RecordOutcome(const Answer& answer, Micros called_at, bool changed) {
   const Micros now = scheduler_.Now();
-  clock_.Ended(now, answer.how, answer.retry_after, machine_.Draw());
+  clock_.Ended(now, answer.how, answer.retry_after, machine_.RandomUnit());
   if (pacer_ == nullptr) return;
   start::CallOutcome how = start::CallOutcome::kDown;
   if (answer.list) how = changed ? start::CallOutcome::kChanged : start::CallOutcome::kUnchanged;
@@ -150,14 +150,14 @@
   // A call that was rejected after waiting in the queue indicates overload, not a broken service.
   if (answer.how == ListCallOutcome::kBusy && (answer.was_queued || answer.retry_after > 0))
     how = start::CallOutcome::kBusy;
-  pacer_->Ended(now, how, now - called_at, answer.retry_after, machine_.Draw());
+  pacer_->Ended(now, how, now - called_at, answer.retry_after, machine_.RandomUnit());
 }
 
 // Performs one call.
 Task<Discovery::Answer> Discovery::Call(std::string path, Micros timeout) {
   const Micros called_at = scheduler_.Now(), until = called_at + timeout;
   Answer answer;
-  if (!link_ || !link_->Quiet()) {
+  if (!link_ || !link_->IsIdle()) {
     link_.reset();
     answer.why = "no connection";
     NoConnection no_connection;
@@ -165,7 +165,7 @@
     if (!link_) co_return answer;
     // Guards the drain rule after this process was suspended: queries that arrived meanwhile are in the same
     // event queue as an earlier announcement of a drain, which must be processed first.
-    link_->GoFirst();
+    link_->SetHighPriority();
     const Micros connect_by = std::min(until, scheduler_.Now() + kConnectTimeout);
     bool connected = co_await Connected(*link_, connect_by);
     if (!connected && scheduler_.Now() >= connect_by) answer.how = ListCallOutcome::kSilent;
--- a/src/observe/capture.cpp
+++ b/src/observe/capture.cpp
@@ -353,7 +353,7 @@
 bool Capture::WritePending() {
   std::string_view left = pending_;
   if (file_ && file_->Write(left) != Io::kSome) {
-    DiskError(FileName(file_number_), file_->Why());
+    DiskError(FileName(file_number_), file_->ErrorText());
     return false;
   }
   if (file_ && !pending_.empty()) disk_error_logged_ = false;  // a later error is logged again
--- a/src/observe/figures.cpp
+++ b/src/observe/figures.cpp
@@ -45,7 +45,7 @@
     : settings_(settings),
       counters_(counters),
       own_sink_(settings.collector
-                    ? LineSink(machine.scheduler(), machine.network().Datagrams(*settings.collector))
+                    ? LineSink(machine.scheduler(), machine.network().DatagramWriterTo(*settings.collector))
                     : LineSink(machine.scheduler(), machine.files(), settings.target)),
       out_(settings.target == "stderr" ? errors : own_sink_),
       tick_(machine.scheduler()) {
--- a/src/observe/line_sink.cpp
+++ b/src/observe/line_sink.cpp
@@ -65,7 +65,7 @@
 }
 
 void LineSink::AwaitRoom(Micros timeout) const {
-  if (to_) to_->AwaitRoom(timeout);
+  if (to_) to_->WaitUntilWritable(timeout);
 }
 
 bool LineSink::Drain(Micros timeout) {
--- a/src/serve/program.cpp
+++ b/src/serve/program.cpp
@@ -217,12 +217,12 @@
   if (!list_pacing_) return {};
   return [this](Micros timeout) -> std::optional<Micros> {
     if (hosts_.Ready() > 0) return std::nullopt;
-    return list_pacing_->RetryDelay(machine_.Now(), timeout, machine_.Draw());
+    return list_pacing_->RetryDelay(machine_.Now(), timeout, machine_.RandomUnit());
   };
 }
 
 size_t Program::descriptors() const {
-  return std::min(static_cast<size_t>(config_.sockets), machine_.MostDescriptors());
+  return std::min(static_cast<size_t>(config_.sockets), machine_.MaxDescriptors());
 }
 
 void Program::UpdateDescriptorLimits() {
@@ -258,7 +258,8 @@
   if (capture_) capture_->Start();
   start_began_at_ = machine_.Now();
   if (list_pacing_) {
-    list_pacing_->Begin(start_began_at_, hosts_.Ready() > 0, machine_.Draw(), estate ? 0 : RecordStart());
+    list_pacing_->Begin(start_began_at_, hosts_.Ready() > 0, machine_.RandomUnit(),
+                        estate ? 0 : RecordStart());
   }
   // With paced starts, the list service sends complete lists first and begins watches once every balancer
   // has a list.
--- a/src/sim/wire.h
+++ b/src/sim/wire.h
@@ -1,4 +1,5 @@
-// The simulator's wire: frames, records and settings. No decisions are made here.
+// The simulator's binary protocol: decodes batches of events and encodes replies. Integers are little-endian.
+// No balancing decisions are made here.
 #ifndef MEADOWSLIP_SIM_WIRE_H_
 #define MEADOWSLIP_SIM_WIRE_H_
 
@@ -14,28 +15,28 @@
 
 namespace meadowslip::wire {
 
-constexpr uint32_t kMaxFrame = 512u << 20;
+constexpr uint32_t kMaxFrame = 512u << 20;  // bytes
 
-// Reads fields one after the other; throws BadInput past the end.
+// Reads consecutive fields; throws BadInput, which names `context`, at the end of the bytes.
 class Reader {
  public:
-  Reader(std::span<const std::byte> bytes, const char* what) : bytes_(bytes), what_(what) {}
+  Reader(std::span<const std::byte> bytes, const char* context) : bytes_(bytes), context_(context) {}
   uint8_t U8();
   uint16_t U16();
   uint32_t U32();
   uint64_t U64();
   float F32();
   std::span<const std::byte> Take(size_t n);
-  size_t left() const { return bytes_.size(); }
+  size_t remaining() const { return bytes_.size(); }
   void ExpectEnd() const;
 
  private:
-  uint64_t Little(size_t width);
+  uint64_t LittleEndian(size_t width);
   std::span<const std::byte> bytes_;
-  const char* what_;
+  const char* context_;
 };
 
-// Receives the events of a batch in order.
+// Receives the events of a batch in order; one method for each record type.
 class EventHandler {
  public:
   virtual ~EventHandler() = default;
@@ -51,10 +52,12 @@
   virtual void Probed(const ProbeResult& result) = 0;
 };
 
-// A frame without its leading length. `clock` is set before the first event is handed on.
+// Decodes a frame, without its leading length, and passes its events to the handler. `clock` is set before
+// the first event. Throws BadInput.
 void DecodeBatch(std::span<const std::byte> frame, Micros& clock, EventHandler& handler);
 
-// Builds the reply to one batch.
+// Builds the reply to one batch: Begin(), then actions, with At() for the instance that they are from, then
+// Finish(), which returns the frame including its length.
 class Reply : public ActionSink {
  public:
   void Begin();
@@ -75,7 +78,7 @@
   std::vector<std::byte> out_;
   uint32_t count_ = 0;
   int64_t instance_ = -1;
-  int64_t written_ = -1;
+  int64_t last_instance_ = -1;
 };
 
 }  // namespace meadowslip::wire
--- a/src/upstream/http_upstream.cpp
+++ b/src/upstream/http_upstream.cpp
@@ -188,7 +188,7 @@
     NoConnection why = NoConnection::kRefused;
     std::unique_ptr<Stream> stream = network_.Connect(host.address, why);
     // Nor is it if this process has no descriptor or port left: that must not put a healthy host to sleep.
-    if (!stream && why == NoConnection::kNoRoom) co_return answer;
+    if (!stream && why == NoConnection::kNoResources) co_return answer;
     answer.outcome = Outcome::kConnectFailed;
     if (!stream) co_return answer;
     ++counters_.server_links;
@@ -226,7 +226,7 @@
     const BodySource::Next rest_sent = co_await SendBodyRest(*link->stream, body_rest);
     if (rest_sent == BodySource::Next::kLater) answer.outcome = Outcome::kMoot;  // the host is not at fault
     if (rest_sent != BodySource::Next::kDone) co_return answer;
-    until = body_rest->Patience();
+    until = body_rest->ResponseDeadline();
   }
   answer.outcome = Outcome::kReset;  // from here on it may have run
   const Micros written = scheduler_.Now();
@@ -305,7 +305,7 @@
   if (link.host_generation != host.incarnation || idle >= idle_timeout_ ||
       !idle_reuse_stats_.Usable(idle, now))
     return false;
-  if (link.stream->Quiet()) return true;
+  if (link.stream->IsIdle()) return true;
   std::string in;
   if (link.stream->Read(in) == Io::kSome) {
     ++counters_.unasked;
--- a/tests/attempts/attempts_test.cpp
+++ b/tests/attempts/attempts_test.cpp
@@ -77,7 +77,7 @@
 
   // Fills the listen backlog: connections come up only once it has been read and they retry.
   void FillBacklog() {
-    listener->Backlog(0);
+    listener->SetBacklog(0);
     NoConnection why = NoConnection::kRefused;
     filler = server.network().Connect(*ReadAddress(kServerAddress), why);
   }
@@ -99,12 +99,12 @@
   void RunScenario(const std::function<Task<>()>& scenario) {
     const auto run_and_halt = [&]() -> Task<> {
       co_await scenario();
-      world.scheduler.Halt();
+      world.scheduler.StopAll();
     };
     Task<> running = run_and_halt();
     running.Start();
     world.scheduler.Run();
-    EXPECT_FALSE(world.scheduler.stuck());
+    EXPECT_FALSE(world.scheduler.deadlocked());
   }
 
   world::World world{1'700'000'000 * kSecond, 1};
@@ -150,7 +150,7 @@
     co_await Until(began + 300 * kMs);
     Accept();
     co_await Until(began + kConnectRetry);  // the connection is up, but the attempt has not run yet
-    world.scheduler.StandStill(500 * kMs);
+    world.scheduler.AdvanceClock(500 * kMs);
     co_await Until(Now() + kMs);
     const auto link = Accept();
     EXPECT_EQ(link ? Read(*link) : "no connection", "");
@@ -184,7 +184,7 @@
     const auto link = Accept();
     std::string received = Read(*link);  // the socket has space for the rest now
     EXPECT_GE(received.size(), kMaxHeldBody);
-    world.scheduler.StandStill(300 * kMs);
+    world.scheduler.AdvanceClock(300 * kMs);
     co_await Until(Now() + kMs);
     received += Read(*link);
     EXPECT_LT(received.size() - received.find("\r\n\r\n") - 4, kMaxHeldBody)
@@ -287,8 +287,8 @@
     bytes = {};
     return Io::kSome;
   }
-  bool Quiet() override { return false; }
-  bool Ended() override { return false; }
+  bool IsIdle() override { return false; }
+  bool PeerEnded() override { return false; }
   void Finish() override {}
   void Reset() override {}
   void Close() override {}
@@ -308,10 +308,12 @@
   }
   std::unique_ptr<Listener> Listen(const Address&) override { return nullptr; }
   std::unique_ptr<Listener> Adopt(int) override { return nullptr; }
-  std::unique_ptr<Channel> Meet(const std::string&) override { return nullptr; }
-  std::unique_ptr<ChannelListener> Await(const std::string&, std::string&) override { return nullptr; }
+  std::unique_ptr<Channel> ConnectChannel(const std::string&) override { return nullptr; }
+  std::unique_ptr<ChannelListener> ListenOnChannel(const std::string&, std::string&) override {
+    return nullptr;
+  }
   std::unique_ptr<DatagramSocket> Bind(const Address&) override { return nullptr; }
-  std::unique_ptr<Writable> Datagrams(const Address&) override { return nullptr; }
+  std::unique_ptr<Writable> DatagramWriterTo(const Address&) override { return nullptr; }
 
  private:
   Scheduler& scheduler_;
@@ -330,7 +332,7 @@
   Micros WallClock() override { return base_.WallClock(); }
   uint64_t Entropy() override { return base_.Entropy(); }
   std::unique_ptr<Writable> StandardError() override { return base_.StandardError(); }
-  size_t MostDescriptors() override { return base_.MostDescriptors(); }
+  size_t MaxDescriptors() override { return base_.MaxDescriptors(); }
   size_t ResidentBytes() override { return base_.ResidentBytes(); }
 
  private:
--- a/tests/council/member_connections_test.cpp
+++ b/tests/council/member_connections_test.cpp
@@ -17,7 +17,7 @@
   MemberConnections connections_a(a, at_a,
                                   {[&](MemberConnections::Connection&, std::string_view frame) {
                                      received_a.emplace_back(frame);
-                                     if (frame == "back") world.scheduler.Halt();
+                                     if (frame == "back") world.scheduler.StopAll();
                                    },
                                    [] { return std::string("hello of a"); }});
   MemberConnections connections_b(b, at_b,
--- a/tests/council/store_test.cpp
+++ b/tests/council/store_test.cpp
@@ -25,7 +25,7 @@
  protected:
   void WriteBatch(const std::vector<DurableWrite>& batch) {
     disk->Write(batch);
-    ASSERT_EQ(disk->Why(), "");
+    ASSERT_EQ(disk->ErrorText(), "");
   }
   Store::Opened Open(Store& store) { return store.Open(machine.files(), "/d", 77); }
   // Writes the files of a voter that has voted and has entries 1 to 5.
--- a/tests/features/figures_test.cpp
+++ b/tests/features/figures_test.cpp
@@ -186,7 +186,7 @@
     REQUIRE((kind == "socket" ? socketpair(AF_UNIX, SOCK_STREAM, 0, ends) : pipe(ends)) == 0);
     Descriptor in(ends[0]), out(ends[1]);
     RealMachine machine;
-    LineSink sink(machine.scheduler(), WriteTo(out.get(), kind != "shared"));
+    LineSink sink(machine.scheduler(), MakeDescriptorWriter(out.get(), kind != "shared"));
     std::string sent;
     LineSink::Result taken = LineSink::Result::kWritten;
     for (int i = 0; taken == LineSink::Result::kWritten; ++i) {
@@ -218,7 +218,7 @@
   Descriptor in(ends[0]), out(ends[1]);
   REQUIRE(fcntl(out.get(), F_SETPIPE_SZ, 4096) == 4096);
   RealMachine machine;
-  LineSink errors(machine.scheduler(), WriteTo(out.get()));
+  LineSink errors(machine.scheduler(), MakeDescriptorWriter(out.get()));
   Counters counters;
   Figures figures(machine, {.on = true}, Names(), errors, counters);
   const std::string tenant = "akku-punkt-lu";
@@ -282,7 +282,7 @@
   REQUIRE(pipe(ends) == 0);
   Descriptor in(ends[0]);
   close(ends[1]);
-  LineSink closed(machine.scheduler(), WriteTo(ends[1]));
+  LineSink closed(machine.scheduler(), MakeDescriptorWriter(ends[1]));
   REQUIRE(dup2(in.get(), ends[1]) == ends[1]);  // the descriptor's number now belongs to another file
   Descriptor other(ends[1]);
   CHECK(closed.TryWrite("not for it\n") == LineSink::Result::kFailed);
--- a/tests/histories/ends_test.cpp
+++ b/tests/histories/ends_test.cpp
@@ -74,7 +74,7 @@
   void Terminate() { program_->Drain(); }
   // Closes what the process has open, as the kernel does when a process ends.
   void DestroyProgram() { program_.reset(); }
-  const std::string& said() const { return machine_.said; }
+  const std::string& said() const { return machine_.standard_error_text; }
   const Counters& counters() const { return counters_; }
   std::unique_ptr<Stream> Connect(const char* to = kListenAddress) {
     NoConnection why{};
@@ -83,12 +83,12 @@
   std::unique_ptr<Listener> Listen(const char* at) { return outside.network().Listen(*ReadAddress(at)); }
   void RunScenario(Task<> scenario) {
     scenario.Start();
-    while (!finished_ && !world_.scheduler.stuck()) world_.scheduler.Run();
+    while (!finished_ && !world_.scheduler.deadlocked()) world_.scheduler.Run();
     EXPECT_TRUE(finished_);
   }
   void Finish() {
     finished_ = true;
-    world_.scheduler.Halt();
+    world_.scheduler.StopAll();
   }
 
  private:
--- a/tests/histories/stall_test.cpp
+++ b/tests/histories/stall_test.cpp
@@ -61,7 +61,7 @@
       EXPECT_EQ(upstream.to_.size(), 1u);  // normally sent at once
       co_await pause.Wait(world.scheduler.Now() + kMs);
       upstream.to_.clear();
-      world.scheduler.StandStill(pause_for);
+      world.scheduler.AdvanceClock(pause_for);
       submit();
       EXPECT_TRUE(upstream.to_.empty());
       dispatcher.OnList(
@@ -69,7 +69,7 @@
       co_await pause.Wait(world.scheduler.Now() + 20 * kMs);
       for (meadowslip::BackendId to : upstream.to_) EXPECT_EQ(to, 2u) << seed;
       EXPECT_EQ(sink.answers, 2);
-      world.scheduler.Halt();
+      world.scheduler.StopAll();
     };
     Task<> scenario_task = scenario();
     scenario_task.Start();
--- a/tests/histories/virtual_run.h
+++ b/tests/histories/virtual_run.h
@@ -48,9 +48,9 @@
     manage_task.Start();
     run_task.Start();
     world_.scheduler.Run();
-    if (world_.scheduler.stuck()) out_.failure = "nothing was left that could happen";
+    if (world_.scheduler.deadlocked()) out_.failure = "nothing was left that could happen";
     for (const Process& process : processes_)
-      out_.logs.push_back(process.machine ? process.machine->said : "");
+      out_.logs.push_back(process.machine ? process.machine->standard_error_text : "");
     return std::move(out_);
   }
 
@@ -158,7 +158,7 @@
     out_.failure = run_.failed();
     out_.completed = out_.failure.empty();
     out_.verdict = std::move(run_.verdict());
-    world_.scheduler.Halt();
+    world_.scheduler.StopAll();
   }
 
   void Enqueue(Command command) {
--- a/tests/membership/watch_test.cpp
+++ b/tests/membership/watch_test.cpp
@@ -90,7 +90,7 @@
         co_await pause.Wait(world_.scheduler.Now() + reply.byte_interval);
       }
       if (reply.what && reply.byte_interval == 0) co_await WriteAll(*link.stream, *reply.what, kNever);
-      world_.scheduler.StandStill(reply.suspends_for);
+      world_.scheduler.AdvanceClock(reply.suspends_for);
       if (reply.ends) link.stream->Close();
       if (reply.ends) co_return;
     }
@@ -134,7 +134,7 @@
   const auto end = [&]() -> Task<> {
     Event pause(world.scheduler);
     co_await pause.Wait(kBegin + length);
-    world.scheduler.Halt();
+    world.scheduler.StopAll();
   };
   Task<> ending = end();
   ending.Start();
@@ -416,7 +416,7 @@
       discovery.Reconnect();
     }
     co_await pause.Wait(kBegin + length);
-    world.scheduler.Halt();
+    world.scheduler.StopAll();
   };
   Task<> running = scenario();
   running.Start();
@@ -553,7 +553,7 @@
     discovery.Start(1);
     discovery.Follow();
     co_await pause.Wait(kBegin + 2 * kSecond);
-    world.scheduler.Halt();
+    world.scheduler.StopAll();
   };
   Task<> running = scenario();
   running.Start();
--- a/tests/stories/log_test.cpp
+++ b/tests/stories/log_test.cpp
@@ -67,7 +67,7 @@
     in = Descriptor(ends[0]);
     out = Descriptor(ends[1]);
     REQUIRE(fcntl(out.get(), F_SETPIPE_SZ, bytes) == bytes);
-    sink.emplace(clock, WriteTo(out.get()));
+    sink.emplace(clock, MakeDescriptorWriter(out.get()));
     log.emplace(clock, *sink, format, counters);
   }
   std::string ReadAvailable() {  // without waiting
