--- a/src/lab/judge/told.cpp
+++ b/src/lab/judge/balancer_knowledge.cpp
@@ -1,4 +1,4 @@
-#include "lab/judge/told.h"
+#include "lab/judge/balancer_knowledge.h"
 
 #include <algorithm>
 #include <cstddef>
--- a/src/lab/judge/told.h
+++ b/src/lab/judge/balancer_knowledge.h
@@ -1,7 +1,7 @@
 // What each balancer knows from discovery, or is deemed to know: the rules on drains and cold nodes count
 // from there. No I/O, no clock.
-#ifndef BURLFALL_LAB_JUDGE_TOLD_H_
-#define BURLFALL_LAB_JUDGE_TOLD_H_
+#ifndef BURLFALL_LAB_JUDGE_BALANCER_KNOWLEDGE_H_
+#define BURLFALL_LAB_JUDGE_BALANCER_KNOWLEDGE_H_
 
 #include <deque>
 #include <vector>
@@ -75,4 +75,4 @@
 
 }  // namespace burlfall::lab
 
-#endif  // BURLFALL_LAB_JUDGE_TOLD_H_
+#endif  // BURLFALL_LAB_JUDGE_BALANCER_KNOWLEDGE_H_
--- a/src/lab/judge/history.cpp
+++ b/src/lab/judge/fault_history.cpp
@@ -1,4 +1,4 @@
-#include "lab/judge/history.h"
+#include "lab/judge/fault_history.h"
 
 #include <algorithm>
 
--- a/src/lab/judge/history.h
+++ b/src/lab/judge/fault_history.h
@@ -1,6 +1,6 @@
 // What happened to balancers and zones during a run, and whether that excuses what a query met.
-#ifndef BURLFALL_LAB_JUDGE_HISTORY_H_
-#define BURLFALL_LAB_JUDGE_HISTORY_H_
+#ifndef BURLFALL_LAB_JUDGE_FAULT_HISTORY_H_
+#define BURLFALL_LAB_JUDGE_FAULT_HISTORY_H_
 
 #include <vector>
 
@@ -52,4 +52,4 @@
 
 }  // namespace burlfall::lab
 
-#endif  // BURLFALL_LAB_JUDGE_HISTORY_H_
+#endif  // BURLFALL_LAB_JUDGE_FAULT_HISTORY_H_
--- a/src/lab/judge/fleet_tally.h
+++ b/src/lab/judge/fleet_tally.h
@@ -11,7 +11,7 @@
 
 #include "lab/judge/result.h"
 #include "lab/script/experiment.h"
-#include "lab/witness/quiet_witness.h"
+#include "lab/witness/null_observer.h"
 
 namespace burlfall::lab {
 
--- a/src/lab/judge/history_file.cpp
+++ b/src/lab/judge/history_file.cpp
@@ -13,10 +13,10 @@
 
 #include "config/platform_config.h"
 #include "config/settings.h"
-#include "lab/judge/judge.h"
+#include "lab/judge/run_checker.h"
 #include "lab/judge/text.h"
-#include "lab/witness/quiet_witness.h"
-#include "lab/witness/witnesses.h"
+#include "lab/witness/null_observer.h"
+#include "lab/witness/observer_list.h"
 
 namespace burlfall::lab {
 namespace {
--- a/src/lab/judge/history_file.h
+++ b/src/lab/judge/history_file.h
@@ -18,7 +18,7 @@
 
 #include "lab/judge/facts.h"
 #include "lab/judge/result.h"
-#include "lab/witness/witness.h"
+#include "lab/witness/observer.h"
 
 namespace burlfall::lab {
 
--- a/src/lab/judge/record.h
+++ b/src/lab/judge/record.h
@@ -6,7 +6,7 @@
 #include <cstddef>
 #include <vector>
 
-#include "lab/witness/witness.h"
+#include "lab/witness/observer.h"
 
 namespace burlfall::lab {
 
--- a/src/lab/judge/rules.h
+++ b/src/lab/judge/rules.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "lab/judge/facts.h"
-#include "lab/judge/history.h"
+#include "lab/judge/fault_history.h"
 #include "lab/judge/record.h"
 #include "lab/judge/result.h"
 
--- a/src/lab/judge/judge.cpp
+++ b/src/lab/judge/run_checker.cpp
@@ -1,4 +1,4 @@
-#include "lab/judge/judge.h"
+#include "lab/judge/run_checker.h"
 
 #include <algorithm>
 
--- a/src/lab/judge/judge.h
+++ b/src/lab/judge/run_checker.h
@@ -7,8 +7,8 @@
 //   Verdict verdict = judge.Finish(now);
 //
 // It keeps records of queries that are open or were lately, and sketches of fixed size of all others.
-#ifndef BURLFALL_LAB_JUDGE_JUDGE_H_
-#define BURLFALL_LAB_JUDGE_JUDGE_H_
+#ifndef BURLFALL_LAB_JUDGE_RUN_CHECKER_H_
+#define BURLFALL_LAB_JUDGE_RUN_CHECKER_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -21,13 +21,13 @@
 #include <vector>
 
 #include "lab/judge/facts.h"
-#include "lab/judge/history.h"
+#include "lab/judge/fault_history.h"
 #include "lab/judge/record.h"
 #include "lab/judge/result.h"
 #include "lab/judge/rules.h"
-#include "lab/judge/told.h"
+#include "lab/judge/balancer_knowledge.h"
 #include "lab/judge/traces.h"
-#include "lab/witness/witness.h"
+#include "lab/witness/observer.h"
 
 namespace burlfall::lab {
 
@@ -116,4 +116,4 @@
 
 }  // namespace burlfall::lab
 
-#endif  // BURLFALL_LAB_JUDGE_JUDGE_H_
+#endif  // BURLFALL_LAB_JUDGE_RUN_CHECKER_H_
--- a/src/lab/judge/traces.h
+++ b/src/lab/judge/traces.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "lab/judge/facts.h"
-#include "lab/witness/witness.h"
+#include "lab/witness/observer.h"
 
 namespace burlfall::lab {
 
--- a/src/lab/load/clients.h
+++ b/src/lab/load/clients.h
@@ -22,7 +22,7 @@
 #include "lab/load/work_book.h"
 #include "lab/script/experiment.h"
 #include "lab/script/script.h"
-#include "lab/witness/witness.h"
+#include "lab/witness/observer.h"
 
 namespace burlfall::lab {
 
--- a/src/lab/load/front_model.h
+++ b/src/lab/load/front_model.h
@@ -9,7 +9,7 @@
 
 #include "io/time.h"
 #include "lab/script/experiment.h"
-#include "lab/witness/witness.h"
+#include "lab/witness/observer.h"
 
 namespace burlfall::lab {
 
--- a/src/lab/load/query_text.h
+++ b/src/lab/load/query_text.h
@@ -7,7 +7,7 @@
 
 #include "lab/script/experiment.h"
 #include "lab/script/script.h"
-#include "lab/witness/witness.h"
+#include "lab/witness/observer.h"
 
 namespace burlfall::lab {
 
--- a/src/lab/load/rude.h
+++ b/src/lab/load/rude.h
@@ -17,7 +17,7 @@
 #include "lab/load/work_book.h"
 #include "lab/script/experiment.h"
 #include "lab/script/script.h"
-#include "lab/witness/witnesses.h"
+#include "lab/witness/observer_list.h"
 
 namespace burlfall::lab {
 
--- a/src/lab/load/work_book.h
+++ b/src/lab/load/work_book.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "lab/site/node.h"
-#include "lab/witness/witness.h"
+#include "lab/witness/observer.h"
 
 namespace burlfall::lab {
 
--- a/src/lab/node_command.cpp
+++ b/src/lab/node_command.cpp
@@ -11,7 +11,7 @@
 
 #include "io/real_machine.h"
 #include "lab/site/node.h"
-#include "lab/witness/quiet_witness.h"
+#include "lab/witness/null_observer.h"
 
 namespace burlfall::lab {
 namespace {
--- a/src/lab/run/run.h
+++ b/src/lab/run/run.h
@@ -12,13 +12,13 @@
 #include "io/machine.h"
 #include "lab/judge/fleet_tally.h"
 #include "lab/judge/history_file.h"
-#include "lab/judge/judge.h"
+#include "lab/judge/run_checker.h"
 #include "lab/load/clients.h"
 #include "lab/load/rude.h"
 #include "lab/script/experiment.h"
 #include "lab/script/script.h"
 #include "lab/site/site.h"
-#include "lab/witness/witnesses.h"
+#include "lab/witness/observer_list.h"
 
 namespace burlfall::lab {
 
--- a/src/lab/site/discovery.h
+++ b/src/lab/site/discovery.h
@@ -15,7 +15,7 @@
 #include "lab/script/platform_json.h"
 #include "lab/script/script.h"
 #include "lab/site/stand_in.h"
-#include "lab/witness/witness.h"
+#include "lab/witness/observer.h"
 #include "meadowslip/balancer.h"
 
 namespace burlfall::lab {
--- a/src/lab/site/mark.h
+++ b/src/lab/site/mark.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "lab/witness/witness.h"
+#include "lab/witness/observer.h"
 
 namespace burlfall::lab {
 
--- a/src/lab/site/node.h
+++ b/src/lab/site/node.h
@@ -11,7 +11,7 @@
 
 #include "lab/site/node_model.h"
 #include "lab/site/stand_in.h"
-#include "lab/witness/witness.h"
+#include "lab/witness/observer.h"
 
 namespace burlfall::lab {
 
--- a/src/lab/site/site.h
+++ b/src/lab/site/site.h
@@ -16,8 +16,8 @@
 #include "lab/site/discovery.h"
 #include "lab/site/node.h"
 #include "lab/site/overlaps.h"
-#include "lab/witness/quiet_witness.h"
-#include "lab/witness/witnesses.h"
+#include "lab/witness/null_observer.h"
+#include "lab/witness/observer_list.h"
 
 namespace burlfall::lab {
 
--- a/src/lab/witness/quiet_witness.h
+++ b/src/lab/witness/null_observer.h
@@ -1,11 +1,11 @@
 // A witness that takes nothing in: for whoever wants to hear of a few things only, and for a stand-in that
 // nobody watches.
-#ifndef BURLFALL_LAB_WITNESS_QUIET_WITNESS_H_
-#define BURLFALL_LAB_WITNESS_QUIET_WITNESS_H_
+#ifndef BURLFALL_LAB_WITNESS_NULL_OBSERVER_H_
+#define BURLFALL_LAB_WITNESS_NULL_OBSERVER_H_
 
 #include <vector>
 
-#include "lab/witness/witness.h"
+#include "lab/witness/observer.h"
 
 namespace burlfall::lab {
 
@@ -31,4 +31,4 @@
 
 }  // namespace burlfall::lab
 
-#endif  // BURLFALL_LAB_WITNESS_QUIET_WITNESS_H_
+#endif  // BURLFALL_LAB_WITNESS_NULL_OBSERVER_H_
--- a/src/lab/witness/witness.h
+++ b/src/lab/witness/observer.h
@@ -3,8 +3,8 @@
 // Nodes and balancers go by their number in the script; a spare's follows those of all nodes, so that a node
 // and the spare that takes its place stay two. Events of one end come in order; those of different ends may
 // cross by a few milliseconds. All come from one thread.
-#ifndef BURLFALL_LAB_WITNESS_WITNESS_H_
-#define BURLFALL_LAB_WITNESS_WITNESS_H_
+#ifndef BURLFALL_LAB_WITNESS_OBSERVER_H_
+#define BURLFALL_LAB_WITNESS_OBSERVER_H_
 
 #include <cstdint>
 #include <string_view>
@@ -139,4 +139,4 @@
 
 }  // namespace burlfall::lab
 
-#endif  // BURLFALL_LAB_WITNESS_WITNESS_H_
+#endif  // BURLFALL_LAB_WITNESS_OBSERVER_H_
--- a/src/lab/witness/witnesses.h
+++ b/src/lab/witness/observer_list.h
@@ -1,10 +1,10 @@
 // Tells several witnesses, in the order in which they were added.
-#ifndef BURLFALL_LAB_WITNESS_WITNESSES_H_
-#define BURLFALL_LAB_WITNESS_WITNESSES_H_
+#ifndef BURLFALL_LAB_WITNESS_OBSERVER_LIST_H_
+#define BURLFALL_LAB_WITNESS_OBSERVER_LIST_H_
 
 #include <vector>
 
-#include "lab/witness/witness.h"
+#include "lab/witness/observer.h"
 
 namespace burlfall::lab {
 
@@ -69,4 +69,4 @@
 
 }  // namespace burlfall::lab
 
-#endif  // BURLFALL_LAB_WITNESS_WITNESSES_H_
+#endif  // BURLFALL_LAB_WITNESS_OBSERVER_LIST_H_
--- a/tests/lab/history_test.cpp
+++ b/tests/lab/history_test.cpp
@@ -6,7 +6,7 @@
 #include <set>
 
 #include "lab/judge/history_file.h"
-#include "lab/witness/witnesses.h"
+#include "lab/witness/observer_list.h"
 #include "stage.h"
 
 namespace burlfall::lab {
--- a/tests/lab/judge_test.cpp
+++ b/tests/lab/judge_test.cpp
@@ -3,7 +3,7 @@
 #include <random>
 
 #include "lab/judge/sketch.h"
-#include "lab/witness/witnesses.h"
+#include "lab/witness/observer_list.h"
 #include "stage.h"
 
 namespace burlfall::lab {
--- a/tests/lab/stage.h
+++ b/tests/lab/stage.h
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "lab/judge/judge.h"
+#include "lab/judge/run_checker.h"
 #include "lab/judge/text.h"
 
 namespace burlfall::lab {
--- a/tests/lab/standin_test.cpp
+++ b/tests/lab/standin_test.cpp
@@ -10,7 +10,7 @@
 #include "lab/site/discovery.h"
 #include "lab/site/mark.h"
 #include "lab/site/node.h"
-#include "lab/witness/quiet_witness.h"
+#include "lab/witness/null_observer.h"
 
 namespace burlfall::lab {
 namespace {
