--- a/src/lab/commands.cpp
+++ b/src/lab/commands.cpp
@@ -267,13 +267,13 @@
 int JudgeFile(const std::string& file, bool json) {
   const std::optional<std::string> text = MakeRealFiles()->Read(file);
   if (!text) throw std::runtime_error(file + ": can't be read");
-  BadLine bad;
-  const std::optional<JudgedHistory> judged = JudgeHistory(*text, bad);
+  HistoryError bad;
+  const std::optional<CheckedHistory> judged = CheckHistory(*text, bad);
   if (!judged) throw std::runtime_error(file + ":" + std::to_string(bad.line) + ": " + bad.why);
   if (json) {
     std::cout << ToJson(judged->verdict).dump() << "\n";
   } else {
-    for (const JudgedHistory::At& one : judged->broken) {
+    for (const CheckedHistory::LocatedFinding& one : judged->broken) {
       std::printf("%s:%zu: %s broken at %.3f s%s%s: %s\n", file.c_str(), one.line, one.rule.c_str(),
                   one.finding.at_s, one.finding.trace.empty() ? "" : ", query ", one.finding.trace.c_str(),
                   one.finding.why.c_str());
--- a/src/lab/judge/compare.cpp
+++ b/src/lab/judge/compare.cpp
@@ -35,20 +35,20 @@
 // Differences below this come of the arithmetic, not of the runs.
 bool Equal(double a, double b) { return std::abs(a - b) <= 1e-12 * std::max(std::abs(a), std::abs(b)); }
 
-Says Reading(const FigureChange& change, More more, bool enough, bool all_equal) {
-  if (all_equal) return Says::kSame;
-  if (!enough) return Says::kOneRun;
-  if (change.low <= 0 && change.high >= 0) return Says::kNoise;
-  if (more == More::kIsNeither) return Says::kOther;
-  return (change.difference > 0) == (more == More::kIsBetter) ? Says::kBetter : Says::kWorse;
+Significance SignificanceOf(const FigureChange& change, Direction direction, bool enough, bool all_equal) {
+  if (all_equal) return Significance::kSame;
+  if (!enough) return Significance::kSingleRun;
+  if (change.low <= 0 && change.high >= 0) return Significance::kNoise;
+  if (direction == Direction::kNeutral) return Significance::kDiffers;
+  return (change.difference > 0) == (direction == Direction::kHigherIsBetter) ? Significance::kBetter : Significance::kWorse;
 }
 
 FigureChange ChangeOf(const Figure& figure, const Runs& before, const Runs& after, bool by_seed,
                       double confidence) {
   std::vector<double> a;
   std::vector<double> b;
-  for (const Verdict* run : before) a.push_back(figure.of(*run));
-  for (const Verdict* run : after) b.push_back(figure.of(*run));
+  for (const Verdict* run : before) a.push_back(figure.measure(*run));
+  for (const Verdict* run : after) b.push_back(figure.measure(*run));
   FigureChange change;
   change.figure = figure.name;
   change.before = SpreadOf(a);
@@ -68,7 +68,7 @@
   change.high = change.difference + half;
   const auto equal = [&](double value) { return Equal(value, a.front()); };
   const bool all_equal = std::all_of(a.begin(), a.end(), equal) && std::all_of(b.begin(), b.end(), equal);
-  change.says = Reading(change, figure.more, enough, all_equal);
+  change.significance = SignificanceOf(change, figure.direction, enough, all_equal);
   return change;
 }
 
@@ -93,8 +93,8 @@
 ExperimentChange ChangeOf(const std::string& experiment, Runs before, Runs after, double confidence) {
   ExperimentChange change;
   change.experiment = experiment;
-  change.before_broken = BrokenIn(before);  // a rule that broke is told of, whether or not the lab was late
-  change.after_broken = BrokenIn(after);
+  change.before_broken = BrokenRules(before);  // a rule that broke is told of, whether or not the lab was late
+  change.after_broken = BrokenRules(after);
   change.before_too_late = DropTooLate(before);
   change.after_too_late = DropTooLate(after);
   change.before_runs = static_cast<int>(before.size());
@@ -107,19 +107,19 @@
   return change;
 }
 
-const char* WordOf(Says says) {
-  switch (says) {
-    case Says::kSame:
+const char* NameOf(Significance significance) {
+  switch (significance) {
+    case Significance::kSame:
       return "same";
-    case Says::kNoise:
+    case Significance::kNoise:
       return "noise";
-    case Says::kBetter:
+    case Significance::kBetter:
       return "better";
-    case Says::kWorse:
+    case Significance::kWorse:
       return "worse";
-    case Says::kOther:
+    case Significance::kDiffers:
       return "differs";
-    case Says::kOneRun:
+    case Significance::kSingleRun:
       break;
   }
   return "one run: unknown";
@@ -182,11 +182,11 @@
                      "difference", "interval", "says");
     }
     for (const FigureChange& figure : change.figures) {
-      const bool known = figure.says != Says::kOneRun;
+      const bool known = figure.significance != Significance::kSingleRun;
       const std::string interval = known ? Format("%+.4f to %+.4f", figure.low, figure.high) : "";
       text += Format("  %-28s %10.4f %9.4f %10.4f %9.4f %+10.4f  %-22s %s\n", figure.figure.c_str(),
                      figure.before.mean, figure.before.deviation, figure.after.mean, figure.after.deviation,
-                     figure.difference, interval.c_str(), WordOf(figure.says));
+                     figure.difference, interval.c_str(), NameOf(figure.significance));
     }
     text += "\n";
   }
@@ -206,7 +206,7 @@
                          {"difference", figure.difference},
                          {"low", figure.low},
                          {"high", figure.high},
-                         {"says", WordOf(figure.says)}});
+                         {"says", NameOf(figure.significance)}});
     }
     experiments.push_back({{"experiment", change.experiment},
                            {"before_runs", change.before_runs},
--- a/src/lab/judge/compare.h
+++ b/src/lab/judge/compare.h
@@ -11,13 +11,13 @@
 
 namespace burlfall::lab {
 
-enum class Says {
+enum class Significance {
   kSame,    // equal in each run
   kNoise,   // the interval holds 0
   kBetter,  // it does not
   kWorse,
-  kOther,   // nor here, but more of this figure is neither better nor worse
-  kOneRun,  // they differ, and a run on one side says nothing of the spread
+  kDiffers,   // nor here, but more of this figure is neither better nor worse
+  kSingleRun,  // they differ, and a run on one side says nothing of the spread
 };
 
 struct FigureChange {
@@ -27,7 +27,7 @@
   double difference = 0;  // after less before
   double low = 0;         // the interval of the difference
   double high = 0;
-  Says says = Says::kSame;
+  Significance significance = Significance::kSame;
 };
 
 struct ExperimentChange {
--- a/src/lab/judge/facts.cpp
+++ b/src/lab/judge/facts.cpp
@@ -25,7 +25,7 @@
   // A query stays open for as long as its client may come back.
   const ClientSpec& clients = experiment.clients;
   const double back_ms = clients.most_retry_after_ms + clients.retry_wait_ms.high;
-  facts.judge_after = std::max(facts.judge_after, static_cast<Micros>(back_ms * kMs) + kSecond);
+  facts.check_after = std::max(facts.check_after, static_cast<Micros>(back_ms * kMs) + kSecond);
   return facts;
 }
 
--- a/src/lab/judge/facts.h
+++ b/src/lab/judge/facts.h
@@ -16,7 +16,7 @@
 namespace burlfall::lab {
 
 struct Facts {
-  struct Place {
+  struct Participant {
     std::string name;
     int zone = 0;
     int cell = 0;  // of a node, where a class's repeats are dropped by cell
@@ -38,8 +38,8 @@
   uint64_t seed = 0;
   // Classes, tenants and the rules' figures, as any one balancer has them.
   meadowslip::Settings settings;
-  std::vector<Place> nodes;  // and the spares behind them
-  std::vector<Place> balancers;
+  std::vector<Participant> nodes;  // and the spares behind them
+  std::vector<Participant> balancers;
   std::vector<Fault> faults;  // by the script's number of the action
   bool pushed = false;        // lists: they count as told as soon as they are listed
   Micros begins_at = 0;
@@ -49,12 +49,12 @@
 
   Micros socket_slack = 50 * kMs;    // every time limit is longer by this
   Micros order_slack = 5 * kMs;      // by which events of different ends may cross
-  Micros judge_after = 2 * kSecond;  // from a query's end; until then its last events may come
+  Micros check_after = 2 * kSecond;  // from a query's end; until then its last events may come
   Micros linger = 10 * kSecond;      // from its end; attempts that have not ended by then never will
-  Micros late = 5 * kMs;             // a send of the lab's own that is later than this is late
-  double most_late = 0.01;           // share of them beyond which the run says nothing
-  int most_findings = 20;            // of each rule that are kept
-  std::size_t story_events = 1 << 18;
+  Micros late_after = 5 * kMs;             // a send of the lab's own that is later than this is late
+  double max_late_share = 0.01;           // share of them beyond which the run says nothing
+  int max_findings = 20;            // of each rule that are kept
+  std::size_t trace_events = 1 << 18;
 };
 
 // `settings`: as the balancers read them, the text of SettingsJson() parsed.
--- a/src/lab/judge/fault_history.h
+++ b/src/lab/judge/fault_history.h
@@ -9,45 +9,45 @@
 
 namespace burlfall::lab {
 
-class History {
+class FaultHistory {
  public:
-  struct Down {
+  struct BalancerEnd {
     int balancer = 0;
     Micros at = 0;
     bool planned = false;
   };
-  struct FaultSeen {
+  struct FaultPeriod {
     int action = 0;
     Micros began_at = 0;
     Micros ended_at = kNever;
   };
 
-  explicit History(const Facts& facts) : facts_(facts) {}  // outlives this
+  explicit FaultHistory(const Facts& facts) : facts_(facts) {}  // outlives this
 
-  void BalancerDown(int balancer, Micros at, bool planned) { downs_.push_back({balancer, at, planned}); }
+  void BalancerDown(int balancer, Micros at, bool planned) { balancer_ends_.push_back({balancer, at, planned}); }
   void FaultBegan(int action, Micros at) { faults_.push_back({action, at, kNever}); }
   void FaultEnded(int action, Micros at);
 
   // The end of its balancer that a try taken by then met, if it did; `by`: when its client saw no more of it.
-  const Down* Met(const TryRecord& one, Micros by) const;
+  const BalancerEnd* EndDuring(const TryRecord& one, Micros by) const;
   // A kill by the script, or a planned end: anything else is a crash.
-  bool Meant(const Down& down) const;
+  bool WasIntended(const BalancerEnd& down) const;
   // The balancer of a try stood still, by the script, at some time between its being taken and `until`, or
   // had hardly gone on: it answers nothing then, and that is not its doing.
-  bool StoodStill(const TryRecord& one, Micros until) const;
+  bool WasPaused(const TryRecord& one, Micros until) const;
   // The attempt's node and balancer were cut off from each other at some time up to then: what its node saw
   // of the balancer's side may be late.
-  bool CutOff(const AttemptRecord& attempt, Micros until) const;
+  bool WasCutOff(const AttemptRecord& attempt, Micros until) const;
 
-  const std::vector<Down>& downs() const { return downs_; }
-  const std::vector<FaultSeen>& faults() const { return faults_; }
+  const std::vector<BalancerEnd>& balancer_ends() const { return balancer_ends_; }
+  const std::vector<FaultPeriod>& faults() const { return faults_; }
 
  private:
-  const Facts::Fault* Of(const FaultSeen& seen, FaultKind kind) const;
+  const Facts::Fault* FaultOfKind(const FaultPeriod& period, FaultKind kind) const;
 
   const Facts& facts_;
-  std::vector<Down> downs_;
-  std::vector<FaultSeen> faults_;
+  std::vector<BalancerEnd> balancer_ends_;
+  std::vector<FaultPeriod> faults_;
 };
 
 }  // namespace burlfall::lab
--- a/src/lab/judge/figures.h
+++ b/src/lab/judge/figures.h
@@ -10,16 +10,16 @@
 
 namespace burlfall::lab {
 
-enum class More { kIsBetter, kIsWorse, kIsNeither };
+enum class Direction { kHigherIsBetter, kLowerIsBetter, kNeutral };
 
 struct Figure {
   std::string name;
-  More more = More::kIsBetter;
-  std::function<double(const Verdict&)> of;
+  Direction direction = Direction::kHigherIsBetter;
+  std::function<double(const Verdict&)> measure;
 };
 
 // Those of a run; the classes' own by their names, so that they can be read off another run too.
-std::vector<Figure> FiguresOf(const Verdict& any);
+std::vector<Figure> FiguresOf(const Verdict& sample);
 
 // Of a figure over repeats.
 struct Spread {
@@ -28,7 +28,7 @@
 };
 Spread SpreadOf(const std::vector<double>& values);
 
-std::vector<std::string> BrokenIn(const std::vector<const Verdict*>& runs);  // rules, by name; in any of them
+std::vector<std::string> BrokenRules(const std::vector<const Verdict*>& runs);  // rules, by name; in any of them
 
 }  // namespace burlfall::lab
 
--- a/src/lab/judge/history_file.cpp
+++ b/src/lab/judge/history_file.cpp
@@ -27,35 +27,35 @@
 
 // By which an event may come after a later one of another end, and a query's after it was due: the lab may
 // have been late. Beyond it a history goes back in time.
-constexpr Micros kCross = 2 * kSecond;
-constexpr Micros kMostTime = 1000LL * 366 * 86400 * kSecond;
+constexpr Micros kMaxReordering = 2 * kSecond;
+constexpr Micros kMaxTime = 1000LL * 366 * 86400 * kSecond;
 
 // ---- Words for what is counted off in the code -----------------------------------------------------------
 
 template <typename Enum, std::size_t n>
-using Words = std::array<std::pair<Enum, std::string_view>, n>;
+using EnumNames = std::array<std::pair<Enum, std::string_view>, n>;
 
-constexpr Words<End, 7> kEnds = {{{End::kServed, "served"},
+constexpr EnumNames<End, 7> kEnds = {{{End::kServed, "served"},
                                   {End::kRefused, "refused"},
                                   {End::kFailed, "failed"},
                                   {End::kBroken, "broken"},
                                   {End::kLost, "lost"},
                                   {End::kUnreached, "unreached"},
                                   {End::kLeft, "left"}}};
-constexpr Words<AtNode, 5> kAtNode = {{{AtNode::kAnswered, "answered"},
-                                       {AtNode::kError, "error"},
-                                       {AtNode::kTurnedAway, "turned_away"},
-                                       {AtNode::kSpoilt, "spoilt"},
-                                       {AtNode::kDropped, "dropped"}}};
-constexpr Words<NodeChange, 4> kChanges = {{{NodeChange::kStarted, "started"},
+constexpr EnumNames<AttemptEnd, 5> kAttemptEnds = {{{AttemptEnd::kAnswered, "answered"},
+                                       {AttemptEnd::kError, "error"},
+                                       {AttemptEnd::kRejected, "turned_away"},
+                                       {AttemptEnd::kCorrupted, "spoilt"},
+                                       {AttemptEnd::kDropped, "dropped"}}};
+constexpr EnumNames<NodeChange, 4> kChanges = {{{NodeChange::kStarted, "started"},
                                             {NodeChange::kDraining, "draining"},
                                             {NodeChange::kDied, "died"},
-                                            {NodeChange::kFell, "fell"}}};
-constexpr Words<BackendState, 3> kStates = {
+                                            {NodeChange::kOverloaded, "fell"}}};
+constexpr EnumNames<BackendState, 3> kStates = {
     {{BackendState::kReady, "ready"}, {BackendState::kDraining, "draining"}, {BackendState::kGone, "gone"}}};
 
 template <typename Enum, std::size_t n>
-std::string_view WordOf(const Words<Enum, n>& words, Enum value) {
+std::string_view NameOf(const EnumNames<Enum, n>& words, Enum value) {
   return std::find_if(words.begin(), words.end(), [&](auto& one) { return one.first == value; })->second;
 }
 
@@ -102,15 +102,15 @@
             {"WarmAfter", s.warm_after}}}};
 }
 
-Json PlacesOf(const std::vector<Facts::Place>& places) {
+Json ParticipantsOf(const std::vector<Facts::Participant>& places) {
   Json all = Json::array();
-  for (const Facts::Place& place : places) {
+  for (const Facts::Participant& place : places) {
     all.push_back({{"name", place.name}, {"zone", place.zone}, {"cell", place.cell}});
   }
   return all;
 }
 
-Json HeadOf(const Facts& facts) {
+Json HeaderOf(const Facts& facts) {
   Json faults = Json::array();
   for (const Facts::Fault& fault : facts.faults) {
     faults.push_back({{"name", fault.name}, {"kind", TraitsOf(fault.kind).word}, {"targets", fault.targets}});
@@ -122,9 +122,9 @@
                {"begins_at", facts.begins_at},
                {"length", facts.length},
                {"settle", facts.settle},
-               {"judge_after", facts.judge_after},
-               {"balancers", PlacesOf(facts.balancers)},
-               {"nodes", PlacesOf(facts.nodes)},
+               {"judge_after", facts.check_after},
+               {"balancers", ParticipantsOf(facts.balancers)},
+               {"nodes", ParticipantsOf(facts.nodes)},
                {"faults", faults},
                {"settings", SettingsOf(facts.settings)}};
   if (facts.pushed) head["pushed"] = true;
@@ -133,7 +133,7 @@
 
 // ---- Reading ---------------------------------------------------------------------------------------------
 
-class Refused : public std::runtime_error {
+class Rejected : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
@@ -142,11 +142,11 @@
 class Fields {
  public:
   explicit Fields(const Json& of) : of_(of) {
-    if (!of.is_object()) throw Refused("not an object");
+    if (!of.is_object()) throw Rejected("not an object");
   }
   const Json& Any(const char* name) {
     const auto it = of_.find(name);
-    if (it == of_.end()) throw Refused(std::string(name) + " is missing");
+    if (it == of_.end()) throw Rejected(std::string(name) + " is missing");
     ++taken_;
     return *it;
   }
@@ -166,7 +166,7 @@
   int Place(const char* name, std::size_t count, int low = 0) {
     return static_cast<int>(Number(name, low, static_cast<int64_t>(count) - 1));
   }
-  int64_t Span(const char* name) { return Number(name, 0, kMostTime); }
+  int64_t Span(const char* name) { return Number(name, 0, kMaxTime); }
   double Real(const char* name) {
     const Json& value = Any(name);
     if (!value.is_number() || !std::isfinite(value.get<double>())) Wrong(name, "a number");
@@ -192,33 +192,33 @@
     return number;
   }
   template <typename Enum, std::size_t n>
-  Enum Word(const char* name, const Words<Enum, n>& words) {
+  Enum EnumValue(const char* name, const EnumNames<Enum, n>& words) {
     const std::string text = Text(name);
     const auto it = std::find_if(words.begin(), words.end(), [&](auto& one) { return one.second == text; });
     if (it == words.end()) Wrong(name, "a known word, and not " + text);
     return it->first;
   }
-  void NothingLeft() const {
-    if (taken_ != of_.size()) throw Refused("a field that this event has not");
+  void ExpectNothingLeft() const {
+    if (taken_ != of_.size()) throw Rejected("a field that this event has not");
   }
 
  private:
   [[noreturn]] static void Wrong(const char* name, const std::string& wanted) {
-    throw Refused(std::string(name) + ": " + wanted + " was expected");
+    throw Rejected(std::string(name) + ": " + wanted + " was expected");
   }
   const Json& of_;
   std::size_t taken_ = 0;
 };
 
-std::vector<Facts::Place> ReadPlaces(const Json& all) {
-  std::vector<Facts::Place> places;
+std::vector<Facts::Participant> ReadParticipants(const Json& all) {
+  std::vector<Facts::Participant> places;
   for (const Json& one : all) {
     Fields in(one);
-    Facts::Place& place = places.emplace_back();
+    Facts::Participant& place = places.emplace_back();
     place.name = in.Text("name");
     place.zone = in.Place("zone", 1 << 20);
     place.cell = in.Place("cell", 1 << 20);
-    in.NothingLeft();
+    in.ExpectNothingLeft();
   }
   return places;
 }
@@ -230,12 +230,12 @@
   return {};
 }
 
-Facts ReadHead(const Json& json) {
+Facts ReadHeader(const Json& json) {
   Fields in(json);
-  if (!in.Has("history")) throw Refused("not the first line of a history");
+  if (!in.Has("history")) throw Rejected("not the first line of a history");
   const int64_t version = in.Number("history", 0, INT32_MAX);
   if (version != kHistoryVersion) {
-    throw Refused("version " + std::to_string(version) + " of histories; this is " +
+    throw Rejected("version " + std::to_string(version) + " of histories; this is " +
                   std::to_string(kHistoryVersion));
   }
   Facts facts;
@@ -245,29 +245,29 @@
   facts.begins_at = in.Span("begins_at");
   facts.length = in.Span("length");
   facts.settle = in.Span("settle");
-  facts.judge_after = in.Span("judge_after");
+  facts.check_after = in.Span("judge_after");
   facts.pushed = in.Has("pushed") && in.Flag("pushed");
-  facts.balancers = ReadPlaces(in.Any("balancers"));
-  facts.nodes = ReadPlaces(in.Any("nodes"));
+  facts.balancers = ReadParticipants(in.Any("balancers"));
+  facts.nodes = ReadParticipants(in.Any("nodes"));
   for (const Json& one : in.Any("faults")) {
     Fields fault(one);
     Facts::Fault& read = facts.faults.emplace_back();
     read.name = fault.Text("name");
     const std::optional<FaultKind> kind = KindOf(fault.Text("kind"));
-    if (!kind) throw Refused("kind: a known fault was expected");
+    if (!kind) throw Rejected("kind: a known fault was expected");
     read.kind = *kind;
     for (const Json& target : fault.Any("targets")) {
-      if (!target.is_number_integer()) throw Refused("targets: whole numbers were expected");
+      if (!target.is_number_integer()) throw Rejected("targets: whole numbers were expected");
       read.targets.push_back(target.get<int>());
     }
-    fault.NothingLeft();
+    fault.ExpectNothingLeft();
   }
   try {
     facts.settings = meadowslip::ParseSettings(FlattenSettings(in.Any("settings").dump()));
   } catch (const std::exception& e) {  // of either of the two, in plain words
-    throw Refused(e.what());
+    throw Rejected(e.what());
   }
-  in.NothingLeft();
+  in.ExpectNothingLeft();
   return facts;
 }
 
@@ -281,28 +281,28 @@
   Json more = Json::object();
 };
 
-HistoryWriter::HistoryWriter(const Facts& facts, Take take)
-    : begins_at_(facts.begins_at), take_(std::move(take)), last_at_(facts.begins_at) {
-  take_(HeadOf(facts).dump() + "\n");
+HistoryWriter::HistoryWriter(const Facts& facts, LineSink sink)
+    : begins_at_(facts.begins_at), sink_(std::move(sink)), last_at_(facts.begins_at) {
+  sink_(HeaderOf(facts).dump() + "\n");
 }
 
 // Times are from the run's begin: a person reads them so.
-void HistoryWriter::Say(const Line& line) {
+void HistoryWriter::WriteEvent(const Line& line) {
   if (over_) return;
   last_at_ = line.at;
   ++events_;
   Json json = {{"at", line.at - begins_at_}, {"event", line.event}};
   json.update(line.more);
-  take_(json.dump(-1, ' ', false, Json::error_handler_t::replace) + "\n");
+  sink_(json.dump(-1, ' ', false, Json::error_handler_t::replace) + "\n");
 }
 
 void HistoryWriter::End(Micros at) {
-  Say({at, "end", {{"events", events_}}});
+  WriteEvent({at, "end", {{"events", events_}}});
   over_ = true;
 }
 
 void HistoryWriter::Due(const Try& one) {
-  Say({one.due,
+  WriteEvent({one.due,
        "due",
        {{"trace", HexOf(one.trace)},
         {"first", HexOf(one.first)},
@@ -317,20 +317,20 @@
         {"worth", one.worth},
         {"within_share", one.within_share}}});
 }
-void HistoryWriter::Written(TraceId trace, Micros at) { Say({at, "written", {{"trace", HexOf(trace)}}}); }
+void HistoryWriter::Written(TraceId trace, Micros at) { WriteEvent({at, "written", {{"trace", HexOf(trace)}}}); }
 void HistoryWriter::Ended(TraceId trace, Micros at, lab::End how, int status, const Mark& mark,
                           Micros refused_for) {
-  Json more = {{"trace", HexOf(trace)}, {"how", WordOf(kEnds, how)}};
+  Json more = {{"trace", HexOf(trace)}, {"how", NameOf(kEnds, how)}};
   if (status != 0) more["status"] = status;
   if (mark.trace != 0) {
     more["mark"] = {{"trace", HexOf(mark.trace)}, {"node", mark.node}, {"attempt", mark.attempt}};
   }
   if (refused_for != 0) more["refused_for"] = refused_for;
-  Say({at, "ended", std::move(more)});
+  WriteEvent({at, "ended", std::move(more)});
 }
-void HistoryWriter::SentLate(Micros late_by) { Say({last_at_, "sent_late", {{"by", late_by}}}); }
-void HistoryWriter::Arrived(const AttemptSeen& a) {
-  Say({a.at,
+void HistoryWriter::SentLate(Micros late_by) { WriteEvent({last_at_, "sent_late", {{"by", late_by}}}); }
+void HistoryWriter::Arrived(const ArrivedAttempt& a) {
+  WriteEvent({a.at,
        "arrived",
        {{"attempt", a.attempt},
         {"trace", HexOf(a.trace)},
@@ -341,111 +341,111 @@
         {"work_us", a.work_us}}});
 }
 void HistoryWriter::Ran(uint64_t attempt, Micros at, bool effect) {
-  Say({at, "ran", {{"attempt", attempt}, {"effect", effect}}});
+  WriteEvent({at, "ran", {{"attempt", attempt}, {"effect", effect}}});
 }
-void HistoryWriter::AnsweredAtNode(uint64_t attempt, Micros at, AtNode how) {
-  Say({at, "answered", {{"attempt", attempt}, {"how", WordOf(kAtNode, how)}}});
+void HistoryWriter::AttemptEnded(uint64_t attempt, Micros at, AttemptEnd how) {
+  WriteEvent({at, "answered", {{"attempt", attempt}, {"how", NameOf(kAttemptEnds, how)}}});
 }
 void HistoryWriter::LinkEnded(uint64_t attempt, Micros at) {
-  Say({at, "link_ended", {{"attempt", attempt}}});
+  WriteEvent({at, "link_ended", {{"attempt", attempt}}});
 }
 void HistoryWriter::HandshakeAt(int node, int balancer, Micros at) {
-  Say({at, "handshake", {{"node", node}, {"balancer", balancer}}});
+  WriteEvent({at, "handshake", {{"node", node}, {"balancer", balancer}}});
 }
 void HistoryWriter::NodeChanged(int node, NodeChange change, Micros at,
-                                const std::vector<double>& pushed_by) {
-  Json more = {{"node", node}, {"change", WordOf(kChanges, change)}};
-  if (!pushed_by.empty()) more["pushed_by"] = pushed_by;
-  Say({at, "node", std::move(more)});
+                                const std::vector<double>& work_by_balancer) {
+  Json more = {{"node", node}, {"change", NameOf(kChanges, change)}};
+  if (!work_by_balancer.empty()) more["pushed_by"] = work_by_balancer;
+  WriteEvent({at, "node", std::move(more)});
 }
-void HistoryWriter::Strange(int node, int balancer, Micros at) {
-  Say({at, "strange", {{"node", node}, {"balancer", balancer}}});
+void HistoryWriter::UnexpectedRequest(int node, int balancer, Micros at) {
+  WriteEvent({at, "strange", {{"node", node}, {"balancer", balancer}}});
 }
 void HistoryWriter::Listed(int node, BackendState state, Micros started_at, Micros at) {
-  Say({at, "listed", {{"node", node}, {"state", WordOf(kStates, state)}, {"started_at", started_at}}});
+  WriteEvent({at, "listed", {{"node", node}, {"state", NameOf(kStates, state)}, {"started_at", started_at}}});
 }
-void HistoryWriter::Told(int balancer, int node, BackendState state, Micros started_at, Micros at) {
-  Say({at,
+void HistoryWriter::NodeStateSent(int balancer, int node, BackendState state, Micros started_at, Micros at) {
+  WriteEvent({at,
        "told",
        {{"balancer", balancer},
         {"node", node},
-        {"state", WordOf(kStates, state)},
+        {"state", NameOf(kStates, state)},
         {"started_at", started_at}}});
 }
-void HistoryWriter::Asked(int balancer, Micros at, bool watching) {
-  Say({at, "asked", {{"balancer", balancer}, {"watching", watching}}});
+void HistoryWriter::ListRequested(int balancer, Micros at, bool watching) {
+  WriteEvent({at, "asked", {{"balancer", balancer}, {"watching", watching}}});
 }
-void HistoryWriter::AskFailed(int balancer, Micros at) { Say({at, "ask_failed", {{"balancer", balancer}}}); }
-void HistoryWriter::ByHand(int balancer, int node, bool out, Micros at) {
-  Say({at, "by_hand", {{"balancer", balancer}, {"node", node}, {"out", out}}});
+void HistoryWriter::ListRequestFailed(int balancer, Micros at) { WriteEvent({at, "ask_failed", {{"balancer", balancer}}}); }
+void HistoryWriter::ManualDrain(int balancer, int node, bool out, Micros at) {
+  WriteEvent({at, "by_hand", {{"balancer", balancer}, {"node", node}, {"out", out}}});
 }
-void HistoryWriter::BalancerUp(int balancer, Micros at) { Say({at, "up", {{"balancer", balancer}}}); }
+void HistoryWriter::BalancerUp(int balancer, Micros at) { WriteEvent({at, "up", {{"balancer", balancer}}}); }
 void HistoryWriter::BalancerDown(int balancer, Micros at, bool planned) {
-  Say({at, "down", {{"balancer", balancer}, {"planned", planned}}});
+  WriteEvent({at, "down", {{"balancer", balancer}, {"planned", planned}}});
 }
-void HistoryWriter::FaultBegan(int action, Micros at) { Say({at, "fault_began", {{"action", action}}}); }
-void HistoryWriter::FaultEnded(int action, Micros at) { Say({at, "fault_ended", {{"action", action}}}); }
+void HistoryWriter::FaultBegan(int action, Micros at) { WriteEvent({at, "fault_began", {{"action", action}}}); }
+void HistoryWriter::FaultEnded(int action, Micros at) { WriteEvent({at, "fault_ended", {{"action", action}}}); }
 
 // ---- The reader ------------------------------------------------------------------------------------------
 
 namespace {
 
 // Tells one event after the other, and refuses what can't be.
-class Teller {
+class EventReplayer {
  public:
-  Teller(const Facts& facts, Witness& to) : facts_(facts), to_(to), latest_(facts.begins_at) {}
+  EventReplayer(const Facts& facts, Observer& to) : facts_(facts), to_(to), latest_(facts.begins_at) {}
 
   bool over() const { return over_; }
   Micros ended_at() const { return ended_at_; }
 
-  void Tell(const Json& json) {
-    if (over_) throw Refused("something behind the end");
+  void Replay(const Json& json) {
+    if (over_) throw Rejected("something behind the end");
     Fields in(json);
-    const Micros at = facts_.begins_at + in.Number("at", -kMostTime, kMostTime);
+    const Micros at = facts_.begins_at + in.Number("at", -kMaxTime, kMaxTime);
     const std::string event = in.Text("event");
     // A try that goes out once more is due when it was due.
-    if (event != "due" && at < latest_ - kCross) throw Refused("a time that goes back");
+    if (event != "due" && at < latest_ - kMaxReordering) throw Rejected("a time that goes back");
     latest_ = std::max(latest_, at);
-    TellOne(event, at, in);
+    ReplayEvent(event, at, in);
     ++events_;
   }
 
  private:
-  void TellOne(const std::string& event, Micros at, Fields& in) {
-    const auto at_end = [&](auto tell) {
-      in.NothingLeft();
-      tell();
+  void ReplayEvent(const std::string& event, Micros at, Fields& in) {
+    const auto at_end = [&](auto notify) {
+      in.ExpectNothingLeft();
+      notify();
     };
     const auto node = [&] { return in.Place("node", facts_.nodes.size()); };
     const auto balancer = [&] { return in.Place("balancer", facts_.balancers.size()); };
     const auto action = [&] { return in.Place("action", facts_.faults.size()); };
     if (event == "due") {
-      return TellDue(at, in);
+      return ReplayDue(at, in);
     } else if (event == "written") {
       const TraceId trace = KnownTry(in, at);
       at_end([&] { to_.Written(trace, at); });
     } else if (event == "ended") {
       const TraceId trace = KnownTry(in, at);
-      const End how = in.Word("how", kEnds);
+      const End how = in.EnumValue("how", kEnds);
       const auto status = in.Has("status") ? static_cast<int>(in.Number("status", 100, 999)) : 0;
       const Mark mark = in.Has("mark") ? ReadMark(in.Any("mark")) : Mark();
       const Micros refused_for = in.Has("refused_for") ? in.Span("refused_for") : 0;
       at_end([&] { to_.Ended(trace, at, how, status, mark, refused_for); });
     } else if (event == "sent_late") {
-      const Micros by = in.Number("by", -kMostTime, kMostTime);
+      const Micros by = in.Number("by", -kMaxTime, kMaxTime);
       at_end([&] { to_.SentLate(by); });
     } else if (event == "arrived") {
-      AttemptSeen seen;
+      ArrivedAttempt seen;
       seen.attempt = static_cast<uint64_t>(in.Number("attempt", 1, INT64_MAX));
       seen.trace = in.Hex("trace");  // of no known query, too: the balancer made that up
       seen.node = node();
       seen.balancer = balancer();
-      seen.first_byte_at = facts_.begins_at + in.Number("first_byte_at", -kMostTime, kMostTime);
+      seen.first_byte_at = facts_.begins_at + in.Number("first_byte_at", -kMaxTime, kMaxTime);
       seen.at = at;
       seen.link = in.Hex("link");
       seen.work_us = in.Real("work_us");
-      if (seen.first_byte_at > at) throw Refused("an attempt that was whole before it began");
-      if (!attempts_.emplace(seen.attempt, seen.first_byte_at).second) throw Refused("an attempt came twice");
+      if (seen.first_byte_at > at) throw Rejected("an attempt that was whole before it began");
+      if (!attempts_.emplace(seen.attempt, seen.first_byte_at).second) throw Rejected("an attempt came twice");
       at_end([&] { to_.Arrived(seen); });
     } else if (event == "ran") {
       const uint64_t attempt = KnownAttempt(in, at);
@@ -453,8 +453,8 @@
       at_end([&] { to_.Ran(attempt, at, effect); });
     } else if (event == "answered") {
       const uint64_t attempt = KnownAttempt(in, at);
-      const AtNode how = in.Word("how", kAtNode);
-      at_end([&] { to_.AnsweredAtNode(attempt, at, how); });
+      const AttemptEnd how = in.EnumValue("how", kAttemptEnds);
+      at_end([&] { to_.AttemptEnded(attempt, at, how); });
     } else if (event == "link_ended") {
       const uint64_t attempt = KnownAttempt(in, at);
       at_end([&] { to_.LinkEnded(attempt, at); });
@@ -463,39 +463,39 @@
       at_end([&] { to_.HandshakeAt(n, b, at); });
     } else if (event == "node") {
       const int n = node();
-      const NodeChange change = in.Word("change", kChanges);
-      std::vector<double> pushed_by;
+      const NodeChange change = in.EnumValue("change", kChanges);
+      std::vector<double> work_by_balancer;
       if (in.Has("pushed_by")) {
         for (const Json& one : in.Any("pushed_by")) {
-          if (!one.is_number()) throw Refused("pushed_by: numbers were expected");
-          pushed_by.push_back(one.get<double>());
+          if (!one.is_number()) throw Rejected("pushed_by: numbers were expected");
+          work_by_balancer.push_back(one.get<double>());
         }
       }
-      at_end([&] { to_.NodeChanged(n, change, at, pushed_by); });
+      at_end([&] { to_.NodeChanged(n, change, at, work_by_balancer); });
     } else if (event == "strange") {
       const int n = node(), b = balancer();
-      at_end([&] { to_.Strange(n, b, at); });
+      at_end([&] { to_.UnexpectedRequest(n, b, at); });
     } else if (event == "listed") {
       const int n = node();
-      const BackendState state = in.Word("state", kStates);
+      const BackendState state = in.EnumValue("state", kStates);
       const Micros started_at = in.Span("started_at");
       at_end([&] { to_.Listed(n, state, started_at, at); });
     } else if (event == "told") {
       const int b = balancer(), n = node();
-      const BackendState state = in.Word("state", kStates);
+      const BackendState state = in.EnumValue("state", kStates);
       const Micros started_at = in.Span("started_at");
-      at_end([&] { to_.Told(b, n, state, started_at, at); });
+      at_end([&] { to_.NodeStateSent(b, n, state, started_at, at); });
     } else if (event == "asked") {
       const int b = balancer();
       const bool watching = in.Flag("watching");
-      at_end([&] { to_.Asked(b, at, watching); });
+      at_end([&] { to_.ListRequested(b, at, watching); });
     } else if (event == "ask_failed") {
       const int b = balancer();
-      at_end([&] { to_.AskFailed(b, at); });
+      at_end([&] { to_.ListRequestFailed(b, at); });
     } else if (event == "by_hand") {
       const int b = balancer(), n = node();
       const bool out = in.Flag("out");
-      at_end([&] { to_.ByHand(b, n, out, at); });
+      at_end([&] { to_.ManualDrain(b, n, out, at); });
     } else if (event == "up") {
       const int b = balancer();
       at_end([&] { to_.BalancerUp(b, at); });
@@ -512,17 +512,17 @@
     } else if (event == "end") {
       const auto events = in.Number("events", 0, INT64_MAX);
       if (static_cast<uint64_t>(events) != events_) {
-        throw Refused(Format("%lld events were expected, %llu have come", static_cast<long long>(events),
+        throw Rejected(Format("%lld events were expected, %llu have come", static_cast<long long>(events),
                              static_cast<unsigned long long>(events_)));
       }
       at_end([&] { ended_at_ = at; });
       over_ = true;
     } else {
-      throw Refused("an unknown event: " + event);
+      throw Rejected("an unknown event: " + event);
     }
   }
 
-  void TellDue(Micros at, Fields& in) {
+  void ReplayDue(Micros at, Fields& in) {
     Try one;
     one.trace = in.Hex("trace");
     one.first = in.Hex("first");
@@ -533,15 +533,15 @@
     one.balancer = in.Place("balancer", facts_.balancers.size(), -1);
     one.key = in.Hex("key");
     one.due = at;
-    one.give_up_at = facts_.begins_at + in.Number("give_up_at", -kMostTime, kMostTime);
-    one.aim_at = facts_.begins_at + in.Number("aim_at", -kMostTime, kMostTime);
+    one.give_up_at = facts_.begins_at + in.Number("give_up_at", -kMaxTime, kMaxTime);
+    one.aim_at = facts_.begins_at + in.Number("aim_at", -kMaxTime, kMaxTime);
     one.worth = in.Real("worth");
     one.within_share = in.Flag("within_share");
-    in.NothingLeft();
+    in.ExpectNothingLeft();
     const bool again = tries_.contains(one.trace);
-    if (!again && at < latest_ - kCross) throw Refused("a time that goes back");
-    if (one.trace == 0) throw Refused("a query without a trace");
-    if (one.trace != one.first && !tries_.contains(one.first)) throw Refused("an unknown query's retry");
+    if (!again && at < latest_ - kMaxReordering) throw Rejected("a time that goes back");
+    if (one.trace == 0) throw Rejected("a query without a trace");
+    if (one.trace != one.first && !tries_.contains(one.first)) throw Rejected("an unknown query's retry");
     tries_.emplace(one.trace, at);
     to_.Due(one);
   }
@@ -549,15 +549,15 @@
   TraceId KnownTry(Fields& in, Micros at) {
     const TraceId trace = in.Hex("trace");
     const auto it = tries_.find(trace);
-    if (it == tries_.end()) throw Refused("an unknown query");
-    if (at < it->second) throw Refused("a time that goes back: the query was not due yet");
+    if (it == tries_.end()) throw Rejected("an unknown query");
+    if (at < it->second) throw Rejected("a time that goes back: the query was not due yet");
     return trace;
   }
   uint64_t KnownAttempt(Fields& in, Micros at) {
     const auto attempt = static_cast<uint64_t>(in.Number("attempt", 1, INT64_MAX));
     const auto it = attempts_.find(attempt);
-    if (it == attempts_.end()) throw Refused("an unknown attempt");
-    if (at < it->second) throw Refused("a time that goes back: the attempt had not begun yet");
+    if (it == attempts_.end()) throw Rejected("an unknown attempt");
+    if (at < it->second) throw Rejected("a time that goes back: the attempt had not begun yet");
     return attempt;
   }
   Mark ReadMark(const Json& json) {
@@ -566,12 +566,12 @@
     mark.trace = in.Hex("trace");
     mark.node = static_cast<int>(in.Number("node", INT32_MIN, INT32_MAX));
     mark.attempt = static_cast<uint64_t>(in.Number("attempt", 0, INT64_MAX));
-    in.NothingLeft();
+    in.ExpectNothingLeft();
     return mark;
   }
 
   const Facts facts_;
-  Witness& to_;
+  Observer& to_;
   Micros latest_;
   Micros ended_at_ = 0;
   bool over_ = false;
@@ -583,44 +583,44 @@
 }  // namespace
 
 bool HistoryReader::Read(std::string_view text) {
-  std::optional<Teller> teller;
-  bad.line = 0;
+  std::optional<EventReplayer> replayer;
+  parse_error.line = 0;
   try {
     while (!text.empty()) {
-      ++bad.line;
+      ++parse_error.line;
       const std::size_t eol = text.find('\n');
-      if (eol == std::string_view::npos) throw Refused("a line that is cut short");
+      if (eol == std::string_view::npos) throw Rejected("a line that is cut short");
       const Json json = Json::parse(text.substr(0, eol), nullptr, false);
       text.remove_prefix(eol + 1);
-      if (json.is_discarded()) throw Refused("not a line of JSON");
-      if (!teller) {
-        const Facts facts = ReadHead(json);
-        teller.emplace(facts, begin(facts));
+      if (json.is_discarded()) throw Rejected("not a line of JSON");
+      if (!replayer) {
+        const Facts facts = ReadHeader(json);
+        replayer.emplace(facts, on_header(facts));
       } else {
-        before(bad.line);
-        teller->Tell(json);
+        before_event(parse_error.line);
+        replayer->Replay(json);
       }
     }
-    if (!teller || !teller->over()) throw Refused("it ends before its end");
-  } catch (const Refused& e) {
-    bad.why = e.what();
+    if (!replayer || !replayer->over()) throw Rejected("it ends before its end");
+  } catch (const Rejected& e) {
+    parse_error.why = e.what();
     return false;
   }
-  ended_at = teller->ended_at();
+  ended_at = replayer->ended_at();
   return true;
 }
 
 namespace {
 
 // Where in a history each event stands, for those who look for what broke a rule.
-class Index final : public QuietWitness {
+class EventIndex final : public NullObserver {
  public:
   void Before(std::size_t line) { line_ = line; }
 
   std::size_t Find(const Facts& facts, const Finding& finding) const {
     const auto at = facts.begins_at + static_cast<Micros>(std::llround(finding.at_s * kSecond));
     std::size_t last = 0;
-    for (const Seen& seen : all_) {
+    for (const IndexedEvent& seen : all_) {
       const bool about = !finding.trace.empty() ? HexOf(seen.trace) == finding.trace
                                                 : Named(facts.balancers, seen.balancer, finding.balancer) &&
                                                       Named(facts.nodes, seen.node, finding.node);
@@ -631,20 +631,20 @@
     return last;
   }
 
-  void Due(const Try& one) override { Note({one.due, one.trace, one.balancer}); }
-  void Written(TraceId trace, Micros at) override { Note({at, trace}); }
-  void Ended(TraceId trace, Micros at, End, int, const Mark&, Micros) override { Note({at, trace}); }
-  void Arrived(const AttemptSeen& seen) override {
-    Note({seen.at, seen.trace, seen.balancer, seen.node, seen.first_byte_at});
+  void Due(const Try& one) override { Record({one.due, one.trace, one.balancer}); }
+  void Written(TraceId trace, Micros at) override { Record({at, trace}); }
+  void Ended(TraceId trace, Micros at, End, int, const Mark&, Micros) override { Record({at, trace}); }
+  void Arrived(const ArrivedAttempt& seen) override {
+    Record({seen.at, seen.trace, seen.balancer, seen.node, seen.first_byte_at});
   }
   void NodeChanged(int node, NodeChange, Micros at, const std::vector<double>&) override {
-    Note({at, 0, -1, node});
+    Record({at, 0, -1, node});
   }
-  void Strange(int node, int balancer, Micros at) override { Note({at, 0, balancer, node}); }
-  void BalancerDown(int balancer, Micros at, bool) override { Note({at, 0, balancer}); }
+  void UnexpectedRequest(int node, int balancer, Micros at) override { Record({at, 0, balancer, node}); }
+  void BalancerDown(int balancer, Micros at, bool) override { Record({at, 0, balancer}); }
 
  private:
-  struct Seen {
+  struct IndexedEvent {
     Micros at = 0;
     TraceId trace = 0;
     int balancer = -1;
@@ -652,39 +652,39 @@
     Micros began_at = kNever;
     std::size_t line = 0;
   };
-  void Note(Seen seen) {
+  void Record(IndexedEvent seen) {
     seen.line = line_;
     all_.push_back(seen);
   }
-  static bool Named(const std::vector<Facts::Place>& places, int number, const std::string& name) {
+  static bool Named(const std::vector<Facts::Participant>& places, int number, const std::string& name) {
     return number < 0 ? name.empty() : places[static_cast<std::size_t>(number)].name == name;
   }
 
   std::size_t line_ = 0;
-  std::vector<Seen> all_;
+  std::vector<IndexedEvent> all_;
 };
 
 }  // namespace
 
-std::optional<JudgedHistory> JudgeHistory(std::string_view text, BadLine& bad) {
+std::optional<CheckedHistory> CheckHistory(std::string_view text, HistoryError& parse_error) {
   std::optional<Facts> facts;
-  std::unique_ptr<Judge> judge;
-  Index index;
-  Witnesses both;
+  std::unique_ptr<RunChecker> judge;
+  EventIndex index;
+  ObserverList both;
   both.Add(index);
   HistoryReader reader;
-  reader.begin = [&](const Facts& read) -> Witness& {
+  reader.on_header = [&](const Facts& read) -> Observer& {
     facts = read;
-    judge = std::make_unique<Judge>(read);
+    judge = std::make_unique<RunChecker>(read);
     both.Add(*judge);
     return both;
   };
-  reader.before = [&](std::size_t line) { index.Before(line); };
+  reader.before_event = [&](std::size_t line) { index.Before(line); };
   if (!reader.Read(text)) {
-    bad = reader.bad;
+    parse_error = reader.parse_error;
     return {};
   }
-  JudgedHistory judged;
+  CheckedHistory judged;
   judged.verdict = judge->Finish(reader.ended_at);
   for (const RuleResult& rule : judged.verdict.rules) {
     for (const Finding& finding : rule.findings) {
--- a/src/lab/judge/history_file.h
+++ b/src/lab/judge/history_file.h
@@ -24,10 +24,10 @@
 
 constexpr int kHistoryVersion = 1;
 
-class HistoryWriter final : public Witness {
+class HistoryWriter final : public Observer {
  public:
-  using Take = std::function<void(std::string_view line)>;  // with its line break
-  HistoryWriter(const Facts& facts, Take take);
+  using LineSink = std::function<void(std::string_view line)>;  // with its line break
+  HistoryWriter(const Facts& facts, LineSink sink);
   // The last line. Without it a history is taken for one that was cut short.
   void End(Micros at);
 
@@ -36,18 +36,18 @@
   void Ended(TraceId trace, Micros at, lab::End how, int status, const Mark& mark,
              Micros refused_for) override;
   void SentLate(Micros late_by) override;
-  void Arrived(const AttemptSeen& attempt) override;
+  void Arrived(const ArrivedAttempt& attempt) override;
   void Ran(uint64_t attempt, Micros at, bool effect) override;
-  void AnsweredAtNode(uint64_t attempt, Micros at, AtNode how) override;
+  void AttemptEnded(uint64_t attempt, Micros at, AttemptEnd how) override;
   void LinkEnded(uint64_t attempt, Micros at) override;
   void HandshakeAt(int node, int balancer, Micros at) override;
-  void NodeChanged(int node, NodeChange change, Micros at, const std::vector<double>& pushed_by) override;
-  void Strange(int node, int balancer, Micros at) override;
+  void NodeChanged(int node, NodeChange change, Micros at, const std::vector<double>& work_by_balancer) override;
+  void UnexpectedRequest(int node, int balancer, Micros at) override;
   void Listed(int node, meadowslip::BackendState state, Micros started_at, Micros at) override;
-  void Told(int balancer, int node, meadowslip::BackendState state, Micros started_at, Micros at) override;
-  void Asked(int balancer, Micros at, bool watching) override;
-  void AskFailed(int balancer, Micros at) override;
-  void ByHand(int balancer, int node, bool out, Micros at) override;
+  void NodeStateSent(int balancer, int node, meadowslip::BackendState state, Micros started_at, Micros at) override;
+  void ListRequested(int balancer, Micros at, bool watching) override;
+  void ListRequestFailed(int balancer, Micros at) override;
+  void ManualDrain(int balancer, int node, bool out, Micros at) override;
   void BalancerUp(int balancer, Micros at) override;
   void BalancerDown(int balancer, Micros at, bool planned) override;
   void FaultBegan(int action, Micros at) override;
@@ -55,17 +55,17 @@
 
  private:
   struct Line;
-  void Say(const Line& line);
+  void WriteEvent(const Line& line);
 
   const Micros begins_at_;
-  const Take take_;
+  const LineSink sink_;
   Micros last_at_;
   uint64_t events_ = 0;
   bool over_ = false;  // what is told from there on, as processes end, the judge has not heard either
 };
 
 // What is wrong with a text that is no history.
-struct BadLine {
+struct HistoryError {
   std::size_t line = 0;  // from 1
   std::string why;
 };
@@ -73,25 +73,25 @@
 // Tells the events of a history, in order, to the witness that `begin` makes of its first line. False where
 // it is none; what was told by then is worth nothing.
 struct HistoryReader {
-  std::function<Witness&(const Facts& facts)> begin;
-  std::function<void(std::size_t line)> before = [](std::size_t) {};  // each event is told
+  std::function<Observer&(const Facts& facts)> on_header;
+  std::function<void(std::size_t line)> before_event = [](std::size_t) {};  // each event is told
   Micros ended_at = 0;
-  BadLine bad;
+  HistoryError parse_error;
   bool Read(std::string_view text);
 };
 
 // The judge's word on a history: the same as of the run itself.
-struct JudgedHistory {
+struct CheckedHistory {
   Verdict verdict;
-  struct At {
+  struct LocatedFinding {
     std::string rule;
     Finding finding;
     std::size_t line =
         0;  // of the event that broke it; where that is one that never came, of the last before
   };
-  std::vector<At> broken;
+  std::vector<LocatedFinding> broken;
 };
-std::optional<JudgedHistory> JudgeHistory(std::string_view text, BadLine& bad);
+std::optional<CheckedHistory> CheckHistory(std::string_view text, HistoryError& parse_error);
 
 }  // namespace burlfall::lab
 
--- a/src/lab/judge/record.h
+++ b/src/lab/judge/record.h
@@ -11,12 +11,12 @@
 namespace burlfall::lab {
 
 struct AttemptRecord {
-  AttemptSeen seen;
-  std::size_t of = 0;  // the try, among its query's
+  ArrivedAttempt seen;
+  std::size_t try_number = 0;  // the try, among its query's
   bool ran = false;
   bool effect = false;
   bool answered = false;  // or dropped
-  AtNode how = AtNode::kDropped;
+  AttemptEnd how = AttemptEnd::kDropped;
   Micros answered_at = kNever;
   Micros link_ended_at = kNever;
 
@@ -25,7 +25,7 @@
 };
 
 struct TryRecord {
-  Try one;
+  Try client_try;
   Micros written_at = kNever;
   bool ended = false;
   End how = End::kLeft;
--- a/src/lab/judge/result.cpp
+++ b/src/lab/judge/result.cpp
@@ -10,12 +10,12 @@
 
 using Json = nlohmann::ordered_json;
 
-struct RuleWords {
+struct RuleText {
   std::string_view name;
   std::string_view text;
 };
 
-constexpr RuleWords kRuleWords[kRules] = {
+constexpr RuleText kRuleTexts[kRules] = {
     {"answer_lost",
      "Each query that a balancer has taken gets a final answer, unless the balancer is killed."},
     {"answer_late", "The answer is whole no later than the slack after the client's deadline."},
@@ -218,7 +218,7 @@
 }
 
 template <typename F>
-void Fields(F& f, LifeResult& v) {
+void Fields(F& f, ProcessResult& v) {
   f("balancer", v.balancer, "", "whose process it was");
   f("began_s", v.began_s, "s", "when it was started");
   f("served_s", v.served_s, "s", "when it served; -1: never");
@@ -401,8 +401,8 @@
 
 }  // namespace
 
-std::string_view NameOf(Rule rule) { return kRuleWords[static_cast<int>(rule)].name; }
-std::string_view TextOf(Rule rule) { return kRuleWords[static_cast<int>(rule)].text; }
+std::string_view NameOf(Rule rule) { return kRuleTexts[static_cast<int>(rule)].name; }
+std::string_view TextOf(Rule rule) { return kRuleTexts[static_cast<int>(rule)].text; }
 
 Json ToJson(const Verdict& verdict) {
   Verdict copy = verdict;  // the list of fields is one for reading and writing
@@ -443,7 +443,7 @@
   Fields(lister, verdict);
   text += lister.rows;
   text += "\n## Rules\n\n| rule | asks for |\n| --- | --- |\n";
-  for (const RuleWords& words : kRuleWords) {
+  for (const RuleText& words : kRuleTexts) {
     text.append("| `").append(words.name).append("` | ").append(words.text).append(" |\n");
   }
   return text;
--- a/src/lab/judge/result.h
+++ b/src/lab/judge/result.h
@@ -186,7 +186,7 @@
   std::vector<std::vector<uint64_t>> in_flight_by_node;
 };
 
-struct LifeResult {  // of one process of a balancer
+struct ProcessResult {  // of one process of a balancer
   std::string balancer;
   double began_s = 0;
   double served_s = -1;
@@ -204,7 +204,7 @@
   uint64_t most_handshakes = 0;
   uint64_t fell = 0;
   std::vector<std::string> missed;
-  std::vector<LifeResult> each;
+  std::vector<ProcessResult> each;
   std::vector<uint64_t> list_calls;
   std::vector<uint64_t> watch_calls;
   std::vector<uint64_t> answers;
--- a/src/lab/judge/rules.h
+++ b/src/lab/judge/rules.h
@@ -14,7 +14,7 @@
 
 namespace burlfall::lab {
 
-struct Breach {
+struct Violation {
   Rule rule = Rule::kAnswerLost;
   std::size_t number = 0;  // of the try
   int node = -1;
@@ -22,45 +22,45 @@
   std::string why;
 };
 
-struct Judged {
-  struct OneTry {
+struct QueryVerdict {
+  struct TryVerdict {
     End how = End::kLeft;     // as it really was
     bool own_answer = false;  // served with what a node made for it
-    bool untold = false;      // the lab never told of its end
+    bool end_unreported = false;      // the lab never told of its end
   };
-  std::vector<OneTry> tries;
-  std::vector<Breach> breaches;
+  std::vector<TryVerdict> tries;
+  std::vector<Violation> violations;
   bool site_repeated = false;  // nodes ran a keyed effect twice though the balancer kept the rules
 };
 
 class QueryRules {
  public:
-  QueryRules(const Facts& facts, const History& history) : facts_(facts), history_(history) {}
+  QueryRules(const Facts& facts, const FaultHistory& history) : facts_(facts), history_(history) {}
 
   // The last moment at which a try's answer is in time.
-  Micros Limit(const TryRecord& one) const;
+  Micros AnswerLimit(const TryRecord& one) const;
   // `run_ended_at`: a try whose limit is later is not blamed for having no end.
-  void Judge(const QueryRecord& query, Micros run_ended_at, Judged& judged) const;
+  void Check(const QueryRecord& query, Micros run_ended_at, QueryVerdict& verdict) const;
   // An earlier attempt of the same try was out when this one came.
   bool IsCopy(const QueryRecord& query, std::size_t attempt) const;
 
  private:
-  struct View;  // of one try of a query
+  struct TryView;  // of one try of a query
 
-  void JudgeEnd(const View& view, Micros run_ended_at, Judged& judged) const;
-  void JudgeMark(const View& view, Judged& judged) const;
-  void JudgeSends(const View& view, Judged& judged) const;
-  void JudgeRefusal(const View& view, Judged& judged) const;
-  void JudgeEffects(const QueryRecord& query, Judged& judged) const;
+  void CheckEnd(const TryView& view, Micros run_ended_at, QueryVerdict& verdict) const;
+  void CheckMark(const TryView& view, QueryVerdict& verdict) const;
+  void CheckSends(const TryView& view, QueryVerdict& verdict) const;
+  void CheckRefusal(const TryView& view, QueryVerdict& verdict) const;
+  void CheckEffects(const QueryRecord& query, QueryVerdict& verdict) const;
   // The first word on what an attempt after `earlier` breaks; empty: nothing.
-  std::string WhyNotAgain(const View& view, const AttemptRecord& earlier, const AttemptRecord& later) const;
+  std::string RetryViolation(const TryView& view, const AttemptRecord& earlier, const AttemptRecord& later) const;
 
   const meadowslip::RequestClass& ClassOf(const QueryRecord& query) const;
   bool MayHaveRun(const AttemptRecord& attempt, Micros by) const;
   bool SameGroup(const meadowslip::RequestClass& cls, int a, int b) const;
 
   const Facts& facts_;
-  const History& history_;
+  const FaultHistory& history_;
 };
 
 }  // namespace burlfall::lab
--- a/src/lab/judge/run_checker.h
+++ b/src/lab/judge/run_checker.h
@@ -34,82 +34,82 @@
 class Sketch;
 class Tally;
 
-class Judge : public Witness {
+class RunChecker : public Observer {
  public:
-  explicit Judge(Facts facts);
-  ~Judge() override;
-  Judge(const Judge&) = delete;
-  Judge& operator=(const Judge&) = delete;
+  explicit RunChecker(Facts facts);
+  ~RunChecker() override;
+  RunChecker(const RunChecker&) = delete;
+  RunChecker& operator=(const RunChecker&) = delete;
 
   // Judges what is still open and ends the run; call it once, when the balancers have answered all.
   Verdict Finish(Micros at);
 
   std::size_t records() const { return tries_.size() + attempts_.size(); }  // that are held
-  uint64_t Broken(Rule rule) const;                                         // times so far
-  const TraceStore& traces() const { return stories_; }
+  uint64_t Violations(Rule rule) const;                                         // times so far
+  const TraceStore& traces() const { return traces_; }
 
   void Due(const Try& one) override;
   void Written(TraceId trace, Micros at) override;
   void Ended(TraceId trace, Micros at, End how, int status, const Mark& mark, Micros refused_for) override;
   void SentLate(Micros late_by) override;
-  void Arrived(const AttemptSeen& attempt) override;
+  void Arrived(const ArrivedAttempt& attempt) override;
   void Ran(uint64_t attempt, Micros at, bool effect) override;
-  void AnsweredAtNode(uint64_t attempt, Micros at, AtNode how) override;
+  void AttemptEnded(uint64_t attempt, Micros at, AttemptEnd how) override;
   void LinkEnded(uint64_t attempt, Micros at) override;
   void HandshakeAt(int node, int balancer, Micros at) override;
-  void NodeChanged(int node, NodeChange change, Micros at, const std::vector<double>& pushed_by) override;
-  void Strange(int node, int balancer, Micros at) override;
+  void NodeChanged(int node, NodeChange change, Micros at, const std::vector<double>& work_by_balancer) override;
+  void UnexpectedRequest(int node, int balancer, Micros at) override;
   void Listed(int node, meadowslip::BackendState state, Micros started_at, Micros at) override;
-  void Told(int balancer, int node, meadowslip::BackendState state, Micros started_at, Micros at) override;
-  void Asked(int balancer, Micros at, bool watching) override;
-  void AskFailed(int balancer, Micros at) override;
-  void ByHand(int balancer, int node, bool out, Micros at) override;
+  void NodeStateSent(int balancer, int node, meadowslip::BackendState state, Micros started_at, Micros at) override;
+  void ListRequested(int balancer, Micros at, bool watching) override;
+  void ListRequestFailed(int balancer, Micros at) override;
+  void ManualDrain(int balancer, int node, bool out, Micros at) override;
   void BalancerUp(int balancer, Micros at) override;
   void BalancerDown(int balancer, Micros at, bool planned) override;
   void FaultBegan(int action, Micros at) override;
   void FaultEnded(int action, Micros at) override;
 
  private:
-  struct Place {
+  struct RecordPosition {
     std::size_t query = 0;
     std::size_t number = 0;  // of the try, or the attempt, in it
   };
   struct Query {
     QueryRecord seen;
-    bool retry_alone = false;  // its first try is long forgotten: it counts for the rules only
+    bool retry_only = false;  // its first try is long forgotten: it counts for the rules only
   };
-  using Check = std::pair<Micros, std::size_t>;  // when to look at which query
+  using ScheduledReview = std::pair<Micros, std::size_t>;  // when to look at which query
 
-  void Pass(Micros at);  // time
-  void Look(std::size_t place);
-  void Close(std::size_t place, Micros run_ended_at);
-  std::size_t NewPlace();
+  void AdvanceTo(Micros at);  // time
+  void ReviewQuery(std::size_t position);
+  void Close(std::size_t position, Micros run_ended_at);
+  std::size_t AllocateQuery();
   TryRecord* FindTry(TraceId trace);
   AttemptRecord* FindAttempt(uint64_t attempt);
   void Count(const QueryRecord& query);  // and what was judged of it
-  void JudgeDrain(const AttemptSeen& attempt);
-  void JudgeListed(const AttemptSeen& attempt);
-  void JudgeCrashes();
+  void CheckDrain(const ArrivedAttempt& attempt);
+  void CheckListed(const ArrivedAttempt& attempt);
+  void CheckBalancerEnds();
 
-  void Break(Rule rule, Finding finding, TraceId trace, Micros at, Micros since);
-  Finding About(int balancer, int node, std::string why) const;
+  void ReportViolation(Rule rule, Finding finding, TraceId trace, Micros at, Micros since);
+  Finding MakeFinding(int balancer, int node, std::string why) const;
 
   const Facts facts_;
-  TraceStore stories_;
-  ToldBook told_;
-  History history_;
+  TraceStore traces_;
+  BalancerKnowledge knowledge_;
+  FaultHistory fault_history_;
   QueryRules rules_;
   std::unique_ptr<Tally> tally_;
-  std::unique_ptr<Sketch> late_;
+  std::unique_ptr<Sketch> send_delays_;
   Verdict verdict_;  // what is counted as it happens
   Micros now_ = 0;
 
   std::vector<Query> queries_;     // by place
-  std::vector<std::size_t> free_;  // places
-  std::unordered_map<TraceId, Place> tries_;
-  std::unordered_map<uint64_t, Place> attempts_;
-  std::priority_queue<Check, std::vector<Check>, std::greater<>> checks_;  // one for each open query
-  Judged judged_;                                                          // the last one
+  std::vector<std::size_t> free_positions_;  // places
+  std::unordered_map<TraceId, RecordPosition> tries_;
+  std::unordered_map<uint64_t, RecordPosition> attempts_;
+  std::priority_queue<ScheduledReview, std::vector<ScheduledReview>, std::greater<>> reviews_;  // one for each open query
+  QueryVerdict query_verdict_;                                                          // the last one
 
   std::vector<Micros> node_started_at_;
 };
--- a/src/lab/judge/sketch.h
+++ b/src/lab/judge/sketch.h
@@ -17,7 +17,7 @@
 
 class Sketch {
  public:
-  static constexpr double kLeast = 10;    // microseconds, where the first bin begins
+  static constexpr double kMin = 10;    // microseconds, where the first bin begins
   static constexpr double kRatio = 1.02;  // between the ends of a bin
   static constexpr int kBins = 931;
 
@@ -27,20 +27,20 @@
 
   uint64_t count() const { return count_; }
   double Mean() const { return count_ == 0 ? 0 : sum_ / static_cast<double>(count_); }  // exact
-  Micros Most() const { return most_; }
+  Micros Max() const { return max_; }
   // The time that this share of all is at or under; 0 where there are none.
   double Quantile(double share) const;
   // Number of the bin and what it holds, where it holds anything; -1 and kBins: beyond the axis.
   std::vector<std::pair<int, uint64_t>> Bins() const;
 
  private:
-  uint64_t In(int bin) const { return bins_.begin()[bin + 1]; }  // they begin with what lies below the axis
+  uint64_t CountIn(int bin) const { return bins_.begin()[bin + 1]; }  // they begin with what lies below the axis
   using Axis = boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>;
   boost::histogram::histogram<std::tuple<Axis>, boost::histogram::dense_storage<uint64_t>> bins_;
   uint64_t count_ = 0;
   double sum_ = 0;
-  Micros least_ = 0;
-  Micros most_ = 0;
+  Micros min_ = 0;
+  Micros max_ = 0;
 };
 
 }  // namespace burlfall::lab
--- a/src/lab/judge/tally.cpp
+++ b/src/lab/judge/tally.cpp
@@ -7,38 +7,38 @@
 namespace burlfall::lab {
 namespace {
 
-constexpr std::size_t kMostSeconds = 24 * 3600;  // of a run; what is later counts for the last
+constexpr std::size_t kMaxSeconds = 24 * 3600;  // of a run; what is later counts for the last
 constexpr std::size_t kOpenSeconds = 60;         // whose queries may still be open
-constexpr std::size_t kWindow = 10;              // seconds
+constexpr std::size_t kWindowSeconds = 10;              // seconds
 
-void Add(Outcomes& outcomes, Tally::Fate fate) {
+void Add(Outcomes& outcomes, Tally::Outcome outcome) {
   ++outcomes.asked;
-  switch (fate) {
-    case Tally::Fate::kInTime:
+  switch (outcome) {
+    case Tally::Outcome::kInTime:
       ++outcomes.in_time;
       break;
-    case Tally::Fate::kLate:
+    case Tally::Outcome::kLate:
       ++outcomes.late;
       break;
-    case Tally::Fate::kRefused:
+    case Tally::Outcome::kRefused:
       ++outcomes.refused;
       break;
-    case Tally::Fate::kFailed:
+    case Tally::Outcome::kFailed:
       ++outcomes.failed;
       break;
-    case Tally::Fate::kLost:
+    case Tally::Outcome::kLost:
       ++outcomes.lost;
       break;
-    case Tally::Fate::kLeft:
+    case Tally::Outcome::kLeft:
       ++outcomes.left;
       break;
-    case Tally::Fate::kUnreached:
+    case Tally::Outcome::kUnreached:
       ++outcomes.unreached;
       break;
   }
 }
 
-bool Served(Tally::Fate fate) { return fate == Tally::Fate::kInTime || fate == Tally::Fate::kLate; }
+bool Served(Tally::Outcome outcome) { return outcome == Tally::Outcome::kInTime || outcome == Tally::Outcome::kLate; }
 
 double Ratio(double part, double of) { return of > 0 ? part / of : 0; }
 
@@ -51,7 +51,7 @@
   latency.p95_ms = sketch.Quantile(0.95) / kMs;
   latency.p99_ms = sketch.Quantile(0.99) / kMs;
   latency.p999_ms = sketch.Quantile(0.999) / kMs;
-  latency.most_ms = static_cast<double>(sketch.Most()) / kMs;
+  latency.most_ms = static_cast<double>(sketch.Max()) / kMs;
   for (const auto& [number, count] : sketch.Bins()) latency.bins.push_back({number, count});
   return latency;
 }
@@ -66,32 +66,32 @@
 
 Tally::~Tally() = default;
 
-bool Tally::Counts(Micros due) const {
+bool Tally::IsCounted(Micros due) const {
   const Micros at = due - facts_.begins_at;
   return at >= facts_.settle && (facts_.length == 0 || at < facts_.length);
 }
 
-Tally::Second& Tally::At(Micros at) {
+Tally::Second& Tally::SecondAt(Micros at) {
   const Micros number = std::max<Micros>(at - facts_.begins_at, 0) / kSecond;
-  const auto wanted = std::min(static_cast<std::size_t>(number), kMostSeconds - 1);
+  const auto wanted = std::min(static_cast<std::size_t>(number), kMaxSeconds - 1);
   while (seconds_.size() <= wanted) {
     Second& second = seconds_.emplace_back();
     second.latency = std::make_unique<Sketch>();
     second.attempts.resize(in_flight_.size());
     second.in_flight = in_flight_;  // what is out from before is out in this second too
-    if (seconds_.size() > kOpenSeconds) Settle(seconds_[settled_++]);
+    if (seconds_.size() > kOpenSeconds) Finalize(seconds_[finalized_++]);
   }
   return seconds_[wanted];
 }
 
-void Tally::Settle(Second& second) {
+void Tally::Finalize(Second& second) {
   second.p50_ms = second.latency->Quantile(0.5) / kMs;
   second.p99_ms = second.latency->Quantile(0.99) / kMs;
   second.latency.reset();
 }
 
-void Tally::AttemptOut(int node, Micros at) {
-  Second& second = At(at);
+void Tally::AttemptStarted(int node, Micros at) {
+  Second& second = SecondAt(at);
   ++second.sends;
   if (Find(in_flight_, node) == nullptr) return;
   const auto i = static_cast<std::size_t>(node);
@@ -99,29 +99,29 @@
   second.in_flight[i] = std::max(second.in_flight[i], ++in_flight_[i]);
 }
 
-void Tally::AttemptOver(int node, Micros at) {
-  At(at);
+void Tally::AttemptFinished(int node, Micros at) {
+  SecondAt(at);
   uint32_t* out = Find(in_flight_, node);
   if (out != nullptr && *out > 0) --*out;
 }
 
 void Tally::Close(const Query& query) {
-  Second& second = At(query.due);
-  const bool in_time = query.fate == Fate::kInTime;
+  Second& second = SecondAt(query.due);
+  const bool in_time = query.outcome == Outcome::kInTime;
   const Micros latency = query.ended_at - query.due;
-  Add(second.outcomes, query.fate);
+  Add(second.outcomes, query.outcome);
   second.worth.asked += query.worth;
   if (in_time) second.worth.in_time += query.worth;
-  if (Served(query.fate) && second.latency != nullptr) second.latency->Add(latency);
-  if (!Counts(query.due)) return;
+  if (Served(query.outcome) && second.latency != nullptr) second.latency->Add(latency);
+  if (!IsCounted(query.due)) return;
 
   for (Group* group :
        {&all_, Find(classes_, query.cls), query.within_share ? Find(tenants_, query.tenant) : nullptr}) {
     if (group == nullptr) continue;
     group->worth.asked += query.worth;
     if (in_time) group->worth.in_time += query.worth;
-    Add(group->outcomes, query.fate);
-    if (Served(query.fate)) group->latency.Add(latency);
+    Add(group->outcomes, query.outcome);
+    if (Served(query.outcome)) group->latency.Add(latency);
   }
   tries_ += static_cast<uint64_t>(query.tries);
   effort_.attempts += static_cast<uint64_t>(query.attempts);
@@ -130,7 +130,7 @@
   effort_.held_back += static_cast<uint64_t>(query.held_back);
   effort_.work_begun_ms += query.work_begun_us / kMs;
   wasted_us_ += query.work_wasted_us;
-  if (!in_time && query.ended_at > query.aim_at) late_fail_ += query.worth;
+  if (!in_time && query.ended_at > query.aim_at) late_failed_worth_ += query.worth;
 }
 
 GroupResult Tally::ResultOf(const std::string& name, const Group& group) {
@@ -158,7 +158,7 @@
   verdict.effort.attempts_per_query = Ratio(static_cast<double>(effort_.attempts), asked);
   verdict.effort.tries_per_query = Ratio(static_cast<double>(tries_), asked);
   verdict.effort.work_wasted_share = Ratio(wasted_us_ / kMs, effort_.work_begun_ms);
-  verdict.effort.late_fail_share = Ratio(late_fail_, all_.worth.asked);
+  verdict.effort.late_fail_share = Ratio(late_failed_worth_, all_.worth.asked);
   FillService(verdict);
   FillSeries(verdict.series);
 }
@@ -174,9 +174,9 @@
   if (facts_.length != 0) until = std::min(until, static_cast<std::size_t>(facts_.length / kSecond));
   service.worst_ten_seconds_at_s = static_cast<double>(from);
   bool any = false;
-  for (std::size_t at = from; at + kWindow <= until; ++at) {
+  for (std::size_t at = from; at + kWindowSeconds <= until; ++at) {
     Worth window;
-    for (std::size_t i = at; i < at + kWindow; ++i) {
+    for (std::size_t i = at; i < at + kWindowSeconds; ++i) {
       window.asked += seconds_[i].worth.asked;
       window.in_time += seconds_[i].worth.in_time;
     }
--- a/src/lab/judge/tally.h
+++ b/src/lab/judge/tally.h
@@ -16,7 +16,7 @@
 
 class Tally {
  public:
-  enum class Fate { kInTime, kLate, kRefused, kFailed, kLost, kLeft, kUnreached };
+  enum class Outcome { kInTime, kLate, kRefused, kFailed, kLost, kLeft, kUnreached };
   struct Query {  // once nothing more can happen to it
     int cls = 0;
     int tenant = 0;
@@ -25,7 +25,7 @@
     Micros due = 0;  // its first try
     Micros ended_at = 0;
     Micros aim_at = 0;
-    Fate fate = Fate::kInTime;
+    Outcome outcome = Outcome::kInTime;
     int tries = 0;
     int attempts = 0;
     int copies = 0;
@@ -39,10 +39,10 @@
   ~Tally();
 
   // Whether what was due then counts for service, latency and outcomes.
-  bool Counts(Micros due) const;
+  bool IsCounted(Micros due) const;
   void Close(const Query& query);
-  void AttemptOut(int node, Micros at);
-  void AttemptOver(int node, Micros at);
+  void AttemptStarted(int node, Micros at);
+  void AttemptFinished(int node, Micros at);
   void Fill(Verdict& verdict) const;  // service, outcomes, latency, classes, tenants, effort and series
 
  private:
@@ -67,8 +67,8 @@
     std::vector<uint32_t> in_flight;  // by node, the most at once
   };
 
-  Second& At(Micros at);
-  static void Settle(Second& second);
+  Second& SecondAt(Micros at);
+  static void Finalize(Second& second);
   static GroupResult ResultOf(const std::string& name, const Group& group);
   void FillService(Verdict& verdict) const;
   void FillSeries(Series& series) const;
@@ -79,10 +79,10 @@
   std::vector<Group> tenants_;  // within their shares
   Effort effort_;
   double wasted_us_ = 0;
-  double late_fail_ = 0;  // worth
+  double late_failed_worth_ = 0;  // worth
   uint64_t tries_ = 0;
   std::vector<Second> seconds_;
-  std::size_t settled_ = 0;          // so many have no sketch any more
+  std::size_t finalized_ = 0;          // so many have no sketch any more
   std::vector<uint32_t> in_flight_;  // by node, now
 };
 
--- a/src/lab/judge/traces.cpp
+++ b/src/lab/judge/traces.cpp
@@ -10,13 +10,13 @@
 namespace burlfall::lab {
 namespace {
 
-constexpr std::size_t kMostOthers = 4096;  // events of nodes, balancers and faults
-constexpr std::size_t kMostLines = 60;     // of one story
-constexpr Micros kAround = kSecond;        // by which events may stand out of order in the ring
-constexpr Micros kBefore = 10 * kSecond;   // how long before a query what happened to its peers still tells
-constexpr Micros kAfter = 100 * kMs;       // and how long after its end
+constexpr std::size_t kMaxOtherEvents = 4096;  // events of nodes, balancers and faults
+constexpr std::size_t kMaxLines = 60;     // of one story
+constexpr Micros kReorderWindow = kSecond;        // by which events may stand out of order in the ring
+constexpr Micros kContextBefore = 10 * kSecond;   // how long before a query what happened to its peers still tells
+constexpr Micros kContextAfter = 100 * kMs;       // and how long after its end
 
-constexpr const char* kEndWords[] = {
+constexpr const char* kEndTexts[] = {
     "served",
     "refused",
     "failed",
@@ -25,10 +25,10 @@
     "never reached a balancer",
     "left",
 };
-constexpr const char* kAtNodeWords[] = {"answered 200", "answered 500", "turned away, never ran",
+constexpr const char* kAttemptEndTexts[] = {"answered 200", "answered 500", "turned away, never ran",
                                         "answered, spoilt", "dropped"};
-constexpr const char* kChangeWords[] = {"started", "draining", "died", "fell over"};
-constexpr const char* kStateWords[] = {"gone", "ready", "draining"};
+constexpr const char* kChangeTexts[] = {"started", "draining", "died", "fell over"};
+constexpr const char* kStateTexts[] = {"gone", "ready", "draining"};
 
 std::string Name(const std::vector<std::string>& names, int number, const char* kind) {
   const std::string* name = Find(names, number);
@@ -59,31 +59,31 @@
       classes_(NamesOf(facts.settings.classes)),
       tenants_(NamesOf(facts.settings.tenants)),
       faults_(NamesOf(facts.faults)),
-      queries_(std::max<std::size_t>(facts.story_events, 1)),
-      others_(kMostOthers) {}
+      query_events_(std::max<std::size_t>(facts.trace_events, 1)),
+      other_events_(kMaxOtherEvents) {}
 
 TraceStore::Event& TraceStore::Ring::Push() {
-  if (events.size() < most) return events.emplace_back();
+  if (events.size() < capacity) return events.emplace_back();
   Event& event = events[next];
-  next = (next + 1) % most;
+  next = (next + 1) % capacity;
   event = Event();
   return event;
 }
 
 std::vector<const TraceStore::Event*> TraceStore::Ring::From(Micros since) const {
-  std::vector<const Event*> late;
+  std::vector<const Event*> recent;
   for (std::size_t step = 1; step <= events.size(); ++step) {
     const Event& event = events[(next + events.size() - step) % events.size()];
     if (event.at < since) break;
-    late.push_back(&event);
+    recent.push_back(&event);
   }
-  std::reverse(late.begin(), late.end());
-  return late;
+  std::reverse(recent.begin(), recent.end());
+  return recent;
 }
 
 void TraceStore::Due(const Try& one) {
-  Event& event = queries_.Push();
-  event.what = What::kDue;
+  Event& event = query_events_.Push();
+  event.what = EventKind::kDue;
   event.at = one.due;
   event.trace = one.trace;
   event.other = one.first;
@@ -95,15 +95,15 @@
 }
 
 void TraceStore::Written(TraceId trace, Micros at) {
-  Event& event = queries_.Push();
-  event.what = What::kWritten;
+  Event& event = query_events_.Push();
+  event.what = EventKind::kWritten;
   event.at = at;
   event.trace = trace;
 }
 
 void TraceStore::Ended(TraceId trace, Micros at, End how, int status, const Mark& mark, Micros refused_for) {
-  Event& event = queries_.Push();
-  event.what = What::kEnded;
+  Event& event = query_events_.Push();
+  event.what = EventKind::kEnded;
   event.at = at;
   event.trace = trace;
   event.attempt = mark.attempt;
@@ -114,9 +114,9 @@
   event.how = static_cast<uint8_t>(how);
 }
 
-void TraceStore::Arrived(const AttemptSeen& attempt) {
-  Event& event = queries_.Push();
-  event.what = What::kArrived;
+void TraceStore::Arrived(const ArrivedAttempt& attempt) {
+  Event& event = query_events_.Push();
+  event.what = EventKind::kArrived;
   event.at = attempt.at;
   event.trace = attempt.trace;
   event.attempt = attempt.attempt;
@@ -128,39 +128,39 @@
 }
 
 void TraceStore::Ran(uint64_t attempt, Micros at, bool effect) {
-  Event& event = queries_.Push();
-  event.what = What::kRan;
+  Event& event = query_events_.Push();
+  event.what = EventKind::kRan;
   event.at = at;
   event.attempt = attempt;
   event.how = effect ? 1 : 0;
 }
 
-void TraceStore::AnsweredAtNode(uint64_t attempt, Micros at, AtNode how) {
-  Event& event = queries_.Push();
-  event.what = What::kAnswered;
+void TraceStore::AttemptEnded(uint64_t attempt, Micros at, AttemptEnd how) {
+  Event& event = query_events_.Push();
+  event.what = EventKind::kAttemptEnded;
   event.at = at;
   event.attempt = attempt;
   event.how = static_cast<uint8_t>(how);
 }
 
 void TraceStore::LinkEnded(uint64_t attempt, Micros at) {
-  Event& event = queries_.Push();
-  event.what = What::kLinkEnded;
+  Event& event = query_events_.Push();
+  event.what = EventKind::kLinkEnded;
   event.at = at;
   event.attempt = attempt;
 }
 
 void TraceStore::NodeChanged(int node, NodeChange change, Micros at, const std::vector<double>&) {
-  Event& event = others_.Push();
-  event.what = What::kNodeChanged;
+  Event& event = other_events_.Push();
+  event.what = EventKind::kNodeChanged;
   event.at = at;
   event.node = node;
   event.how = static_cast<uint8_t>(change);
 }
 
-void TraceStore::Told(int balancer, int node, meadowslip::BackendState state, Micros started_at, Micros at) {
-  Event& event = others_.Push();
-  event.what = What::kTold;
+void TraceStore::NodeStateSent(int balancer, int node, meadowslip::BackendState state, Micros started_at, Micros at) {
+  Event& event = other_events_.Push();
+  event.what = EventKind::kNodeStateSent;
   event.at = at;
   event.node = node;
   event.balancer = balancer;
@@ -169,48 +169,48 @@
 }
 
 void TraceStore::BalancerUp(int balancer, Micros at) {
-  Event& event = others_.Push();
-  event.what = What::kUp;
+  Event& event = other_events_.Push();
+  event.what = EventKind::kUp;
   event.at = at;
   event.balancer = balancer;
 }
 
 void TraceStore::BalancerDown(int balancer, Micros at, bool planned) {
-  Event& event = others_.Push();
-  event.what = What::kDown;
+  Event& event = other_events_.Push();
+  event.what = EventKind::kDown;
   event.at = at;
   event.balancer = balancer;
   event.how = planned ? 1 : 0;
 }
 
 void TraceStore::FaultBegan(int action, Micros at) {
-  Event& event = others_.Push();
-  event.what = What::kFaultBegan;
+  Event& event = other_events_.Push();
+  event.what = EventKind::kFaultBegan;
   event.at = at;
   event.number = action;
 }
 
 void TraceStore::FaultEnded(int action, Micros at) {
-  Event& event = others_.Push();
-  event.what = What::kFaultEnded;
+  Event& event = other_events_.Push();
+  event.what = EventKind::kFaultEnded;
   event.at = at;
   event.number = action;
 }
 
-std::vector<std::string> TraceStore::Story(TraceId trace, Micros since) const {
-  const std::vector<const Event*> late = queries_.From(since - kAround);
+std::vector<std::string> TraceStore::Timeline(TraceId trace, Micros since) const {
+  const std::vector<const Event*> recent = query_events_.From(since - kReorderWindow);
   TraceId first = trace;
-  for (const Event* event : late) {
-    if (event->what == What::kDue && event->trace == trace) first = event->other;
+  for (const Event* event : recent) {
+    if (event->what == EventKind::kDue && event->trace == trace) first = event->other;
   }
   Scope scope;
   scope.traces = {trace, first};
   std::vector<const Event*> own;
-  for (const Event* event : late) {
-    if (event->what == What::kDue && event->other == first) scope.traces.insert(event->trace);
-    const bool by_trace = event->what <= What::kArrived;
+  for (const Event* event : recent) {
+    if (event->what == EventKind::kDue && event->other == first) scope.traces.insert(event->trace);
+    const bool by_trace = event->what <= EventKind::kArrived;
     if (by_trace ? !scope.traces.contains(event->trace) : !scope.attempts.contains(event->attempt)) continue;
-    if (event->what == What::kArrived) {
+    if (event->what == EventKind::kArrived) {
       scope.attempts.emplace(event->attempt, event->node);
       scope.nodes.insert(event->node);
     }
@@ -221,8 +221,8 @@
   }
   if (own.empty()) return {};
 
-  for (const Event* event : others_.From(0)) {
-    if (event->at < scope.due - kBefore || event->at > scope.until + kAfter) continue;
+  for (const Event* event : other_events_.From(0)) {
+    if (event->at < scope.due - kContextBefore || event->at > scope.until + kContextAfter) continue;
     if (event->node >= 0 && !scope.nodes.contains(event->node)) continue;
     if (event->balancer >= 0 && !scope.balancers.contains(event->balancer)) continue;
     own.push_back(event);
@@ -230,8 +230,8 @@
   std::stable_sort(own.begin(), own.end(), [](const Event* a, const Event* b) { return a->at < b->at; });
   std::vector<std::string> lines;
   for (const Event* event : own) {
-    if (lines.size() == kMostLines) {
-      lines.push_back("and " + std::to_string(own.size() - kMostLines) + " more");
+    if (lines.size() == kMaxLines) {
+      lines.push_back("and " + std::to_string(own.size() - kMaxLines) + " more");
       break;
     }
     lines.push_back(Line(*event, scope));
@@ -249,63 +249,63 @@
   std::string who = "client";
   std::string what;
   switch (event.what) {
-    case What::kDue:
+    case EventKind::kDue:
       what = Format("try %d (%s) of a %s for %s is due, to %s; gives up at %+.1f ms", event.number,
                     HexOf(event.trace).c_str(), Name(classes_, event.node, "class").c_str(),
                     Name(tenants_, static_cast<int>(event.attempt), "tenant").c_str(), balancer.c_str(),
                     Ms(event.value - from));
       break;
-    case What::kWritten:
+    case EventKind::kWritten:
       what = "written whole: taken";
       break;
-    case What::kEnded:
-      what = Format("%s, status %d", kEndWords[event.how], event.number);
+    case EventKind::kEnded:
+      what = Format("%s, status %d", kEndTexts[event.how], event.number);
       if (event.other != 0) {
         what += Format(", marked %s by %s, attempt %llu", HexOf(event.other).c_str(), node.c_str(), attempt);
       }
       if (event.value != 0) what += Format(", Retry-After %.0f ms", Ms(event.value));
       break;
-    case What::kArrived:
+    case EventKind::kArrived:
       who = node;
       what = Format("attempt %llu arrived from %s, first byte at %+.3f ms, link %llu, work %.1f ms", attempt,
                     balancer.c_str(), Ms(event.value - from), static_cast<unsigned long long>(event.other),
                     Ms(event.number));
       break;
-    case What::kRan:
+    case EventKind::kRan:
       who = node;
       what =
           Format("attempt %llu began%s", attempt, event.how != 0 ? "" : ", its effect dropped as a repeat");
       break;
-    case What::kAnswered:
+    case EventKind::kAttemptEnded:
       who = node;
-      what = Format("attempt %llu: %s", attempt, kAtNodeWords[event.how]);
+      what = Format("attempt %llu: %s", attempt, kAttemptEndTexts[event.how]);
       break;
-    case What::kLinkEnded:
+    case EventKind::kLinkEnded:
       who = node;
       what = Format("attempt %llu: given up by the balancer", attempt);
       break;
-    case What::kNodeChanged:
+    case EventKind::kNodeChanged:
       who = node;
-      what = kChangeWords[event.how];
+      what = kChangeTexts[event.how];
       break;
-    case What::kTold:
+    case EventKind::kNodeStateSent:
       who = "discovery";
-      what = Format("told %s that %s is %s", balancer.c_str(), node.c_str(), kStateWords[event.how]);
+      what = Format("told %s that %s is %s", balancer.c_str(), node.c_str(), kStateTexts[event.how]);
       if (event.value != 0) what += Format(", started at %+.0f ms", Ms(event.value - from));
       break;
-    case What::kUp:
+    case EventKind::kUp:
       who = balancer;
       what = "up";
       break;
-    case What::kDown:
+    case EventKind::kDown:
       who = balancer;
       what = event.how != 0 ? "ended, as planned" : "killed or crashed";
       break;
-    case What::kFaultBegan:
-    case What::kFaultEnded:
+    case EventKind::kFaultBegan:
+    case EventKind::kFaultEnded:
       who = "script";
       what = Format("fault %d (%s) %s", event.number, Name(faults_, event.number, "fault").c_str(),
-                    event.what == What::kFaultBegan ? "begins" : "ends");
+                    event.what == EventKind::kFaultBegan ? "begins" : "ends");
       break;
   }
   return Format("%+11.3f ms  %-12s ", Ms(event.at - from), who.c_str()) + what;
--- a/src/lab/load/clients.h
+++ b/src/lab/load/clients.h
@@ -35,7 +35,7 @@
   // All but the copies outlive the clients.
   struct Parts {
     Machine& machine;
-    Witness& witness;
+    Observer& witness;
     const Experiment& experiment;
     Arrivals& arrivals;
     std::vector<Balancer> balancers;
@@ -160,7 +160,7 @@
 
   const Parts parts_;
   Machine& machine_;
-  Witness& witness_;
+  Observer& witness_;
   const std::vector<ClassSpec>& classes_;
   const std::vector<Balancer>& balancers_;
   const size_t most_links_;
--- a/src/lab/load/rude.cpp
+++ b/src/lab/load/rude.cpp
@@ -167,9 +167,9 @@
   return noise + "\r\n\r\n";
 }
 
-void WithoutRude::Arrived(const AttemptSeen& attempt) {
+void WithoutRude::Arrived(const ArrivedAttempt& attempt) {
   if (!IsRude(attempt.trace)) {
-    Witnesses::Arrived(attempt);
+    ObserverList::Arrived(attempt);
     return;
   }
   rude_.insert(attempt.attempt);
--- a/src/lab/load/rude.h
+++ b/src/lab/load/rude.h
@@ -68,17 +68,17 @@
 };
 
 // Tells on what it hears, but for the attempts of rude clients. Nodes tell it, the judge stands behind.
-class WithoutRude final : public Witnesses {
+class WithoutRude final : public ObserverList {
  public:
-  void Arrived(const AttemptSeen& attempt) override;
+  void Arrived(const ArrivedAttempt& attempt) override;
   void Ran(uint64_t attempt, Micros at, bool effect) override {
-    if (!rude_.contains(attempt)) Witnesses::Ran(attempt, at, effect);
+    if (!rude_.contains(attempt)) ObserverList::Ran(attempt, at, effect);
   }
-  void AnsweredAtNode(uint64_t attempt, Micros at, AtNode how) override {
-    if (!rude_.contains(attempt)) Witnesses::AnsweredAtNode(attempt, at, how);
+  void AttemptEnded(uint64_t attempt, Micros at, AttemptEnd how) override {
+    if (!rude_.contains(attempt)) ObserverList::AttemptEnded(attempt, at, how);
   }
   void LinkEnded(uint64_t attempt, Micros at) override {
-    if (!rude_.contains(attempt)) Witnesses::LinkEnded(attempt, at);
+    if (!rude_.contains(attempt)) ObserverList::LinkEnded(attempt, at);
   }
 
  private:
--- a/src/lab/load_command.cpp
+++ b/src/lab/load_command.cpp
@@ -106,7 +106,7 @@
   json["connects"] = result.connects;
   json["late_sends"] = result.late_sends;
   json["late_share"] = result.late_share();
-  json["late_most_ms"] = Ms(static_cast<double>(result.late.Most()));
+  json["late_most_ms"] = Ms(static_cast<double>(result.late.Max()));
   json["too_late"] = result.too_late();
   // Figures that say nothing are not given.
   json["latency_ms"] = nullptr;
@@ -134,7 +134,7 @@
   if (words.rate_per_s > 0) {
     line("own time  %.2f%% of the queries over 5 ms late, p99 %.2f ms, at most %.2f ms\n",
          100 * result.late_share(), Ms(result.late.Quantile(0.99)),
-         Ms(static_cast<double>(result.late.Most())));
+         Ms(static_cast<double>(result.late.Max())));
   }
   if (result.answered() == 0) return;
   if (result.too_late()) {
--- a/src/lab/node_command.cpp
+++ b/src/lab/node_command.cpp
@@ -30,7 +30,7 @@
   if (!at) throw CLI::ValidationError("ADDRESS", "an IP address and a port, such as 127.0.0.1:9000");
   RealMachine machine(true);
   ProcessSignals signals(machine.scheduler(), {SIGINT, SIGTERM});
-  QuietWitness witness;
+  NullObserver witness;
   const std::vector<ClassSpec> classes;
   Deduper repeats(classes);
   NodeSite site{.machine = machine, .witness = witness, .repeats = repeats, .classes = classes};
--- a/src/lab/report/plots.cpp
+++ b/src/lab/report/plots.cpp
@@ -65,7 +65,7 @@
     Put(high, least);
   }
   static double Edge(int bin) {  // ms
-    return Sketch::kLeast / kMs * std::pow(Sketch::kRatio, std::clamp(bin, 0, Sketch::kBins));
+    return Sketch::kMin / kMs * std::pow(Sketch::kRatio, std::clamp(bin, 0, Sketch::kBins));
   }
   void Put(double x, double share) { lines += Number(x) + " " + Number(share) + "\n"; }
 
--- a/src/lab/report/report.cpp
+++ b/src/lab/report/report.cpp
@@ -505,7 +505,7 @@
   HtmlTable spreads({"figure", "mean", "deviation", "least", "most"});
   for (const Figure& figure : FiguresOf(*counted.front())) {
     std::vector<double> values;
-    for (const Verdict* run : counted) values.push_back(figure.of(*run));
+    for (const Verdict* run : counted) values.push_back(figure.measure(*run));
     const Spread spread = SpreadOf(values);
     const auto [least, most] = std::minmax_element(values.begin(), values.end());
     spreads.Row().Cell(figure.name);
--- a/src/lab/run/play.h
+++ b/src/lab/run/play.h
@@ -20,7 +20,7 @@
   std::string start;       // what their `--start` names; empty: nothing, or a file with `start_text`
   std::string start_text;
   bool keep_folder = false;
-  HistoryWriter::Take history = {};  // takes the history's lines
+  HistoryWriter::LineSink history = {};  // takes the history's lines
   Micros start_within = 2 * kSecond;
   // Told about twice a second, while it runs.
   std::function<void(const Run::Progress&)> progress = [](const Run::Progress&) {};
--- a/src/lab/run/run.cpp
+++ b/src/lab/run/run.cpp
@@ -79,7 +79,7 @@
   now.length = script_.length;
   now.waiting = clients_.open();
   now.tries = clients_.counts().tries;
-  for (int rule = 0; rule < kRules; ++rule) now.broken += judge_.Broken(static_cast<Rule>(rule));
+  for (int rule = 0; rule < kRules; ++rule) now.broken += judge_.Violations(static_cast<Rule>(rule));
   for (const Action& action : script_.actions) {
     if (action.at <= now.since) now.fault = TraitsOf(action.kind).word;
   }
@@ -180,7 +180,7 @@
 
 void Run::Start(int balancer, const std::string& config, FolderAfter folder) {
   lives_[static_cast<size_t>(balancer)] = Life::kStarting;
-  witnesses_.BalancerStarts(balancer, machine_.Now());
+  witnesses_.BalancerStarting(balancer, machine_.Now());
   processes_.Start(balancer, config, folder);
 }
 
--- a/src/lab/run/run.h
+++ b/src/lab/run/run.h
@@ -48,7 +48,7 @@
     std::vector<std::string> listen;  // of the balancers
     bool host_each = false;           // nodes each at a host of their own
     Micros start_within = 2 * kSecond;
-    HistoryWriter::Take history = {};  // takes its lines; empty: nobody wants them
+    HistoryWriter::LineSink history = {};  // takes its lines; empty: nobody wants them
   };
   struct Progress {
     Phase phase = Phase::kPreparing;
@@ -106,9 +106,9 @@
   std::vector<Life> lives_;
   std::vector<std::string> notes_;
   Verdict verdict_;
-  Witnesses witnesses_;
+  ObserverList witnesses_;
   std::unique_ptr<Arrivals> arrivals_;
-  Judge judge_;
+  RunChecker judge_;
   FleetTally fleet_;
   std::optional<HistoryWriter> history_;
   WithoutRude polite_;  // what the judge hears: queries of clients that keep the protocol
--- a/src/lab/site/discovery.cpp
+++ b/src/lab/site/discovery.cpp
@@ -40,7 +40,7 @@
   std::vector<HostState> being_told;  // by the answer at hand
 };
 
-Discovery::Discovery(Machine& machine, Witness& witness, const DiscoverySpec& spec,
+Discovery::Discovery(Machine& machine, Observer& witness, const DiscoverySpec& spec,
                      const std::vector<Address>& at, std::vector<HostState> known, AddressOf address_of,
                      TextOf text_of, uint64_t seed)
     : StandIn(machine, {}, at),
@@ -104,14 +104,14 @@
                 std::to_string(static_cast<int64_t>(troubles_.retry_after_s)) + "\r\n";
     }
     Answer(link, 503, headers, "");
-    witness_.AskFailed(balancer, now);
+    witness_.ListRequestFailed(balancer, now);
     witness_.ListCallEnded(balancer, here.watch, ListEnd::kRefused, 0, now);
     co_return true;
   }
   const uint64_t wait_ms = std::min(Number(query.target, "wait").value_or(0), kLongestWaitMs);
   here.call = model_.Call(now, balancer, index, static_cast<Micros>(wait_ms) * kMs, effects_);
   calls_[here.call] = &here;
-  if (here.watch) witness_.Asked(balancer, now, true);
+  if (here.watch) witness_.ListRequested(balancer, now, true);
   Apply();
   bool answered = true;
   if (link.out.empty()) answered = co_await AwaitAnswer(link);
@@ -128,11 +128,11 @@
   auto& here = static_cast<CallLink&>(link);
   const Micros now = machine_.Now();
   for (const HostState& host : here.being_told) {
-    witness_.Told(link.gate->balancer, host.node, host.state, host.started_at, now);
+    witness_.NodeStateSent(link.gate->balancer, host.node, host.state, host.started_at, now);
   }
   here.being_told.clear();
   const int balancer = link.gate->balancer;
-  if (here.listed && !here.watch) witness_.Asked(balancer, now, model_.watching(balancer));
+  if (here.listed && !here.watch) witness_.ListRequested(balancer, now, model_.watching(balancer));
 }
 
 void Discovery::Lost(Link& link) {
@@ -158,7 +158,7 @@
   const Micros now = machine_.Now();
   if (effect.did == Did::kDeemed) {
     for (const HostState& host : effect.hosts) {
-      witness_.Told(effect.balancer, host.node, host.state, host.started_at, now);
+      witness_.NodeStateSent(effect.balancer, host.node, host.state, host.started_at, now);
     }
     return;
   }
@@ -168,10 +168,10 @@
     }
     return;
   }
-  if (effect.did == Did::kUnwatched) return witness_.Asked(effect.balancer, now, false);
+  if (effect.did == Did::kUnwatched) return witness_.ListRequested(effect.balancer, now, false);
   if (effect.did != Did::kAnswered) {
-    witness_.AskFailed(effect.balancer, now);
-    if (model_.watching(effect.balancer)) witness_.Asked(effect.balancer, now, true);  // by another call
+    witness_.ListRequestFailed(effect.balancer, now);
+    if (model_.watching(effect.balancer)) witness_.ListRequested(effect.balancer, now, true);  // by another call
   }
   auto it = calls_.find(effect.call);
   if (it == calls_.end()) return;
@@ -188,7 +188,7 @@
       Answer(link, 200, kJson, text_of_(Listed(effect.balancer, effect.version, effect.full, effect.hosts)));
     }
     if (odd || breaks) {
-      witness_.AskFailed(effect.balancer, now);
+      witness_.ListRequestFailed(effect.balancer, now);
     } else {
       link.being_told = std::move(effect.hosts);
     }
--- a/src/lab/site/discovery.h
+++ b/src/lab/site/discovery.h
@@ -122,7 +122,7 @@
   using AddressOf = std::function<std::string(int node, int balancer)>;
   using TextOf = std::function<std::string(const NodeList& list)>;
   // Listens at once; throws std::system_error where an address can't be had.
-  Discovery(Machine& machine, Witness& witness, const DiscoverySpec& spec, const std::vector<Address>& at,
+  Discovery(Machine& machine, Observer& witness, const DiscoverySpec& spec, const std::vector<Address>& at,
             std::vector<HostState> known, AddressOf address_of, TextOf text_of, uint64_t seed);
   ~Discovery() override;
 
@@ -152,7 +152,7 @@
   void Conclude(DiscoveryModel::Effect effect);
   NodeList Listed(int balancer, uint64_t version, bool full, const std::vector<HostState>& hosts) const;
 
-  Witness& witness_;
+  Observer& witness_;
   DiscoveryModel model_;
   Troubles troubles_;
   Stream64 draws_;
--- a/src/lab/site/node.cpp
+++ b/src/lab/site/node.cpp
@@ -92,7 +92,7 @@
 
 void Node::DropAll() {
   const Micros now = machine_.Now();
-  for (const auto& [attempt, held] : held_) site_.witness.AnsweredAtNode(attempt, now, AtNode::kDropped);
+  for (const auto& [attempt, held] : held_) site_.witness.AttemptEnded(attempt, now, AttemptEnd::kDropped);
   held_.clear();
 }
 
@@ -160,7 +160,7 @@
   const bool known = trace != 0 && site_.work_of && site_.work_of(trace, info);
   if ((known && info.cls >= 0 && info.cls != one.cls) || (!known && site_.work_of && hint < 0)) {
     ++strange_;
-    site_.witness.Strange(number_, link.gate->balancer, machine_.Now());
+    site_.witness.UnexpectedRequest(number_, link.gate->balancer, machine_.Now());
     return trace_text != nullptr ? 400 : 404;
   }
   const Micros now = machine_.Now();
@@ -192,7 +192,7 @@
     if (effect.did == NodeModel::Did::kBegan) {
       site_.witness.Ran(effect.attempt, machine_.Now(), !effect.repeat);
     } else if (effect.did == NodeModel::Did::kFell) {
-      site_.witness.NodeChanged(number_, NodeChange::kFell, machine_.Now(), effect.pushed_by);
+      site_.witness.NodeChanged(number_, NodeChange::kOverloaded, machine_.Now(), effect.pushed_by);
       // The links end in a turn of their own: this may be one of theirs.
       fell_ = true;
       model_moves_.Notify();
@@ -211,22 +211,22 @@
   const Mark mark{it->second.trace, number_, effect.attempt};
   held_.erase(it);
   const bool heard = link != nullptr && !link->silent && link->doom != Doom::kReset;
-  AtNode how = AtNode::kDropped;
+  AttemptEnd how = AttemptEnd::kDropped;
   if (heard && effect.did == NodeModel::Did::kServed) {
-    how = link->doom == Doom::kSpoil ? AtNode::kSpoilt : AtNode::kAnswered;
+    how = link->doom == Doom::kSpoil ? AttemptEnd::kCorrupted : AttemptEnd::kAnswered;
     std::string body;
     AppendMark(body, mark, site_.body_bytes);
     Answer(*link, 200, "", body);
-    if (how == AtNode::kSpoilt) Spoiled(*link, mark);
-    if (how == AtNode::kAnswered) last_mark_ = mark;
+    if (how == AttemptEnd::kCorrupted) Spoiled(*link, mark);
+    if (how == AttemptEnd::kAnswered) last_mark_ = mark;
   } else if (heard && effect.did == NodeModel::Did::kError) {
-    how = AtNode::kError;
+    how = AttemptEnd::kError;
     Answer(*link, 500, "", "");
   } else if (heard) {
-    how = AtNode::kTurnedAway;
+    how = AttemptEnd::kRejected;
     Answer(*link, effect.did == NodeModel::Did::kOver ? 504 : 503, kNeverRanLine, "");
   }
-  site_.witness.AnsweredAtNode(effect.attempt, machine_.Now(), how);
+  site_.witness.AttemptEnded(effect.attempt, machine_.Now(), how);
   if (link == nullptr) return;
   link->attempt = 0;
   Wake(*link);
@@ -270,7 +270,7 @@
   const bool dropped = model_.GivenUp(machine_.Now(), attempt, effects_);
   if (dropped) {
     held_.erase(attempt);
-    site_.witness.AnsweredAtNode(attempt, machine_.Now(), AtNode::kDropped);
+    site_.witness.AttemptEnded(attempt, machine_.Now(), AttemptEnd::kDropped);
   }
   Apply();
 }
--- a/src/lab/site/node.h
+++ b/src/lab/site/node.h
@@ -24,7 +24,7 @@
 // What the nodes of a site share; it outlives them.
 struct NodeSite {
   Machine& machine;
-  Witness& witness;
+  Observer& witness;
   Deduper& repeats;
   const std::vector<ClassSpec>& classes;
   // Who made the queries knows their work. False where it made none of that trace: the query's X-Size-Hint
--- a/src/lab/site/site.cpp
+++ b/src/lab/site/site.cpp
@@ -29,12 +29,12 @@
 }
 
 void Site::FallTap::NodeChanged(int node, NodeChange change, Micros, const std::vector<double>&) {
-  if (change != NodeChange::kFell) return;
+  if (change != NodeChange::kOverloaded) return;
   site_.fallen_.push_back(node);
   site_.fell_.Notify();
 }
 
-Site::Site(Machine& machine, const Experiment& experiment, const Script& script, Witnesses& witnesses,
+Site::Site(Machine& machine, const Experiment& experiment, const Script& script, ObserverList& witnesses,
            Balancers& balancers, WorkOf work_of, Places places)
     : machine_(machine),
       experiment_(experiment),
@@ -158,7 +158,7 @@
   const Micros now = machine_.Now();
   witnesses_.BalancerUp(balancer, now);
   for (const ListedNode& node : first_known_[static_cast<size_t>(balancer)].nodes) {
-    witnesses_.Told(balancer, node.node, node.state, node.started_at, now);
+    witnesses_.NodeStateSent(balancer, node.node, node.state, node.started_at, now);
   }
 }
 
--- a/src/lab/site/site.h
+++ b/src/lab/site/site.h
@@ -44,7 +44,7 @@
   using WorkOf = std::function<bool(TraceId, WorkInfo&)>;
 
   // All of these must outlive it. It adds itself to the witnesses.
-  Site(Machine& machine, const Experiment& experiment, const Script& script, Witnesses& witnesses,
+  Site(Machine& machine, const Experiment& experiment, const Script& script, ObserverList& witnesses,
        Balancers& balancers, WorkOf work_of, Places places);
   ~Site();
   Site(const Site&) = delete;
@@ -70,7 +70,7 @@
     bool operator<(const Moment& other) const;
   };
   // Hears of nodes that fell, to act on it once the witnesses are done.
-  class FallTap final : public QuietWitness {
+  class FallTap final : public NullObserver {
    public:
     explicit FallTap(Site& site) : site_(site) {}
     void NodeChanged(int node, NodeChange change, Micros at, const std::vector<double>& pushed_by) override;
@@ -105,7 +105,7 @@
   Machine& machine_;
   const Experiment& experiment_;
   const Script& script_;
-  Witnesses& witnesses_;
+  ObserverList& witnesses_;
   Balancers& balancers_;
   const Places places_;
   FallTap tap_;
--- a/src/lab/witness/null_observer.h
+++ b/src/lab/witness/null_observer.h
@@ -9,20 +9,20 @@
 
 namespace burlfall::lab {
 
-class QuietWitness : public Witness {
+class NullObserver : public Observer {
  public:
   void Due(const Try&) override {}
   void Written(TraceId, Micros) override {}
   void Ended(TraceId, Micros, End, int, const Mark&, Micros) override {}
   void SentLate(Micros) override {}
-  void Arrived(const AttemptSeen&) override {}
+  void Arrived(const ArrivedAttempt&) override {}
   void Ran(uint64_t, Micros, bool) override {}
-  void AnsweredAtNode(uint64_t, Micros, AtNode) override {}
+  void AttemptEnded(uint64_t, Micros, AttemptEnd) override {}
   void LinkEnded(uint64_t, Micros) override {}
   void HandshakeAt(int, int, Micros) override {}
   void NodeChanged(int, NodeChange, Micros, const std::vector<double>&) override {}
-  void Told(int, int, meadowslip::BackendState, Micros, Micros) override {}
-  void Asked(int, Micros, bool) override {}
+  void NodeStateSent(int, int, meadowslip::BackendState, Micros, Micros) override {}
+  void ListRequested(int, Micros, bool) override {}
   void BalancerUp(int, Micros) override {}
   void BalancerDown(int, Micros, bool) override {}
   void FaultBegan(int, Micros) override {}
--- a/src/lab/witness/observer.h
+++ b/src/lab/witness/observer.h
@@ -54,7 +54,7 @@
   bool operator==(const Mark&) const = default;
 };
 
-struct AttemptSeen {
+struct ArrivedAttempt {
   uint64_t attempt = 0;  // as in Mark
   TraceId trace = 0;
   int node = 0;
@@ -66,11 +66,11 @@
 };
 
 // How an attempt ended at the node.
-enum class AtNode {
+enum class AttemptEnd {
   kAnswered,    // 200
   kError,       // 500: it may have run
-  kTurnedAway,  // 503 or 504 with X-Never-Ran
-  kSpoilt,      // a 200 that was cut short, garbled, or another query's: the node's fault, not the balancer's
+  kRejected,  // 503 or 504 with X-Never-Ran
+  kCorrupted,      // a 200 that was cut short, garbled, or another query's: the node's fault, not the balancer's
   kDropped,     // silent, or it ended with the link or the process
 };
 
@@ -82,11 +82,11 @@
   kLeft,     // the caller went first
 };
 
-enum class NodeChange { kStarted, kDraining, kDied, kFell };
+enum class NodeChange { kStarted, kDraining, kDied, kOverloaded };
 
-class Witness {
+class Observer {
  public:
-  virtual ~Witness() = default;
+  virtual ~Observer() = default;
 
   // The client's end.
   // Again with the same trace where a try that crossed the closing of its link goes out once more on another.
@@ -97,38 +97,38 @@
   virtual void SentLate(Micros late_by) = 0;  // for each try: how late the lab itself was
 
   // The node's end.
-  virtual void Arrived(const AttemptSeen& attempt) = 0;
+  virtual void Arrived(const ArrivedAttempt& attempt) = 0;
   virtual void Ran(uint64_t attempt, Micros at, bool effect) = 0;  // begun; effect: not dropped as a repeat
-  virtual void AnsweredAtNode(uint64_t attempt, Micros at, AtNode how) = 0;
+  virtual void AttemptEnded(uint64_t attempt, Micros at, AttemptEnd how) = 0;
   // Its link ended before it was answered, from the balancer's side or by a reset: it is out no more. How it
   // ended at the node follows, or has come before.
   virtual void LinkEnded(uint64_t attempt, Micros at) = 0;
   virtual void HandshakeAt(int node, int balancer, Micros at) = 0;
   // `pushed_by`: of kFell, the work in the window by balancer.
-  virtual void NodeChanged(int node, NodeChange change, Micros at, const std::vector<double>& pushed_by) = 0;
+  virtual void NodeChanged(int node, NodeChange change, Micros at, const std::vector<double>& work_by_balancer) = 0;
   // Something came from a balancer that no client had made: a probe, or a query with a name of its own.
-  virtual void Strange(int /*node*/, int /*balancer*/, Micros /*at*/) {}
+  virtual void UnexpectedRequest(int /*node*/, int /*balancer*/, Micros /*at*/) {}
 
   // Discovery has come to list this, whoever it tells. Of changes alone: what it listed at the run's start
   // counts as known.
   virtual void Listed(int, meadowslip::BackendState, Micros /*started_at*/, Micros /*at*/) {}
   // Discovery wrote this to the balancer, whether or not it arrives; or it was in the list that the balancer
   // started with, and then follows its BalancerUp. A node that a whole list leaves out is kGone.
-  virtual void Told(int balancer, int node, meadowslip::BackendState state, Micros started_at, Micros at) = 0;
+  virtual void NodeStateSent(int balancer, int node, meadowslip::BackendState state, Micros started_at, Micros at) = 0;
   // It asked (and what it was told has been told), its watch began (`watching`), or its watch ended: how long
   // it may go without being deemed told.
-  virtual void Asked(int balancer, Micros at, bool watching) = 0;
-  virtual void AskFailed(int /*balancer*/, Micros /*at*/) {}  // the call, or the watch, failed
+  virtual void ListRequested(int balancer, Micros at, bool watching) = 0;
+  virtual void ListRequestFailed(int /*balancer*/, Micros /*at*/) {}  // the call, or the watch, failed
 
   // A call has come to the list service, up or down: `watch` where it waits for news; and how it ended,
   // `in_line` after it came. Not part of a history.
   virtual void ListCall(int /*balancer*/, bool /*watch*/, Micros /*at*/) {}
   virtual void ListCallEnded(int /*balancer*/, bool /*watch*/, ListEnd, Micros /*in_line*/, Micros /*at*/) {}
   // The process of a balancer is started; it serves from its BalancerUp on.
-  virtual void BalancerStarts(int /*balancer*/, Micros /*at*/) {}
+  virtual void BalancerStarting(int /*balancer*/, Micros /*at*/) {}
 
   // An operator got a yes from the balancer: the node is out by hand there, or back.
-  virtual void ByHand(int /*balancer*/, int /*node*/, bool /*out*/, Micros /*at*/) {}
+  virtual void ManualDrain(int /*balancer*/, int /*node*/, bool /*out*/, Micros /*at*/) {}
 
   virtual void BalancerUp(int balancer, Micros at) = 0;
   // Its process has ended; planned: it had got SIGTERM from the lab, even where SIGKILL had to follow.
--- a/tests/histories/recorded_test.cpp
+++ b/tests/histories/recorded_test.cpp
@@ -63,8 +63,8 @@
       std::ofstream(recorded, std::ios::binary) << now.history;
     }
     const std::string history = Text(recorded);
-    BadLine bad;
-    const std::optional<JudgedHistory> then = JudgeHistory(history, bad);
+    HistoryError bad;
+    const std::optional<CheckedHistory> then = CheckHistory(history, bad);
     ASSERT_TRUE(then) << bad.line << ": " << bad.why;
     const std::string said = "# recorded: " + RulesBroken(then->verdict) + "\n";
     EXPECT_TRUE(text.starts_with(said)) << said;
--- a/tests/histories/seeded_test.cpp
+++ b/tests/histories/seeded_test.cpp
@@ -99,8 +99,8 @@
     EXPECT_EQ(run.verdict.lab.late_sends, 0u);
     asked += run.verdict.outcomes.asked;
     served += run.verdict.ends.served;
-    BadLine bad;
-    const std::optional<JudgedHistory> again = JudgeHistory(run.history, bad);
+    HistoryError bad;
+    const std::optional<CheckedHistory> again = CheckHistory(run.history, bad);
     ASSERT_TRUE(again) << "seed " << seed << ", line " << bad.line << ": " << bad.why;
     EXPECT_EQ(again->verdict.rules_kept, run.verdict.rules_kept) << "seed " << seed;
   }
--- a/tests/histories/settings_test.cpp
+++ b/tests/histories/settings_test.cpp
@@ -301,8 +301,8 @@
   const size_t answer = run.history.find("\"how\":\"served\"");
   ASSERT_NE(answer, std::string::npos);
   run.history.replace(answer, run.history.find('\n', answer) - answer, "\"how\":\"broken\"}");
-  BadLine bad;
-  const std::optional<JudgedHistory> broken = JudgeHistory(run.history, bad);
+  HistoryError bad;
+  const std::optional<CheckedHistory> broken = CheckHistory(run.history, bad);
   ASSERT_TRUE(broken) << bad.line << ": " << bad.why;
   run.verdict = broken->verdict;
   EXPECT_NE(Wrong(run, 1).find("answer_lost"), std::string::npos);
--- a/tests/lab/clients_test.cpp
+++ b/tests/lab/clients_test.cpp
@@ -20,7 +20,7 @@
 constexpr int kLook = 0, kOpen = 1, kPay = 2;  // safe, unsafe, keyed
 
 // Takes down what it hears, a word for each.
-class Recorder final : public QuietWitness {
+class Recorder final : public NullObserver {
  public:
   void Due(const Try& one) override {
     tries.push_back(one);
@@ -397,10 +397,10 @@
     CHECK(s.witness.words.empty());
     WithoutRude without;
     Recorder behind;
-    struct Counter final : QuietWitness {
-      void Arrived(const AttemptSeen&) override { ++events; }
+    struct Counter final : NullObserver {
+      void Arrived(const ArrivedAttempt&) override { ++events; }
       void Ran(uint64_t, Micros, bool) override { ++events; }
-      void AnsweredAtNode(uint64_t, Micros, AtNode) override { ++events; }
+      void AttemptEnded(uint64_t, Micros, AttemptEnd) override { ++events; }
       void LinkEnded(uint64_t, Micros) override { ++events; }
       int events = 0;
     } counter;
@@ -410,7 +410,7 @@
       without.Arrived({.attempt = attempt, .trace = trace});
       without.Ran(attempt, 0, true);
       without.LinkEnded(attempt, 0);
-      without.AnsweredAtNode(attempt, 0, AtNode::kAnswered);
+      without.AttemptEnded(attempt, 0, AttemptEnd::kAnswered);
       CHECK(counter.events == (trace == left ? 0 : 4));
     }
   });
--- a/tests/lab/compare_test.cpp
+++ b/tests/lab/compare_test.cpp
@@ -30,16 +30,16 @@
   EXPECT_NEAR(change.difference, 0.06, 1e-12);
   EXPECT_NEAR(change.low, 0.06 - 0.045340, 1e-5);
   EXPECT_NEAR(change.high, 0.06 + 0.045340, 1e-5);
-  EXPECT_EQ(change.says, Says::kBetter);
+  EXPECT_EQ(change.significance, Significance::kBetter);
   EXPECT_EQ(comparison.experiments[0].figures[5].figure, "service, read");
-  EXPECT_EQ(comparison.experiments[0].figures[5].says, Says::kSame);
+  EXPECT_EQ(comparison.experiments[0].figures[5].significance, Significance::kSame);
 }
 
 TEST(Compare, NoiseAndSingleRunsAreSaidToBeSo) {
-  EXPECT_EQ(First(Compare({Day(0.80), Day(0.86)}, {Day(0.84), Day(0.88)})).says, Says::kNoise);
-  EXPECT_EQ(First(Compare({Day(0.80)}, {Day(0.84), Day(0.88)})).says, Says::kOneRun);
-  EXPECT_EQ(First(Compare({Day(0.80)}, {Day(0.80)})).says, Says::kSame);
-  EXPECT_EQ(First(Compare({Day(0.9), Day(0.9)}, {Day(0.8), Day(0.8)})).says, Says::kWorse);
+  EXPECT_EQ(First(Compare({Day(0.80), Day(0.86)}, {Day(0.84), Day(0.88)})).significance, Significance::kNoise);
+  EXPECT_EQ(First(Compare({Day(0.80)}, {Day(0.84), Day(0.88)})).significance, Significance::kSingleRun);
+  EXPECT_EQ(First(Compare({Day(0.80)}, {Day(0.80)})).significance, Significance::kSame);
+  EXPECT_EQ(First(Compare({Day(0.9), Day(0.9)}, {Day(0.8), Day(0.8)})).significance, Significance::kWorse);
 }
 
 // Days differ far more from each other than the two sides do on each.
@@ -48,8 +48,8 @@
   const std::vector<Verdict> after = {Day(0.93, 3), Day(0.52, 1), Day(0.72, 2)};
   const Comparison comparison = Compare(before, after);
   EXPECT_TRUE(comparison.experiments[0].by_seed);
-  EXPECT_EQ(First(comparison).says, Says::kBetter);
-  EXPECT_EQ(First(Compare(before, {Day(0.93, 3), Day(0.52, 1), Day(0.72, 4)})).says, Says::kNoise);
+  EXPECT_EQ(First(comparison).significance, Significance::kBetter);
+  EXPECT_EQ(First(Compare(before, {Day(0.93, 3), Day(0.52, 1), Day(0.72, 4)})).significance, Significance::kNoise);
 }
 
 TEST(Compare, LeavesOutLateRunsAndTellsOfBrokenRules) {
--- a/tests/lab/fleet_tally_test.cpp
+++ b/tests/lab/fleet_tally_test.cpp
@@ -18,7 +18,7 @@
   goals.calls_per_s = 1;
   goals.nobody_without = true;
   FleetTally tally(goals, {"b1", "b2", "b3"}, kBegin);
-  for (int b = 0; b < 3; ++b) tally.BalancerStarts(b, At(0.1));
+  for (int b = 0; b < 3; ++b) tally.BalancerStarting(b, At(0.1));
   tally.ListCall(0, false, At(0.2));
   tally.ListCallEnded(0, false, ListEnd::kListed, 1, At(0.3));
   tally.ListCall(0, true, At(1.2));  // its watch: it has its list by then
@@ -46,9 +46,9 @@
   FleetGoals goals;
   goals.listed_within_s = 3;
   FleetTally tally(goals, {"b1"}, kBegin);
-  tally.BalancerStarts(0, At(0));
+  tally.BalancerStarting(0, At(0));
   tally.BalancerDown(0, At(1), false);
-  tally.BalancerStarts(0, At(2));
+  tally.BalancerStarting(0, At(2));
   tally.ListCall(0, false, At(2.5));
   tally.ListCallEnded(0, false, ListEnd::kListed, 1, At(3));
   const FleetResult result = tally.Finish(At(4));
--- a/tests/lab/history_test.cpp
+++ b/tests/lab/history_test.cpp
@@ -28,7 +28,7 @@
 // The events of a good run, told to whoever listens. Queries go by their trace, attempts by their number.
 struct Script {
   const Facts& facts;
-  Witness& to;
+  Observer& to;
 
   Micros At(double ms) const { return facts.begins_at + static_cast<Micros>(ms * kMs); }
   void Ask(TraceId trace, int cls, double ms) {
@@ -43,10 +43,10 @@
     to.SentLate(12);
     to.Written(trace, At(ms));
   }
-  void Send(TraceId trace, uint64_t attempt, int node, double ms, double until_ms, AtNode how) {
+  void Send(TraceId trace, uint64_t attempt, int node, double ms, double until_ms, AttemptEnd how) {
     to.Arrived({attempt, trace, node, 0, At(ms), At(ms), 7, 1000.5});
-    if (how == AtNode::kAnswered) to.Ran(attempt, At(ms), true);
-    to.AnsweredAtNode(attempt, At(until_ms), how);
+    if (how == AttemptEnd::kAnswered) to.Ran(attempt, At(ms), true);
+    to.AttemptEnded(attempt, At(until_ms), how);
   }
   void Serve(TraceId trace, uint64_t attempt, int node, double ms) {
     to.Ended(trace, At(ms), End::kServed, 200, {trace, node, attempt}, 0);
@@ -55,48 +55,48 @@
   void Play() {
     for (int balancer : {0, 1}) {
       to.BalancerUp(balancer, At(0));
-      for (int node : {0, 1, 2}) to.Told(balancer, node, BackendState::kReady, 0, At(0));
-      to.Asked(balancer, At(1), true);
+      for (int node : {0, 1, 2}) to.NodeStateSent(balancer, node, BackendState::kReady, 0, At(0));
+      to.ListRequested(balancer, At(1), true);
     }
     Ask(1, kRead, 100);
-    Send(1, 1, 0, 101, 220, AtNode::kAnswered);
+    Send(1, 1, 0, 101, 220, AttemptEnd::kAnswered);
     Serve(1, 1, 0, 221);
     Ask(2, kRelease, 300);
-    Send(2, 2, 0, 301, 310, AtNode::kTurnedAway);
-    Send(2, 3, 1, 311, 350, AtNode::kAnswered);
+    Send(2, 2, 0, 301, 310, AttemptEnd::kRejected);
+    Send(2, 3, 1, 311, 350, AttemptEnd::kAnswered);
     Serve(2, 3, 1, 351);
     Ask(3, kCharge, 400);
-    Send(3, 4, 0, 401, 410, AtNode::kError);
-    Send(3, 5, 1, 411, 450, AtNode::kAnswered);
+    Send(3, 4, 0, 401, 410, AttemptEnd::kError);
+    Send(3, 5, 1, 411, 450, AttemptEnd::kAnswered);
     Serve(3, 5, 1, 451);
     Ask(4, kRelease, 500);
-    Send(4, 6, 0, 501, 520, AtNode::kDropped);
+    Send(4, 6, 0, 501, 520, AttemptEnd::kDropped);
     to.Ended(4, At(521), End::kFailed, 502, {}, 0);
     Ask(5, kRead, 600);
     for (uint64_t n : {7, 8, 9}) {
       const double ms = 601 + 10 * static_cast<double>(n - 7);
-      Send(5, n, static_cast<int>(n) % 2, ms, ms + 5, AtNode::kError);
+      Send(5, n, static_cast<int>(n) % 2, ms, ms + 5, AttemptEnd::kError);
     }
     to.Ended(5, At(640), End::kRefused, 503, {}, 250 * kMs);
-    to.Told(0, 2, BackendState::kDraining, 0, At(2000));
+    to.NodeStateSent(0, 2, BackendState::kDraining, 0, At(2000));
     Ask(6, kRead, 3000);
-    Send(6, 10, 0, 3001, 3020, AtNode::kAnswered);
+    Send(6, 10, 0, 3001, 3020, AttemptEnd::kAnswered);
     Serve(6, 10, 0, 3021);
-    to.ByHand(0, 1, true, At(4000));
+    to.ManualDrain(0, 1, true, At(4000));
     Ask(7, kRead, 5000);
-    Send(7, 11, 0, 5001, 5020, AtNode::kAnswered);
+    Send(7, 11, 0, 5001, 5020, AttemptEnd::kAnswered);
     Serve(7, 11, 0, 5021);
     to.NodeChanged(1, NodeChange::kDied, At(5500), {});
     to.NodeChanged(1, NodeChange::kStarted, At(6000), {});
-    to.ByHand(0, 1, false, At(6050));
+    to.ManualDrain(0, 1, false, At(6050));
     to.Listed(1, BackendState::kReady, At(6000), At(6090));
-    to.Told(0, 1, BackendState::kReady, At(6000), At(6100));
+    to.NodeStateSent(0, 1, BackendState::kReady, At(6000), At(6100));
     to.HandshakeAt(1, 0, At(6200));
     to.FaultBegan(1, At(7000));
     to.FaultEnded(1, At(7500));
     to.BalancerDown(1, At(8000), true);
-    to.AskFailed(0, At(8100));
-    to.Asked(0, At(8200), true);
+    to.ListRequestFailed(0, At(8100));
+    to.ListRequested(0, At(8200), true);
   }
   double ends_ms = 30'000;
 };
@@ -162,22 +162,22 @@
 }
 
 std::set<std::string> Broken(const std::string& text) {
-  BadLine bad;
-  const std::optional<JudgedHistory> judged = JudgeHistory(text, bad);
+  HistoryError bad;
+  const std::optional<CheckedHistory> judged = CheckHistory(text, bad);
   EXPECT_TRUE(judged) << bad.line << ": " << bad.why;
   std::set<std::string> rules;
   if (!judged) return rules;
   EXPECT_EQ(judged->verdict.rules_kept, judged->broken.empty());
-  for (const JudgedHistory::At& one : judged->broken) rules.insert(one.rule);
+  for (const CheckedHistory::LocatedFinding& one : judged->broken) rules.insert(one.rule);
   return rules;
 }
 
 TEST(History, AGoodOneIsJudgedAsTheRunWas) {
   const Facts facts = HistoryFacts();
-  Judge judge(facts);
+  RunChecker judge(facts);
   std::string text;
   HistoryWriter writer(facts, [&](std::string_view line) { text += line; });
-  Witnesses both;
+  ObserverList both;
   both.Add(judge);
   both.Add(writer);
   Script script{facts, both};
@@ -186,8 +186,8 @@
   const Verdict live = judge.Finish(script.At(script.ends_ms));
   EXPECT_EQ(live.verdict, "kept");
   EXPECT_EQ(live.outcomes.asked, 7u);
-  BadLine bad;
-  const std::optional<JudgedHistory> again = JudgeHistory(text, bad);
+  HistoryError bad;
+  const std::optional<CheckedHistory> again = CheckHistory(text, bad);
   ASSERT_TRUE(again) << bad.line << ": " << bad.why;
   EXPECT_EQ(ToJson(again->verdict), ToJson(live));
 }
@@ -287,8 +287,8 @@
 TEST(History, ABrokenRuleIsNamedWithItsTimeAndLine) {
   Lines lines = Good();
   LineOf(lines, {{"event", "answered"}, {"attempt", 2}})["how"] = "error";
-  BadLine bad;
-  const std::optional<JudgedHistory> judged = JudgeHistory(TextOf(lines), bad);
+  HistoryError bad;
+  const std::optional<CheckedHistory> judged = CheckHistory(TextOf(lines), bad);
   ASSERT_TRUE(judged);
   ASSERT_EQ(judged->broken.size(), 1u);
   EXPECT_EQ(judged->broken[0].line, Place(lines, {{"event", "arrived"}, {"attempt", 3}}) + 1);
@@ -298,8 +298,8 @@
 
 TEST(History, WhatIsNoneIsRefusedWithItsLine) {
   const auto refused = [](const std::string& text, std::size_t line, const std::string& why) {
-    BadLine bad;
-    EXPECT_FALSE(JudgeHistory(text, bad)) << why;
+    HistoryError bad;
+    EXPECT_FALSE(CheckHistory(text, bad)) << why;
     EXPECT_EQ(bad.line, line) << why;
     EXPECT_NE(bad.why.find(why), std::string::npos) << bad.why;
   };
--- a/tests/lab/judge_test.cpp
+++ b/tests/lab/judge_test.cpp
@@ -93,7 +93,7 @@
   const Verdict& verdict = stage.Finish();
   EXPECT_EQ(verdict.outcomes.asked, 2u);
   EXPECT_EQ(verdict.lab.strays, 1u);
-  EXPECT_EQ(stage.judge.Broken(Rule::kAnswerLost), 1u);
+  EXPECT_EQ(stage.judge.Violations(Rule::kAnswerLost), 1u);
 }
 
 TEST(Effort, WasteCopiesCrossingsAndWhatWasHeldBack) {
@@ -131,7 +131,7 @@
   stage.End(stage.Ask(kRead, 0), 500, End::kLeft);
   stage.End(stage.Ask(kRead, 0), 500, End::kUnreached);
   TraceId trace = stage.Ask(kRead, 1000);
-  for (AtNode how : {AtNode::kError, AtNode::kTurnedAway, AtNode::kDropped}) {
+  for (AttemptEnd how : {AttemptEnd::kError, AttemptEnd::kRejected, AttemptEnd::kDropped}) {
     stage.Answer(stage.Send(trace, 0, 1001), 1002, how);
   }
   stage.End(trace, 1010, End::kFailed, 502);
@@ -182,7 +182,7 @@
     EXPECT_NEAR(both.Quantile(share), exact, 0.01 * exact) << share;
     EXPECT_DOUBLE_EQ(one.Quantile(share), both.Quantile(share));
   }
-  EXPECT_EQ(both.Most(), times.back());
+  EXPECT_EQ(both.Max(), times.back());
   EXPECT_DOUBLE_EQ(both.Quantile(1), static_cast<double>(times.back()));
   EXPECT_EQ(Sketch().Quantile(0.5), 0);
 }
@@ -202,7 +202,7 @@
   EXPECT_EQ(facts.nodes.at(1).name, "std-1.2");
   EXPECT_EQ(facts.faults.at(0).name, TraitsOf(FaultKind::kBalancersKilled).word);
   EXPECT_EQ(facts.settle, 1500 * kMs);
-  EXPECT_EQ(facts.judge_after,
+  EXPECT_EQ(facts.check_after,
             5080 * kMs);  // a client may come back after all of Retry-After and its own wait
 }
 
@@ -263,10 +263,10 @@
 
 TEST(Traces, TellTheStoryOfAQueryAndOfItsPeers) {
   Facts facts = StageFacts();
-  facts.story_events = 8;
+  facts.trace_events = 8;
   TraceStore store(facts);
-  Judge judge(facts);
-  Witnesses both;
+  RunChecker judge(facts);
+  ObserverList both;
   both.Add(store);
   both.Add(judge);
   const Micros at = facts.begins_at;
@@ -277,18 +277,18 @@
   one.due = at;
   both.Due(one);
   both.Arrived({1, 0xfeed, 1, 0, at + 2 * kMs, at + 2 * kMs, 5, 100});
-  both.AnsweredAtNode(1, at + 3 * kMs, AtNode::kTurnedAway);
+  both.AttemptEnded(1, at + 3 * kMs, AttemptEnd::kRejected);
   both.Ended(0xfeed, at + 4 * kMs, End::kRefused, 503, {}, 250 * kMs);
   both.FaultBegan(1, at + 5 * kMs);
-  EXPECT_EQ(store.Story(0xfeed), judge.traces().Story(0xfeed));
-  const std::vector<std::string> story = store.Story(0xfeed, at);
+  EXPECT_EQ(store.Timeline(0xfeed), judge.traces().Timeline(0xfeed));
+  const std::vector<std::string> story = store.Timeline(0xfeed, at);
   ASSERT_EQ(story.size(), 6u);
   EXPECT_EQ(story[0], "  -1000.000 ms  n2           draining");
   EXPECT_EQ(story[3], "     +3.000 ms  n2           attempt 1: turned away, never ran");
   EXPECT_EQ(story[4], "     +4.000 ms  client       refused, status 503, Retry-After 250 ms");
   EXPECT_EQ(story[5], "     +5.000 ms  script       fault 1 (zone-cut) begins");
   for (int i = 0; i < 8; ++i) store.Written(static_cast<TraceId>(i + 1), at + kSecond);
-  EXPECT_TRUE(store.Story(0xfeed).empty());  // overwritten
+  EXPECT_TRUE(store.Timeline(0xfeed).empty());  // overwritten
 }
 
 }  // namespace
--- a/tests/lab/load_test.cpp
+++ b/tests/lab/load_test.cpp
@@ -63,7 +63,7 @@
   });
   CHECK(result.queries == 14);
   CHECK(result.answers == std::map<int, uint64_t>{{200, 14}});
-  CHECK(result.latency.Most() >= 14 * 60 * kMs - 300 * kMs);
+  CHECK(result.latency.Max() >= 14 * 60 * kMs - 300 * kMs);
   CHECK(result.took >= 14 * 60 * kMs);
   CHECK(result.connects == 1);
 }
@@ -124,7 +124,7 @@
       link.Write(Answer(200));
     }
   });
-  CHECK(result.late.Most() >= 50 * kMs);
+  CHECK(result.late.Max() >= 50 * kMs);
   CHECK(result.too_late());
 }
 
--- a/tests/lab/rules_test.cpp
+++ b/tests/lab/rules_test.cpp
@@ -78,7 +78,7 @@
   Stage stage;
   TraceId trace = stage.Ask(kRead, 0);
   stage.Good(kRead, 5000);  // time passes
-  EXPECT_EQ(stage.judge.Broken(Rule::kAnswerLost), 1u);
+  EXPECT_EQ(stage.judge.Violations(Rule::kAnswerLost), 1u);
   EXPECT_EQ(stage.Found(), Stage::Only("answer_lost", trace));
   EXPECT_EQ(stage.verdict.ends.untold, 1u);
 }
@@ -144,13 +144,13 @@
 }
 
 TEST(AnswerLost, NotWhereANodeCutsShortWhatWasBeingPassedOn) {
-  for (AtNode how : {AtNode::kDropped, AtNode::kAnswered}) {
+  for (AttemptEnd how : {AttemptEnd::kDropped, AttemptEnd::kAnswered}) {
     Stage stage;
     TraceId trace = stage.Ask(kRead, 0);
     uint64_t attempt = stage.Send(trace, 0, 1);
     stage.Answer(attempt, 20, how);
     stage.End(trace, 21, End::kBroken, 200);
-    EXPECT_EQ(stage.Found(), how == AtNode::kDropped ? kNothing : Stage::Only("answer_lost", trace));
+    EXPECT_EQ(stage.Found(), how == AttemptEnd::kDropped ? kNothing : Stage::Only("answer_lost", trace));
   }
 }
 
@@ -174,7 +174,7 @@
     stage.End(first, 21, End::kFailed, 502);
     TraceId trace = stage.Ask(kRead, 40, first);
     uint64_t attempt = stage.Send(trace, 1, 41);
-    stage.Answer(attempt, 50, kind == kError ? AtNode::kError : AtNode::kAnswered);
+    stage.Answer(attempt, 50, kind == kError ? AttemptEnd::kError : AttemptEnd::kAnswered);
     Mark mark = stage.marks[attempt];
     if (kind == kNoMark) mark = {};
     if (kind == kOtherQuery) mark = {other, 0, 1};
@@ -226,7 +226,7 @@
 }
 
 TEST(SentAgain, AnUnsafeQueryThatMayHaveRun) {
-  for (AtNode how : {AtNode::kTurnedAway, AtNode::kError, AtNode::kDropped}) {
+  for (AttemptEnd how : {AttemptEnd::kRejected, AttemptEnd::kError, AttemptEnd::kDropped}) {
     Stage stage;
     TraceId trace = stage.Ask(kRelease, 0);
     uint64_t first = stage.Send(trace, 0, 1);
@@ -234,7 +234,7 @@
     uint64_t second = stage.Send(trace, 1, 11);
     stage.Answer(second, 20);
     stage.Serve(trace, second, 21);
-    EXPECT_EQ(stage.Found(), how == AtNode::kTurnedAway ? kNothing : Stage::Only("sent_again", trace));
+    EXPECT_EQ(stage.Found(), how == AttemptEnd::kRejected ? kNothing : Stage::Only("sent_again", trace));
   }
 }
 
@@ -244,7 +244,7 @@
     TraceId trace = stage.Ask(kRelease, 0);
     uint64_t first = stage.Send(trace, 0, 1);
     uint64_t second = stage.Send(trace, 1, 10);
-    stage.Answer(first, proof_ms, AtNode::kTurnedAway);
+    stage.Answer(first, proof_ms, AttemptEnd::kRejected);
     stage.Answer(second, 30);
     stage.Serve(trace, second, 31);
     EXPECT_EQ(stage.Found(), proof_ms == 14 ? kNothing : Stage::Only("sent_again", trace));
@@ -256,7 +256,7 @@
     Stage stage;
     TraceId trace = stage.Ask(kCharge, 0);
     uint64_t first = stage.Send(trace, 0, 1);
-    stage.Answer(first, 300, AtNode::kError);
+    stage.Answer(first, 300, AttemptEnd::kError);
     uint64_t second = stage.Send(trace, 1, ms);
     stage.Answer(second, 600);
     stage.Serve(trace, second, 601);
@@ -270,7 +270,7 @@
     facts.settings.classes[kCharge].group = meadowslip::DedupGroup::kZone;
     Stage stage(facts);
     TraceId trace = stage.Ask(kCharge, 0);
-    stage.Answer(stage.Send(trace, 0, 1), 30, AtNode::kError);
+    stage.Answer(stage.Send(trace, 0, 1), 30, AttemptEnd::kError);
     uint64_t second = stage.Send(trace, node, 31);
     stage.Answer(second, 40);
     stage.Serve(trace, second, 41);
@@ -283,7 +283,7 @@
   TraceId trace = stage.Ask(kRelease, 0);
   uint64_t first = stage.Send(trace, 0, 1);
   stage.Run(first, 2);
-  stage.Answer(first, 10, AtNode::kError);
+  stage.Answer(first, 10, AttemptEnd::kError);
   uint64_t second = stage.Send(trace, 1, 11);
   stage.Run(second, 12);
   stage.Answer(second, 20);
@@ -311,7 +311,7 @@
   TraceId first = stage.Ask(kRelease, 0);
   uint64_t attempt = stage.Send(first, 0, 1);
   stage.Run(attempt, 2);
-  stage.Answer(attempt, 9, AtNode::kError);
+  stage.Answer(attempt, 9, AttemptEnd::kError);
   stage.End(first, 10, End::kFailed, 502);
   TraceId second = stage.Ask(kRelease, 50, first);
   attempt = stage.Send(second, 1, 51);
@@ -335,12 +335,12 @@
 }
 
 TEST(RefusalUntrue, AnUnsafeQueryThatMayHaveRun) {
-  for (AtNode how : {AtNode::kTurnedAway, AtNode::kDropped}) {
+  for (AttemptEnd how : {AttemptEnd::kRejected, AttemptEnd::kDropped}) {
     Stage stage;
     TraceId trace = stage.Ask(kRelease, 0);
     stage.Answer(stage.Send(trace, 0, 1), 9, how);
     stage.End(trace, 10, End::kRefused, 429);
-    EXPECT_EQ(stage.Found(), how == AtNode::kTurnedAway ? kNothing : Stage::Only("refusal_untrue", trace));
+    EXPECT_EQ(stage.Found(), how == AttemptEnd::kRejected ? kNothing : Stage::Only("refusal_untrue", trace));
   }
 }
 
@@ -407,7 +407,7 @@
     uint64_t attempt = 0;
     for (int i = 0; i < attempts; ++i) {
       attempt = stage.Send(trace, i % 3, 10 * i);
-      stage.Answer(attempt, 10 * i + 5, i + 1 == attempts ? AtNode::kAnswered : AtNode::kError);
+      stage.Answer(attempt, 10 * i + 5, i + 1 == attempts ? AttemptEnd::kAnswered : AttemptEnd::kError);
     }
     stage.Serve(trace, attempt, 50);
     EXPECT_EQ(stage.Found(), attempts == 3 ? kNothing : Stage::Only("too_many_attempts", trace));
@@ -418,8 +418,8 @@
   for (auto state : {meadowslip::BackendState::kDraining, meadowslip::BackendState::kGone}) {
     for (double ms : {899.0, 901.0}) {  // told at 100, and once more, which starts no new grace
       Stage stage;
-      stage.judge.Told(0, 0, state, 0, stage.At(100));
-      stage.judge.Told(0, 0, state, 0, stage.At(500));
+      stage.judge.NodeStateSent(0, 0, state, 0, stage.At(100));
+      stage.judge.NodeStateSent(0, 0, state, 0, stage.At(500));
       stage.Good(kRead, 2000, 20, 1);  // the other balancer has not been told
       TraceId trace = stage.Good(kRead, ms);
       EXPECT_EQ(stage.Found(), ms == 899 ? kNothing : Stage::Only("draining", trace));
@@ -429,9 +429,9 @@
 
 TEST(Draining, NotOnceTheNodeIsBackOrTheBalancerIsNew) {
   Stage stage;
-  stage.judge.Told(0, 0, meadowslip::BackendState::kDraining, 0, stage.At(100));
-  stage.judge.Told(0, 0, meadowslip::BackendState::kReady, stage.At(1500), stage.At(2000));
-  stage.judge.Told(1, 0, meadowslip::BackendState::kDraining, 0, stage.At(100));
+  stage.judge.NodeStateSent(0, 0, meadowslip::BackendState::kDraining, 0, stage.At(100));
+  stage.judge.NodeStateSent(0, 0, meadowslip::BackendState::kReady, stage.At(1500), stage.At(2000));
+  stage.judge.NodeStateSent(1, 0, meadowslip::BackendState::kDraining, 0, stage.At(100));
   stage.judge.BalancerUp(1, stage.At(2500));
   stage.Good(kRead, 3000);
   stage.Good(kRead, 3000, 20, 1);
@@ -451,9 +451,9 @@
     stage.judge.BalancerUp(0, stage.At(0));
     stage.judge.Listed(0, meadowslip::BackendState::kDraining, 0, stage.At(500));
     if (c.failed) {
-      stage.judge.AskFailed(0, stage.At(1000));
+      stage.judge.ListRequestFailed(0, stage.At(1000));
     } else {
-      stage.judge.Asked(0, stage.At(1000), c.watching);
+      stage.judge.ListRequested(0, stage.At(1000), c.watching);
     }
     TraceId trace = stage.Good(kRead, c.sent_ms);
     EXPECT_EQ(stage.Found(), c.broken ? Stage::Only("draining", trace) : kNothing) << c.sent_ms;
@@ -478,8 +478,8 @@
 TEST(Draining, DeemedToldThatTheNodeIsBack) {
   Stage stage;
   stage.judge.BalancerUp(0, stage.At(0));
-  stage.judge.Told(0, 0, meadowslip::BackendState::kDraining, 0, stage.At(100));
-  stage.judge.Asked(0, stage.At(100), false);
+  stage.judge.NodeStateSent(0, 0, meadowslip::BackendState::kDraining, 0, stage.At(100));
+  stage.judge.ListRequested(0, stage.At(100), false);
   stage.judge.Listed(0, meadowslip::BackendState::kDraining, 0, stage.At(50));
   stage.judge.Listed(0, meadowslip::BackendState::kReady, stage.At(1900), stage.At(2000));
   stage.Good(kRead, 12'100);
@@ -490,7 +490,7 @@
   Facts facts = StageFacts();
   facts.settings.gone_binds = false;
   Stage stage(facts);
-  stage.judge.Told(0, 0, meadowslip::BackendState::kGone, 0, stage.At(100));
+  stage.judge.NodeStateSent(0, 0, meadowslip::BackendState::kGone, 0, stage.At(100));
   stage.Good(kRead, 5000);
   EXPECT_EQ(stage.Found(), kNothing);
 }
@@ -505,11 +505,11 @@
                         Case{{2, 1}, 1000, 6000, false}, Case{{2, 1}, 5000, 7951, false}}) {
     Stage stage;
     stage.judge.NodeChanged(0, NodeChange::kStarted, stage.At(5000), {});
-    stage.judge.Told(0, 0, meadowslip::BackendState::kReady, stage.At(c.started_ms), stage.At(c.told_ms));
-    stage.judge.NodeChanged(0, NodeChange::kFell, stage.At(8000), c.pushed_by);
+    stage.judge.NodeStateSent(0, 0, meadowslip::BackendState::kReady, stage.At(c.started_ms), stage.At(c.told_ms));
+    stage.judge.NodeChanged(0, NodeChange::kOverloaded, stage.At(8000), c.pushed_by);
     const Verdict& verdict = stage.Finish();
     EXPECT_EQ(verdict.rules_kept, !c.broken);
-    EXPECT_EQ(stage.judge.Broken(Rule::kColdNode), c.broken ? 1u : 0u);
+    EXPECT_EQ(stage.judge.Violations(Rule::kColdNode), c.broken ? 1u : 0u);
     EXPECT_EQ(verdict.nodes[0].fell, 1);
   }
 }
@@ -520,7 +520,7 @@
     stage.judge.BalancerUp(0, stage.At(0));
     stage.judge.NodeChanged(0, NodeChange::kStarted, stage.At(5000), {});
     stage.judge.Listed(0, meadowslip::BackendState::kReady, stage.At(5000), stage.At(5500));
-    stage.judge.NodeChanged(0, NodeChange::kFell, stage.At(fell_ms), {3, 0});
+    stage.judge.NodeChanged(0, NodeChange::kOverloaded, stage.At(fell_ms), {3, 0});
     EXPECT_EQ(stage.Finish().rules_kept, fell_ms < 15'500);
   }
 }
@@ -533,7 +533,7 @@
   stage.judge.FaultBegan(1, stage.At(9000));  // cuts the zone of that number off
   stage.judge.BalancerDown(1, stage.At(9000), false);
   const Verdict& verdict = stage.Finish();
-  EXPECT_EQ(stage.judge.Broken(Rule::kCrashed), 1u);
+  EXPECT_EQ(stage.judge.Violations(Rule::kCrashed), 1u);
   EXPECT_EQ(verdict.balancers[0].kills, 1);
   EXPECT_EQ(verdict.balancers[1].crashes, 1);
 }
--- a/tests/lab/sample_verdict.h
+++ b/tests/lab/sample_verdict.h
@@ -172,7 +172,7 @@
     l.p95_ms = sketch.Quantile(0.95) / kMs;
     l.p99_ms = sketch.Quantile(0.99) / kMs;
     l.p999_ms = sketch.Quantile(0.999) / kMs;
-    l.most_ms = static_cast<double>(sketch.Most()) / kMs;
+    l.most_ms = static_cast<double>(sketch.Max()) / kMs;
     for (const auto& [number, n] : sketch.Bins()) l.bins.push_back({number, n});
     return l;
   }
--- a/tests/lab/stage.h
+++ b/tests/lab/stage.h
@@ -69,7 +69,7 @@
     return one.trace;
   }
   uint64_t Send(TraceId trace, int node, double ms, int balancer = 0) {
-    AttemptSeen seen;
+    ArrivedAttempt seen;
     seen.attempt = ++last_attempt;
     seen.trace = trace;
     seen.node = node;
@@ -81,8 +81,8 @@
     return seen.attempt;
   }
   void Run(uint64_t attempt, double ms, bool effect = true) { judge.Ran(attempt, At(ms), effect); }
-  void Answer(uint64_t attempt, double ms, AtNode how = AtNode::kAnswered) {
-    judge.AnsweredAtNode(attempt, At(ms), how);
+  void Answer(uint64_t attempt, double ms, AttemptEnd how = AttemptEnd::kAnswered) {
+    judge.AttemptEnded(attempt, At(ms), how);
   }
   void Cancel(uint64_t attempt, double ms) { judge.LinkEnded(attempt, At(ms)); }
   void End(TraceId trace, double ms, lab::End how, int status = 0, Mark mark = {}) {
@@ -121,7 +121,7 @@
   static std::vector<std::string> Only(const char* rule, TraceId trace) { return {Line(rule, trace)}; }
 
   Facts facts;
-  Judge judge;
+  RunChecker judge;
   Verdict verdict;
   std::map<uint64_t, Mark> marks;
   TraceId last_trace = 0;
--- a/tests/lab/standin_test.cpp
+++ b/tests/lab/standin_test.cpp
@@ -22,14 +22,14 @@
 constexpr Micros kMoment = 150 * kMs;
 
 // Takes down what it hears, a word for each.
-class Recorder final : public QuietWitness {
+class Recorder final : public NullObserver {
  public:
-  void Arrived(const AttemptSeen& attempt) override {
+  void Arrived(const ArrivedAttempt& attempt) override {
     seen = attempt;
     Note("arrived");
   }
   void Ran(uint64_t, Micros, bool effect) override { Note(effect ? "ran" : "repeat"); }
-  void AnsweredAtNode(uint64_t, Micros, AtNode how) override {
+  void AttemptEnded(uint64_t, Micros, AttemptEnd how) override {
     constexpr const char* kWords[] = {"answered", "error", "turned-away", "spoilt", "dropped"};
     Note(kWords[static_cast<int>(how)]);
   }
@@ -40,13 +40,13 @@
     Note(kWords[static_cast<int>(change)]);
     pushed = pushed_by;
   }
-  void Told(int balancer, int node, BackendState state, Micros, Micros) override {
+  void NodeStateSent(int balancer, int node, BackendState state, Micros, Micros) override {
     constexpr const char* kWords[] = {"-gone", "-ready", "-draining"};
     Note("told-" + std::to_string(balancer) + "-" + std::to_string(node) + kWords[static_cast<int>(state)]);
   }
   void Listed(int node, BackendState, Micros, Micros) override { Note("listed-" + std::to_string(node)); }
-  void AskFailed(int balancer, Micros) override { Note("failed-" + std::to_string(balancer)); }
-  void Asked(int balancer, Micros, bool watching) override {
+  void ListRequestFailed(int balancer, Micros) override { Note("failed-" + std::to_string(balancer)); }
+  void ListRequested(int balancer, Micros, bool watching) override {
     Note((watching ? "watches-" : "asked-") + std::to_string(balancer));
   }
 
@@ -55,7 +55,7 @@
   std::string Heard() { return std::exchange(words_, ""); }
   bool Has(const std::string& word) const { return words_.find(word) != std::string::npos; }
 
-  AttemptSeen seen;
+  ArrivedAttempt seen;
   std::vector<double> pushed;
   int handshakes = 0;
 
