--- a/src/lab/judge/balancer_knowledge.cpp
+++ b/src/lab/judge/balancer_knowledge.cpp
@@ -8,9 +8,9 @@
 namespace burlfall::lab {
 namespace {
 
-constexpr std::size_t kMaxChanges = 32;  // of one node; what is older has been overtaken
-constexpr Micros kStartTolerance = 50 * kMs;  // discovery tells starts in milliseconds, and sees them a little late
-constexpr int kFailureFactor = 4;        // so many times as long may a balancer go after a call that failed
+constexpr std::size_t kMaxChanges = 32;  // kept per node; older ones are superseded
+constexpr Micros kStartTolerance = 50 * kMs;  // discovery reports start times in milliseconds and a little late
+constexpr int kFailureFactor = 4;        // a failed call lengthens the permitted interval by this factor
 
 template <typename T>
 T& GrowTo(std::vector<T>& all, int i) {
@@ -29,14 +29,14 @@
 
 void BalancerKnowledge::OnManualDrain(int balancer, int node, bool out, Micros at) {
   Micros& since = GrowTo(GrowTo(manual_drains_, balancer), node);
-  since = !out ? 0 : since == 0 ? at : since;  // saying it again starts no new grace
+  since = !out ? 0 : since == 0 ? at : since;  // a repeated drain starts no new grace period
 }
 
 bool BalancerKnowledge::NeverListed(int balancer, int node, Micros at) const {
   const Balancer* one = lab::Find(balancers_, balancer);
   if (one == nullptr || at < one->up_at + kStartTolerance) return false;
   const auto named = [](const Node& known) { return known.named; };
-  if (std::none_of(one->nodes.begin(), one->nodes.end(), named)) return false;  // nobody told what it knows
+  if (std::none_of(one->nodes.begin(), one->nodes.end(), named)) return false;  // nothing is recorded of what it knows
   const Node* known = lab::Find(one->nodes, node);
   return known == nullptr || !known->named;
 }
@@ -53,7 +53,7 @@
   if (!IsUnusable(state)) {
     one.unusable_since = kNever;
   } else if (one.unusable_since == kNever) {
-    one.unusable_since = at;  // hearing it again starts no new grace
+    one.unusable_since = at;  // a repeated notification starts no new grace period
   }
   if (started_at != 0 && started_at != one.started_at) {
     one.started_at = started_at;
@@ -97,7 +97,7 @@
     }
   }
   if (!any) return since;
-  if (listed == kNever) return kNever;  // what it is deemed told is newer than what it heard
+  if (listed == kNever) return kNever;  // what it is assumed to know is newer than what it received
   return std::min(since, std::max(listed, assumed.requested_at) + assumed.wait);
 }
 
--- a/src/lab/judge/compare.cpp
+++ b/src/lab/judge/compare.cpp
@@ -14,7 +14,7 @@
 
 using Runs = std::vector<const Verdict*>;
 
-// Half the width of Student's interval around a mean with this standard error.
+// Returns half the width of Student's confidence interval around a mean with this standard error.
 double HalfWidth(double error, double freedom, double confidence) {
   if (error <= 0) return 0;
   const boost::math::students_t distribution(freedom);
@@ -32,7 +32,7 @@
   return HalfWidth(std::sqrt(u + v), freedom, confidence);
 }
 
-// Differences below this come of the arithmetic, not of the runs.
+// Compares with a relative tolerance of 1e-12: smaller differences are rounding errors.
 bool Equal(double a, double b) { return std::abs(a - b) <= 1e-12 * std::max(std::abs(a), std::abs(b)); }
 
 Significance SignificanceOf(const FigureChange& change, Direction direction, bool enough, bool all_equal) {
@@ -72,7 +72,7 @@
   return change;
 }
 
-// By seed; true where both have the same ones, each once, and more than one.
+// Sorts both sides by seed. Returns true if both ran the same seeds, each once, and more than one.
 bool SortBySeed(Runs& before, Runs& after) {
   const auto by_seed = [](const Verdict* a, const Verdict* b) { return a->seed < b->seed; };
   std::stable_sort(before.begin(), before.end(), by_seed);
@@ -85,7 +85,7 @@
   return true;
 }
 
-// Drops those of which the lab itself was too late to tell.
+// Removes the runs in which the lab itself sent too late, and returns their number.
 int DropTooLate(Runs& runs) {
   return static_cast<int>(std::erase_if(runs, [](const Verdict* run) { return run->lab.too_late; }));
 }
@@ -93,7 +93,7 @@
 ExperimentChange ChangeOf(const std::string& experiment, Runs before, Runs after, double confidence) {
   ExperimentChange change;
   change.experiment = experiment;
-  change.before_broken = BrokenRules(before);  // a rule that broke is told of, whether or not the lab was late
+  change.before_broken = BrokenRules(before);  // violations are reported even if the lab was late
   change.after_broken = BrokenRules(after);
   change.before_too_late = DropTooLate(before);
   change.after_too_late = DropTooLate(after);
--- a/src/lab/judge/facts.cpp
+++ b/src/lab/judge/facts.cpp
@@ -22,7 +22,7 @@
   facts.begins_at = begins_at;
   facts.length = script.length;
   facts.settle = static_cast<Micros>(experiment.settle_s * kSecond);
-  // A query stays open for as long as its client may come back.
+  // A query stays open for as long as its client may retry.
   const ClientSpec& clients = experiment.clients;
   const double back_ms = clients.most_retry_after_ms + clients.retry_wait_ms.high;
   facts.check_after = std::max(facts.check_after, static_cast<Micros>(back_ms * kMs) + kSecond);
--- a/src/lab/judge/facts.h
+++ b/src/lab/judge/facts.h
@@ -1,5 +1,5 @@
-// What the judge holds a run against: the settings that the balancers were started with, who took part, the
-// faults of the script, and how exactly the lab can see. Plain data, filled once before the run.
+// What the run checker needs to know about a run: the settings of the balancers, the nodes and balancers, the
+// faults of the script, and the accuracy of the lab's observations. Plain data, filled once before the run.
 #ifndef BURLFALL_LAB_JUDGE_FACTS_H_
 #define BURLFALL_LAB_JUDGE_FACTS_H_
 
@@ -19,12 +19,12 @@
   struct Participant {
     std::string name;
     int zone = 0;
-    int cell = 0;  // of a node, where a class's repeats are dropped by cell
+    int cell = 0;  // of a node, for classes whose repeats are dropped by cell
   };
   struct Fault {
-    std::string name;  // for the reader of a result
+    std::string name;  // shown in results
     FaultKind kind = FaultKind::kSilentNodes;
-    std::vector<int> targets;  // of kBalancersKilled, the balancers; of kZoneCut, the zone
+    std::vector<int> targets;  // for kBalancersKilled the balancers, for kZoneCut the zone
   };
   struct Weights {
     double whole = 0.45;
@@ -34,34 +34,34 @@
   };
 
   std::string experiment;
-  std::string subject;  // what was tried: a version, a branch
+  std::string subject;  // the tested version or branch
   uint64_t seed = 0;
-  // Classes, tenants and the rules' figures, as any one balancer has them.
+  // Classes, tenants and limits of the rules, as every balancer has them.
   meadowslip::Settings settings;
-  std::vector<Participant> nodes;  // and the spares behind them
+  std::vector<Participant> nodes;  // followed by the spares
   std::vector<Participant> balancers;
-  std::vector<Fault> faults;  // by the script's number of the action
-  bool pushed = false;        // lists: they count as told as soon as they are listed
+  std::vector<Fault> faults;  // indexed by the number of the action in the script
+  bool pushed = false;        // lists are pushed: a change counts as known as soon as it is listed
   Micros begins_at = 0;
   Micros length = 0;
-  Micros settle = 0;  // at the start, not counted in service, latency and outcomes; rules count throughout
+  Micros settle = 0;  // at the start: excluded from service, latency and outcomes; rules always apply
   Weights weights;
 
-  Micros socket_slack = 50 * kMs;    // every time limit is longer by this
-  Micros order_slack = 5 * kMs;      // by which events of different ends may cross
-  Micros check_after = 2 * kSecond;  // from a query's end; until then its last events may come
-  Micros linger = 10 * kSecond;      // from its end; attempts that have not ended by then never will
-  Micros late_after = 5 * kMs;             // a send of the lab's own that is later than this is late
-  double max_late_share = 0.01;           // share of them beyond which the run says nothing
-  int max_findings = 20;            // of each rule that are kept
+  Micros socket_slack = 50 * kMs;    // added to every time limit
+  Micros order_slack = 5 * kMs;      // by which events of different ends may be out of order
+  Micros check_after = 2 * kSecond;  // after a query's end; its last events arrive before then
+  Micros linger = 10 * kSecond;      // after its end; attempts that have not ended by then never will
+  Micros late_after = 5 * kMs;             // the lab's own sends count as late beyond this delay
+  double max_late_share = 0.01;           // share of late sends above which the run is not valid
+  int max_findings = 20;            // recorded per rule
   std::size_t trace_events = 1 << 18;
 };
 
-// `settings`: as the balancers read them, the text of SettingsJson() parsed.
+// `settings`: as the balancers read them, parsed from the text of SettingsJson().
 Facts FactsOf(const Experiment& experiment, const Script& script, const meadowslip::Settings& settings,
               Micros begins_at);
 
-// What a query is worth in all: by the work that it is, and less beyond its tenant's share.
+// Returns the worth of a whole query: proportional to its work, and reduced beyond its tenant's share.
 double WorthOf(const meadowslip::Settings& settings, int cls, double work_us, bool within_share);
 
 }  // namespace burlfall::lab
--- a/src/lab/judge/fault_history.cpp
+++ b/src/lab/judge/fault_history.cpp
@@ -7,14 +7,14 @@
 namespace burlfall::lab {
 namespace {
 
-// A client sees a dead process's link reset before the lab has seen the process end.
+// A client sees the link of a dead process reset up to this long before the lab sees the process end.
 constexpr Micros kResetBeforeEnd = 200 * kMs;
-// What a process needs for what came while it stood still.
+// Time that a resumed process needs to handle what arrived during its pause.
 constexpr Micros kResumeTime = 500 * kMs;
-// A kill and the fault that it is of are told within this.
+// A kill is reported at most this long before its fault begins or after its fault ends.
 constexpr Micros kFaultMargin = kSecond;
 
-// -1: not known.
+// Returns the zone, or -1 if the participant is unknown.
 int ZoneOf(const std::vector<Facts::Participant>& places, int number) {
   const Facts::Participant* place = Find(places, number);
   return place == nullptr ? -1 : place->zone;
--- a/src/lab/judge/fault_history.h
+++ b/src/lab/judge/fault_history.h
@@ -1,4 +1,4 @@
-// What happened to balancers and zones during a run, and whether that excuses what a query met.
+// Records ends of balancers and faults during a run, and tells whether they excuse the outcome of a query.
 #ifndef BURLFALL_LAB_JUDGE_FAULT_HISTORY_H_
 #define BURLFALL_LAB_JUDGE_FAULT_HISTORY_H_
 
@@ -22,21 +22,22 @@
     Micros ended_at = kNever;
   };
 
-  explicit FaultHistory(const Facts& facts) : facts_(facts) {}  // outlives this
+  explicit FaultHistory(const Facts& facts) : facts_(facts) {}  // `facts` must outlive this
 
   void BalancerDown(int balancer, Micros at, bool planned) { balancer_ends_.push_back({balancer, at, planned}); }
   void FaultBegan(int action, Micros at) { faults_.push_back({action, at, kNever}); }
   void FaultEnded(int action, Micros at);
 
-  // The end of its balancer that a try taken by then met, if it did; `by`: when its client saw no more of it.
+  // Returns the end of the try's balancer after the try was written and before `by`, when its client saw the
+  // last of it; null: none.
   const BalancerEnd* EndDuring(const TryRecord& one, Micros by) const;
-  // A kill by the script, or a planned end: anything else is a crash.
+  // Whether the script killed the balancer or its end was planned; any other end is a crash.
   bool WasIntended(const BalancerEnd& down) const;
-  // The balancer of a try stood still, by the script, at some time between its being taken and `until`, or
-  // had hardly gone on: it answers nothing then, and that is not its doing.
+  // Whether the script paused the try's balancer, or had only just resumed it, at some time between the write of
+  // the try and `until`. A paused balancer answers nothing, which is not its fault.
   bool WasPaused(const TryRecord& one, Micros until) const;
-  // The attempt's node and balancer were cut off from each other at some time up to then: what its node saw
-  // of the balancer's side may be late.
+  // Whether the attempt's node and balancer were cut off from each other at some time before `until`. What the
+  // node saw of the balancer's side may then be late.
   bool WasCutOff(const AttemptRecord& attempt, Micros until) const;
 
   const std::vector<BalancerEnd>& balancer_ends() const { return balancer_ends_; }
--- a/src/lab/judge/figures.cpp
+++ b/src/lab/judge/figures.cpp
@@ -10,7 +10,7 @@
   return run.outcomes.asked == 0 ? 0 : static_cast<double>(part) / static_cast<double>(run.outcomes.asked);
 }
 
-// The classes' own figures are found by name: a run may lack one.
+// Returns the service of the class with this name, 1 if the run does not have it.
 double ServiceOf(const Verdict& run, const std::string& cls) {
   for (const GroupResult& group : run.classes) {
     if (group.name == cls) return group.service;
--- a/src/lab/judge/figures.h
+++ b/src/lab/judge/figures.h
@@ -1,4 +1,4 @@
-// The figures that runs are compared and tabled by, and how they spread over repeats. No I/O.
+// The figures by which runs are compared and tabulated, and their spread over repeated runs. No I/O.
 #ifndef BURLFALL_LAB_JUDGE_FIGURES_H_
 #define BURLFALL_LAB_JUDGE_FIGURES_H_
 
@@ -10,25 +10,28 @@
 
 namespace burlfall::lab {
 
+// Which direction of a figure is an improvement.
 enum class Direction { kHigherIsBetter, kLowerIsBetter, kNeutral };
 
+// A named number that is read from a run's verdict.
 struct Figure {
   std::string name;
   Direction direction = Direction::kHigherIsBetter;
   std::function<double(const Verdict&)> measure;
 };
 
-// Those of a run; the classes' own by their names, so that they can be read off another run too.
+// Returns the figures of a run. Figures of a class find it by name, so they can be read from other runs too.
 std::vector<Figure> FiguresOf(const Verdict& sample);
 
-// Of a figure over repeats.
+// Mean and standard deviation of a figure over repeated runs.
 struct Spread {
   double mean = 0;
-  double deviation = 0;  // of a sample; 0 where there is one run
+  double deviation = 0;  // of a sample; 0 for a single run
 };
 Spread SpreadOf(const std::vector<double>& values);
 
-std::vector<std::string> BrokenRules(const std::vector<const Verdict*>& runs);  // rules, by name; in any of them
+// Returns the names of the rules that were violated in any of the runs.
+std::vector<std::string> BrokenRules(const std::vector<const Verdict*>& runs);
 
 }  // namespace burlfall::lab
 
--- a/src/lab/judge/fleet_tally.cpp
+++ b/src/lab/judge/fleet_tally.cpp
@@ -98,7 +98,7 @@
     const auto s = [&](Micros when) { return when < 0 ? -1 : InSeconds(when - begins_at_); };
     result.each.push_back({names_[static_cast<std::size_t>(process.balancer)],
                            InSeconds(process.began - begins_at_), s(process.served), s(process.listed), process.calls});
-    if (process.listed < 0 && process.ended >= 0) continue;  // the script ended it first
+    if (process.listed < 0 && process.ended >= 0) continue;  // the script ended it before it got a list
     if (process.ended >= 0 && process.ended < from_) continue;
     ++result.lives;
     if (process.listed < 0) {
--- a/src/lab/judge/fleet_tally.h
+++ b/src/lab/judge/fleet_tally.h
@@ -1,5 +1,5 @@
-// Adds up what the balancers together asked of the list service and of the nodes, process by process and
-// second by second, and holds it against the fleet's goals. No I/O, no clock.
+// Sums up the load that all balancers together put on the list service and on the nodes, per process and per
+// second, and compares it with the fleet's goals. No I/O, no clock.
 #ifndef BURLFALL_LAB_JUDGE_FLEET_TALLY_H_
 #define BURLFALL_LAB_JUDGE_FLEET_TALLY_H_
 
@@ -17,7 +17,7 @@
 
 class FleetTally final : public NullObserver {
  public:
-  // `names`: of the balancers. `begins_at`: of the run.
+  // `names`: names of the balancers. `begins_at`: start of the run.
   FleetTally(const FleetGoals& goals, std::vector<std::string> names, Micros begins_at);
 
   void BalancerStarting(int balancer, Micros at) override;
@@ -37,7 +37,7 @@
     Micros served = -1;
     Micros listed = -1;
     Micros ended = -1;
-    uint64_t calls = 0;  // until it was listed, from the goals' begin on
+    uint64_t calls = 0;  // until it got its list, counted from the goals' `from_s` on
   };
   struct Second {
     uint64_t list_calls = 0;
@@ -48,19 +48,19 @@
     uint64_t max_handshakes = 0;
   };
   Second* SecondAt(Micros at);   // nullptr: before the run
-  Process* RunningProcess(int balancer);  // the process that runs; nullptr: none
-  void AdvanceTo(Micros at);    // the seconds that are over
+  Process* RunningProcess(int balancer);  // nullptr: none runs
+  void AdvanceTo(Micros at);    // closes the seconds before `at`
 
   const FleetGoals goals_;
   const std::vector<std::string> names_;
   const Micros begins_at_;
   const Micros from_;
   std::vector<Process> processes_;
-  std::vector<int> running_;  // by balancer, the position of its life; -1: none
+  std::vector<int> running_;  // by balancer, index into processes_; -1: none
   uint64_t lacking_list_ = 0;
   std::vector<Second> seconds_;
   std::size_t finished_ = 0;
-  std::vector<uint64_t> handshakes_;  // by node, in the second at hand
+  std::vector<uint64_t> handshakes_;  // by node, in the current second
   std::size_t handshakes_second_ = 0;
   uint64_t overloads_ = 0;
 };
--- a/src/lab/witness/null_observer.h
+++ b/src/lab/witness/null_observer.h
@@ -1,5 +1,5 @@
-// A witness that takes nothing in: for whoever wants to hear of a few things only, and for a stand-in that
-// nobody watches.
+// An observer that ignores every event: the base of observers that need only a few events, and the observer of
+// a simulated node that nobody observes.
 #ifndef BURLFALL_LAB_WITNESS_NULL_OBSERVER_H_
 #define BURLFALL_LAB_WITNESS_NULL_OBSERVER_H_
 
--- a/src/lab/witness/observer_list.h
+++ b/src/lab/witness/observer_list.h
@@ -1,4 +1,4 @@
-// Tells several witnesses, in the order in which they were added.
+// Forwards each event to several observers, in the order in which they were added.
 #ifndef BURLFALL_LAB_WITNESS_OBSERVER_LIST_H_
 #define BURLFALL_LAB_WITNESS_OBSERVER_LIST_H_
 
@@ -10,7 +10,7 @@
 
 class ObserverList : public Observer {
  public:
-  void Add(Observer& one) { observers_.push_back(&one); }  // outlives this
+  void Add(Observer& one) { observers_.push_back(&one); }  // `one` must outlive this
 
   void Due(const Try& one) override { Notify(&Observer::Due, one); }
   void Written(TraceId trace, Micros at) override { Notify(&Observer::Written, trace, at); }
