--- a/src/lab/judge/balancer_knowledge.cpp
+++ b/src/lab/judge/balancer_knowledge.cpp
@@ -9,8 +9,9 @@
 namespace {
 
 constexpr std::size_t kMaxChanges = 32;  // kept per node; older ones are superseded
-constexpr Micros kStartTolerance = 50 * kMs;  // discovery reports start times in milliseconds and a little late
-constexpr int kFailureFactor = 4;        // a failed call lengthens the permitted interval by this factor
+constexpr Micros kStartTolerance =
+    50 * kMs;                      // discovery reports start times in milliseconds and a little late
+constexpr int kFailureFactor = 4;  // a failed call lengthens the permitted interval by this factor
 
 template <typename T>
 T& GrowTo(std::vector<T>& all, int i) {
@@ -36,7 +37,8 @@
   const Balancer* one = lab::Find(balancers_, balancer);
   if (one == nullptr || at < one->up_at + kStartTolerance) return false;
   const auto named = [](const Node& known) { return known.named; };
-  if (std::none_of(one->nodes.begin(), one->nodes.end(), named)) return false;  // nothing is recorded of what it knows
+  if (std::none_of(one->nodes.begin(), one->nodes.end(), named))
+    return false;  // nothing is recorded of what it knows
   const Node* known = lab::Find(one->nodes, node);
   return known == nullptr || !known->named;
 }
@@ -47,7 +49,8 @@
   if (changes.size() > kMaxChanges) changes.pop_front();
 }
 
-void BalancerKnowledge::OnNodeState(int balancer, int node, meadowslip::BackendState state, Micros started_at, Micros at) {
+void BalancerKnowledge::OnNodeState(int balancer, int node, meadowslip::BackendState state, Micros started_at,
+                                    Micros at) {
   Node& one = GrowTo(GrowTo(balancers_, balancer).nodes, node);
   one.named = true;
   if (!IsUnusable(state)) {
@@ -104,7 +107,8 @@
 Micros BalancerKnowledge::StartKnownSince(int balancer, int node, Micros started_at, Micros at) const {
   Micros since = kNever;
   const Node* received = Find(balancer, node);
-  if (received != nullptr && received->started_at >= started_at - kStartTolerance) since = received->started_since;
+  if (received != nullptr && received->started_at >= started_at - kStartTolerance)
+    since = received->started_since;
   const AssumedKnowledge assumed = Assumed(balancer, node, at);
   if (assumed.changes == nullptr) return since;
   for (const Change& change : *assumed.changes) {
--- a/src/lab/judge/compare.cpp
+++ b/src/lab/judge/compare.cpp
@@ -40,7 +40,8 @@
   if (!enough) return Significance::kSingleRun;
   if (change.low <= 0 && change.high >= 0) return Significance::kNoise;
   if (direction == Direction::kNeutral) return Significance::kDiffers;
-  return (change.difference > 0) == (direction == Direction::kHigherIsBetter) ? Significance::kBetter : Significance::kWorse;
+  return (change.difference > 0) == (direction == Direction::kHigherIsBetter) ? Significance::kBetter
+                                                                              : Significance::kWorse;
 }
 
 FigureChange ChangeOf(const Figure& figure, const Runs& before, const Runs& after, bool by_seed,
--- a/src/lab/judge/compare.h
+++ b/src/lab/judge/compare.h
@@ -13,11 +13,11 @@
 
 // What the difference of one figure means.
 enum class Significance {
-  kSame,       // equal in all runs
-  kNoise,      // the confidence interval contains 0
+  kSame,    // equal in all runs
+  kNoise,   // the confidence interval contains 0
   kBetter,  // the interval excludes 0, in the better direction
   kWorse,
-  kDiffers,   // the interval excludes 0, but neither direction of this figure is better
+  kDiffers,    // the interval excludes 0, but neither direction of this figure is better
   kSingleRun,  // they differ, but one side has a single run, so the spread is unknown
 };
 
--- a/src/lab/judge/facts.h
+++ b/src/lab/judge/facts.h
@@ -51,9 +51,9 @@
   Micros order_slack = 5 * kMs;      // by which events of different ends may be out of order
   Micros check_after = 2 * kSecond;  // after a query's end; its last events arrive before then
   Micros linger = 10 * kSecond;      // after its end; attempts that have not ended by then never will
-  Micros late_after = 5 * kMs;             // the lab's own sends count as late beyond this delay
-  double max_late_share = 0.01;           // share of late sends above which the run is not valid
-  int max_findings = 20;            // recorded per rule
+  Micros late_after = 5 * kMs;       // the lab's own sends count as late beyond this delay
+  double max_late_share = 0.01;      // share of late sends above which the run is not valid
+  int max_findings = 20;             // recorded per rule
   std::size_t trace_events = 1 << 18;
 };
 
--- a/src/lab/judge/fault_history.cpp
+++ b/src/lab/judge/fault_history.cpp
@@ -54,7 +54,8 @@
     const Facts::Fault* fault = FaultOfKind(period, FaultKind::kBalancersPaused);
     if (fault == nullptr || period.began_at > until) return false;
     if (period.ended_at != kNever && period.ended_at + kResumeTime < one.written_at) return false;
-    return std::find(fault->targets.begin(), fault->targets.end(), one.client_try.balancer) != fault->targets.end();
+    return std::find(fault->targets.begin(), fault->targets.end(), one.client_try.balancer) !=
+           fault->targets.end();
   });
 }
 
--- a/src/lab/judge/fault_history.h
+++ b/src/lab/judge/fault_history.h
@@ -24,7 +24,9 @@
 
   explicit FaultHistory(const Facts& facts) : facts_(facts) {}  // `facts` must outlive this
 
-  void BalancerDown(int balancer, Micros at, bool planned) { balancer_ends_.push_back({balancer, at, planned}); }
+  void BalancerDown(int balancer, Micros at, bool planned) {
+    balancer_ends_.push_back({balancer, at, planned});
+  }
   void FaultBegan(int action, Micros at) { faults_.push_back({action, at, kNever}); }
   void FaultEnded(int action, Micros at);
 
@@ -33,11 +35,11 @@
   const BalancerEnd* EndDuring(const TryRecord& one, Micros by) const;
   // Whether the script killed the balancer or its end was planned; any other end is a crash.
   bool WasIntended(const BalancerEnd& down) const;
-  // Whether the script paused the try's balancer, or had only just resumed it, at some time between the write of
-  // the try and `until`. A paused balancer answers nothing, which is not its fault.
+  // Whether the script paused the try's balancer, or had only just resumed it, at some time between the write
+  // of the try and `until`. A paused balancer answers nothing, which is not its fault.
   bool WasPaused(const TryRecord& one, Micros until) const;
-  // Whether the attempt's node and balancer were cut off from each other at some time before `until`. What the
-  // node saw of the balancer's side may then be late.
+  // Whether the attempt's node and balancer were cut off from each other at some time before `until`. What
+  // the node saw of the balancer's side may then be late.
   bool WasCutOff(const AttemptRecord& attempt, Micros until) const;
 
   const std::vector<BalancerEnd>& balancer_ends() const { return balancer_ends_; }
--- a/src/lab/judge/figures.cpp
+++ b/src/lab/judge/figures.cpp
@@ -25,30 +25,37 @@
   std::vector<Figure> all = {
       {"service", Direction::kHigherIsBetter, [](const V& v) { return v.service.combined; }},
       {"service, whole", Direction::kHigherIsBetter, [](const V& v) { return v.service.whole; }},
-      {"service, worst 10 s", Direction::kHigherIsBetter, [](const V& v) { return v.service.worst_ten_seconds; }},
+      {"service, worst 10 s", Direction::kHigherIsBetter,
+       [](const V& v) { return v.service.worst_ten_seconds; }},
       {"service, worst class", Direction::kHigherIsBetter, [](const V& v) { return v.service.worst_class; }},
-      {"service, worst tenant", Direction::kHigherIsBetter, [](const V& v) { return v.service.worst_tenant; }},
+      {"service, worst tenant", Direction::kHigherIsBetter,
+       [](const V& v) { return v.service.worst_tenant; }},
   };
   for (const GroupResult& group : sample.classes) {
     const std::string name = group.name;
-    all.push_back({"service, " + name, Direction::kHigherIsBetter, [name](const V& v) { return ServiceOf(v, name); }});
+    all.push_back(
+        {"service, " + name, Direction::kHigherIsBetter, [name](const V& v) { return ServiceOf(v, name); }});
   }
   const std::vector<Figure> others = {
       {"p50, ms", Direction::kLowerIsBetter, [](const V& v) { return v.latency.p50_ms; }},
       {"p99, ms", Direction::kLowerIsBetter, [](const V& v) { return v.latency.p99_ms; }},
       {"p99.9, ms", Direction::kLowerIsBetter, [](const V& v) { return v.latency.p999_ms; }},
       {"late share", Direction::kLowerIsBetter, [](const V& v) { return ShareOfAsked(v, v.outcomes.late); }},
-      {"refused share", Direction::kLowerIsBetter, [](const V& v) { return ShareOfAsked(v, v.outcomes.refused); }},
-      {"failed share", Direction::kLowerIsBetter, [](const V& v) { return ShareOfAsked(v, v.outcomes.failed); }},
+      {"refused share", Direction::kLowerIsBetter,
+       [](const V& v) { return ShareOfAsked(v, v.outcomes.refused); }},
+      {"failed share", Direction::kLowerIsBetter,
+       [](const V& v) { return ShareOfAsked(v, v.outcomes.failed); }},
       {"lost share", Direction::kLowerIsBetter, [](const V& v) { return ShareOfAsked(v, v.outcomes.lost); }},
       {"tries per query", Direction::kLowerIsBetter, [](const V& v) { return v.effort.tries_per_query; }},
-      {"attempts per query", Direction::kLowerIsBetter, [](const V& v) { return v.effort.attempts_per_query; }},
+      {"attempts per query", Direction::kLowerIsBetter,
+       [](const V& v) { return v.effort.attempts_per_query; }},
       {"copies per query", Direction::kNeutral, [](const V& v) { return ShareOfAsked(v, v.effort.copies); }},
       {"handshakes per query", Direction::kLowerIsBetter,
        [](const V& v) { return ShareOfAsked(v, v.effort.handshakes); }},
       {"crossings per query", Direction::kLowerIsBetter,
        [](const V& v) { return ShareOfAsked(v, v.effort.cross_zone); }},
-      {"work wasted, share", Direction::kLowerIsBetter, [](const V& v) { return v.effort.work_wasted_share; }},
+      {"work wasted, share", Direction::kLowerIsBetter,
+       [](const V& v) { return v.effort.work_wasted_share; }},
   };
   all.insert(all.end(), others.begin(), others.end());
   return all;
--- a/src/lab/judge/fleet_tally.cpp
+++ b/src/lab/judge/fleet_tally.cpp
@@ -97,7 +97,8 @@
   for (const Process& process : processes_) {
     const auto s = [&](Micros when) { return when < 0 ? -1 : InSeconds(when - begins_at_); };
     result.each.push_back({names_[static_cast<std::size_t>(process.balancer)],
-                           InSeconds(process.began - begins_at_), s(process.served), s(process.listed), process.calls});
+                           InSeconds(process.began - begins_at_), s(process.served), s(process.listed),
+                           process.calls});
     if (process.listed < 0 && process.ended >= 0) continue;  // the script ended it before it got a list
     if (process.ended >= 0 && process.ended < from_) continue;
     ++result.lives;
@@ -138,9 +139,9 @@
   check_goal(goals_.calls_each, result.calls_each, "calls each until it had its list");
   check_goal(goals_.first_second, static_cast<double>(in_first), "calls in the first second");
   check_goal(goals_.calls_per_s, static_cast<double>(result.most_calls_per_s),
-       "calls in the busiest second after it");
+             "calls in the busiest second after it");
   check_goal(goals_.handshakes_per_s, static_cast<double>(result.most_handshakes),
-       "connections at a node in a second");
+             "connections at a node in a second");
   if (goals_.nobody_without && lacking_list_ > 0) {
     result.missed.push_back(
         Format("%llu are without a list at the end", static_cast<unsigned long long>(lacking_list_)));
--- a/src/lab/judge/fleet_tally.h
+++ b/src/lab/judge/fleet_tally.h
@@ -26,7 +26,8 @@
   void ListCall(int balancer, bool watch, Micros at) override;
   void ListCallEnded(int balancer, bool watch, ListEnd how, Micros queued_for, Micros at) override;
   void HandshakeAt(int node, int balancer, Micros at) override;
-  void NodeChanged(int node, NodeChange change, Micros at, const std::vector<double>& work_by_balancer) override;
+  void NodeChanged(int node, NodeChange change, Micros at,
+                   const std::vector<double>& work_by_balancer) override;
 
   FleetResult Finish(Micros at);
 
@@ -47,9 +48,9 @@
     uint64_t lacking_list = 0;
     uint64_t max_handshakes = 0;
   };
-  Second* SecondAt(Micros at);   // nullptr: before the run
+  Second* SecondAt(Micros at);            // nullptr: before the run
   Process* RunningProcess(int balancer);  // nullptr: none runs
-  void AdvanceTo(Micros at);    // closes the seconds before `at`
+  void AdvanceTo(Micros at);              // closes the seconds before `at`
 
   const FleetGoals goals_;
   const std::vector<std::string> names_;
--- a/src/lab/judge/history_file.cpp
+++ b/src/lab/judge/history_file.cpp
@@ -25,32 +25,32 @@
 using meadowslip::BackendState;
 using meadowslip::Settings;
 
-// By which an event may come after a later one of another end, and a query's after it was due: the lab may
-// have been late. Beyond it a history goes back in time.
+// How far the time of an event may lie before that of an earlier line: events of different ends may be out of
+// order, and the lab may have been late. Beyond this a history is rejected because its time goes back.
 constexpr Micros kMaxReordering = 2 * kSecond;
 constexpr Micros kMaxTime = 1000LL * 366 * 86400 * kSecond;
 
-// ---- Words for what is counted off in the code -----------------------------------------------------------
+// ---- Names of enumerators --------------------------------------------------------------------------------
 
 template <typename Enum, std::size_t n>
 using EnumNames = std::array<std::pair<Enum, std::string_view>, n>;
 
 constexpr EnumNames<End, 7> kEnds = {{{End::kServed, "served"},
-                                  {End::kRefused, "refused"},
-                                  {End::kFailed, "failed"},
-                                  {End::kBroken, "broken"},
-                                  {End::kLost, "lost"},
-                                  {End::kUnreached, "unreached"},
-                                  {End::kLeft, "left"}}};
+                                      {End::kRefused, "refused"},
+                                      {End::kFailed, "failed"},
+                                      {End::kBroken, "broken"},
+                                      {End::kLost, "lost"},
+                                      {End::kUnreached, "unreached"},
+                                      {End::kLeft, "left"}}};
 constexpr EnumNames<AttemptEnd, 5> kAttemptEnds = {{{AttemptEnd::kAnswered, "answered"},
-                                       {AttemptEnd::kError, "error"},
-                                       {AttemptEnd::kRejected, "turned_away"},
-                                       {AttemptEnd::kCorrupted, "spoilt"},
-                                       {AttemptEnd::kDropped, "dropped"}}};
+                                                    {AttemptEnd::kError, "error"},
+                                                    {AttemptEnd::kRejected, "turned_away"},
+                                                    {AttemptEnd::kCorrupted, "spoilt"},
+                                                    {AttemptEnd::kDropped, "dropped"}}};
 constexpr EnumNames<NodeChange, 4> kChanges = {{{NodeChange::kStarted, "started"},
-                                            {NodeChange::kDraining, "draining"},
-                                            {NodeChange::kDied, "died"},
-                                            {NodeChange::kOverloaded, "fell"}}};
+                                                {NodeChange::kDraining, "draining"},
+                                                {NodeChange::kDied, "died"},
+                                                {NodeChange::kOverloaded, "fell"}}};
 constexpr EnumNames<BackendState, 3> kStates = {
     {{BackendState::kReady, "ready"}, {BackendState::kDraining, "draining"}, {BackendState::kGone, "gone"}}};
 
@@ -59,9 +59,10 @@
   return std::find_if(words.begin(), words.end(), [&](auto& one) { return one.first == value; })->second;
 }
 
-// ---- The settings, in the platform's form ----------------------------------------------------------------
+// ---- Settings in the platform's format -------------------------------------------------------------------
 
-// What ParseSettings() reads again. Names of zones and kinds decide nothing and are left out.
+// Returns the settings as ParseSettings() reads them. Names of zones and kinds have no effect and are
+// omitted.
 Json SettingsOf(const Settings& s) {
   Json classes = Json::array();
   for (const meadowslip::RequestClass& c : s.classes) {
@@ -138,7 +139,7 @@
   using std::runtime_error::runtime_error;
 };
 
-// One line's fields: each is taken once, and none may be left.
+// Reads the fields of one line: each is read once, and unread fields are an error.
 class Fields {
  public:
   explicit Fields(const Json& of) : of_(of) {
@@ -154,7 +155,7 @@
   int64_t Number(const char* name, int64_t low, int64_t high) {
     const Json& value = Any(name);
     if (!value.is_number_integer()) Wrong(name, "a whole number");
-    // One beyond what is signed would wrap round.
+    // A number above the signed range would wrap around.
     if (value.is_number_unsigned() && value.get<uint64_t>() > uint64_t{INT64_MAX})
       Wrong(name, "a smaller number");
     const auto number = value.get<int64_t>();
@@ -236,7 +237,7 @@
   const int64_t version = in.Number("history", 0, INT32_MAX);
   if (version != kHistoryVersion) {
     throw Rejected("version " + std::to_string(version) + " of histories; this is " +
-                  std::to_string(kHistoryVersion));
+                   std::to_string(kHistoryVersion));
   }
   Facts facts;
   facts.experiment = in.Text("experiment");
@@ -264,7 +265,7 @@
   }
   try {
     facts.settings = meadowslip::ParseSettings(FlattenSettings(in.Any("settings").dump()));
-  } catch (const std::exception& e) {  // of either of the two, in plain words
+  } catch (const std::exception& e) {  // from either of the two calls
     throw Rejected(e.what());
   }
   in.ExpectNothingLeft();
@@ -286,7 +287,7 @@
   sink_(HeaderOf(facts).dump() + "\n");
 }
 
-// Times are from the run's begin: a person reads them so.
+// Times are relative to the start of the run, which is easier to read.
 void HistoryWriter::WriteEvent(const Line& line) {
   if (over_) return;
   last_at_ = line.at;
@@ -303,21 +304,23 @@
 
 void HistoryWriter::Due(const Try& one) {
   WriteEvent({one.due,
-       "due",
-       {{"trace", HexOf(one.trace)},
-        {"first", HexOf(one.first)},
-        {"number", one.number},
-        {"class", one.cls},
-        {"tenant", one.tenant},
-        {"zone", one.zone},
-        {"balancer", one.balancer},
-        {"key", HexOf(one.key)},
-        {"give_up_at", one.give_up_at - begins_at_},
-        {"aim_at", one.aim_at - begins_at_},
-        {"worth", one.worth},
-        {"within_share", one.within_share}}});
+              "due",
+              {{"trace", HexOf(one.trace)},
+               {"first", HexOf(one.first)},
+               {"number", one.number},
+               {"class", one.cls},
+               {"tenant", one.tenant},
+               {"zone", one.zone},
+               {"balancer", one.balancer},
+               {"key", HexOf(one.key)},
+               {"give_up_at", one.give_up_at - begins_at_},
+               {"aim_at", one.aim_at - begins_at_},
+               {"worth", one.worth},
+               {"within_share", one.within_share}}});
+}
+void HistoryWriter::Written(TraceId trace, Micros at) {
+  WriteEvent({at, "written", {{"trace", HexOf(trace)}}});
 }
-void HistoryWriter::Written(TraceId trace, Micros at) { WriteEvent({at, "written", {{"trace", HexOf(trace)}}}); }
 void HistoryWriter::Ended(TraceId trace, Micros at, lab::End how, int status, const Mark& mark,
                           Micros refused_for) {
   Json more = {{"trace", HexOf(trace)}, {"how", NameOf(kEnds, how)}};
@@ -331,14 +334,14 @@
 void HistoryWriter::SentLate(Micros late_by) { WriteEvent({last_at_, "sent_late", {{"by", late_by}}}); }
 void HistoryWriter::Arrived(const ArrivedAttempt& a) {
   WriteEvent({a.at,
-       "arrived",
-       {{"attempt", a.attempt},
-        {"trace", HexOf(a.trace)},
-        {"node", a.node},
-        {"balancer", a.balancer},
-        {"first_byte_at", a.first_byte_at - begins_at_},
-        {"link", HexOf(a.link)},
-        {"work_us", a.work_us}}});
+              "arrived",
+              {{"attempt", a.attempt},
+               {"trace", HexOf(a.trace)},
+               {"node", a.node},
+               {"balancer", a.balancer},
+               {"first_byte_at", a.first_byte_at - begins_at_},
+               {"link", HexOf(a.link)},
+               {"work_us", a.work_us}}});
 }
 void HistoryWriter::Ran(uint64_t attempt, Micros at, bool effect) {
   WriteEvent({at, "ran", {{"attempt", attempt}, {"effect", effect}}});
@@ -366,16 +369,18 @@
 }
 void HistoryWriter::NodeStateSent(int balancer, int node, BackendState state, Micros started_at, Micros at) {
   WriteEvent({at,
-       "told",
-       {{"balancer", balancer},
-        {"node", node},
-        {"state", NameOf(kStates, state)},
-        {"started_at", started_at}}});
+              "told",
+              {{"balancer", balancer},
+               {"node", node},
+               {"state", NameOf(kStates, state)},
+               {"started_at", started_at}}});
 }
 void HistoryWriter::ListRequested(int balancer, Micros at, bool watching) {
   WriteEvent({at, "asked", {{"balancer", balancer}, {"watching", watching}}});
 }
-void HistoryWriter::ListRequestFailed(int balancer, Micros at) { WriteEvent({at, "ask_failed", {{"balancer", balancer}}}); }
+void HistoryWriter::ListRequestFailed(int balancer, Micros at) {
+  WriteEvent({at, "ask_failed", {{"balancer", balancer}}});
+}
 void HistoryWriter::ManualDrain(int balancer, int node, bool out, Micros at) {
   WriteEvent({at, "by_hand", {{"balancer", balancer}, {"node", node}, {"out", out}}});
 }
@@ -383,14 +388,18 @@
 void HistoryWriter::BalancerDown(int balancer, Micros at, bool planned) {
   WriteEvent({at, "down", {{"balancer", balancer}, {"planned", planned}}});
 }
-void HistoryWriter::FaultBegan(int action, Micros at) { WriteEvent({at, "fault_began", {{"action", action}}}); }
-void HistoryWriter::FaultEnded(int action, Micros at) { WriteEvent({at, "fault_ended", {{"action", action}}}); }
+void HistoryWriter::FaultBegan(int action, Micros at) {
+  WriteEvent({at, "fault_began", {{"action", action}}});
+}
+void HistoryWriter::FaultEnded(int action, Micros at) {
+  WriteEvent({at, "fault_ended", {{"action", action}}});
+}
 
 // ---- The reader ------------------------------------------------------------------------------------------
 
 namespace {
 
-// Tells one event after the other, and refuses what can't be.
+// Replays one event after the other and rejects impossible ones.
 class EventReplayer {
  public:
   EventReplayer(const Facts& facts, Observer& to) : facts_(facts), to_(to), latest_(facts.begins_at) {}
@@ -403,7 +412,7 @@
     Fields in(json);
     const Micros at = facts_.begins_at + in.Number("at", -kMaxTime, kMaxTime);
     const std::string event = in.Text("event");
-    // A try that goes out once more is due when it was due.
+    // A try that is sent once more keeps its due time, which may lie far back.
     if (event != "due" && at < latest_ - kMaxReordering) throw Rejected("a time that goes back");
     latest_ = std::max(latest_, at);
     ReplayEvent(event, at, in);
@@ -437,7 +446,7 @@
     } else if (event == "arrived") {
       ArrivedAttempt seen;
       seen.attempt = static_cast<uint64_t>(in.Number("attempt", 1, INT64_MAX));
-      seen.trace = in.Hex("trace");  // of no known query, too: the balancer made that up
+      seen.trace = in.Hex("trace");  // may be unknown: then the balancer made it up
       seen.node = node();
       seen.balancer = balancer();
       seen.first_byte_at = facts_.begins_at + in.Number("first_byte_at", -kMaxTime, kMaxTime);
@@ -445,7 +454,8 @@
       seen.link = in.Hex("link");
       seen.work_us = in.Real("work_us");
       if (seen.first_byte_at > at) throw Rejected("an attempt that was whole before it began");
-      if (!attempts_.emplace(seen.attempt, seen.first_byte_at).second) throw Rejected("an attempt came twice");
+      if (!attempts_.emplace(seen.attempt, seen.first_byte_at).second)
+        throw Rejected("an attempt came twice");
       at_end([&] { to_.Arrived(seen); });
     } else if (event == "ran") {
       const uint64_t attempt = KnownAttempt(in, at);
@@ -513,7 +523,7 @@
       const auto events = in.Number("events", 0, INT64_MAX);
       if (static_cast<uint64_t>(events) != events_) {
         throw Rejected(Format("%lld events were expected, %llu have come", static_cast<long long>(events),
-                             static_cast<unsigned long long>(events_)));
+                              static_cast<unsigned long long>(events_)));
       }
       at_end([&] { ended_at_ = at; });
       over_ = true;
@@ -576,8 +586,8 @@
   Micros ended_at_ = 0;
   bool over_ = false;
   uint64_t events_ = 0;
-  std::unordered_map<TraceId, Micros> tries_;      // and when they were due
-  std::unordered_map<uint64_t, Micros> attempts_;  // and when they began
+  std::unordered_map<TraceId, Micros> tries_;      // due times by trace
+  std::unordered_map<uint64_t, Micros> attempts_;  // start times by attempt
 };
 
 }  // namespace
@@ -612,7 +622,7 @@
 
 namespace {
 
-// Where in a history each event stands, for those who look for what broke a rule.
+// Records the line of each event, to find the one that violated a rule.
 class EventIndex final : public NullObserver {
  public:
   void Before(std::size_t line) { line_ = line; }
--- a/src/lab/judge/history_file.h
+++ b/src/lab/judge/history_file.h
@@ -1,9 +1,9 @@
-// A history as a file: all that was seen of a run from outside, one event a line, written as it happens, for
-// people to read and for the judge to take in again. docs/history.md tells the form. Nothing in it comes from
-// a balancer's log, counters or memory.
+// A history file: everything that was observed of a run from outside, one event a line, written as it
+// happens. It is readable, and the run checker can check it again. docs/history.md describes the format.
+// Nothing in it comes from a balancer's log, counters or memory.
 //
 //   HistoryWriter writer(facts, [&](std::string_view line) { file << line; });
-//   ... a Witness like any other ...
+//   ... use it as an Observer ...
 //   writer.End(now);
 #ifndef BURLFALL_LAB_JUDGE_HISTORY_FILE_H_
 #define BURLFALL_LAB_JUDGE_HISTORY_FILE_H_
@@ -24,11 +24,12 @@
 
 constexpr int kHistoryVersion = 1;
 
+// Writes the events of a run as lines of a history.
 class HistoryWriter final : public Observer {
  public:
-  using LineSink = std::function<void(std::string_view line)>;  // with its line break
+  using LineSink = std::function<void(std::string_view line)>;  // including the line break
   HistoryWriter(const Facts& facts, LineSink sink);
-  // The last line. Without it a history is taken for one that was cut short.
+  // Writes the last line. A history without it is rejected as truncated.
   void End(Micros at);
 
   void Due(const Try& one) override;
@@ -41,10 +42,12 @@
   void AttemptEnded(uint64_t attempt, Micros at, AttemptEnd how) override;
   void LinkEnded(uint64_t attempt, Micros at) override;
   void HandshakeAt(int node, int balancer, Micros at) override;
-  void NodeChanged(int node, NodeChange change, Micros at, const std::vector<double>& work_by_balancer) override;
+  void NodeChanged(int node, NodeChange change, Micros at,
+                   const std::vector<double>& work_by_balancer) override;
   void UnexpectedRequest(int node, int balancer, Micros at) override;
   void Listed(int node, meadowslip::BackendState state, Micros started_at, Micros at) override;
-  void NodeStateSent(int balancer, int node, meadowslip::BackendState state, Micros started_at, Micros at) override;
+  void NodeStateSent(int balancer, int node, meadowslip::BackendState state, Micros started_at,
+                     Micros at) override;
   void ListRequested(int balancer, Micros at, bool watching) override;
   void ListRequestFailed(int balancer, Micros at) override;
   void ManualDrain(int balancer, int node, bool out, Micros at) override;
@@ -61,33 +64,34 @@
   const LineSink sink_;
   Micros last_at_;
   uint64_t events_ = 0;
-  bool over_ = false;  // what is told from there on, as processes end, the judge has not heard either
+  bool over_ = false;  // later events, of processes being stopped, are not written: the run checker does not
+                       // get them either
 };
 
-// What is wrong with a text that is no history.
+// Why a text is not a valid history.
 struct HistoryError {
   std::size_t line = 0;  // from 1
   std::string why;
 };
 
-// Tells the events of a history, in order, to the witness that `begin` makes of its first line. False where
-// it is none; what was told by then is worth nothing.
+// Replays the events of a history, in order, to the observer that `on_header` creates from the first line.
+// Read() returns false if the text is not a valid history; the events replayed until then must be discarded.
 struct HistoryReader {
   std::function<Observer&(const Facts& facts)> on_header;
-  std::function<void(std::size_t line)> before_event = [](std::size_t) {};  // each event is told
+  std::function<void(std::size_t line)> before_event = [](std::size_t) {};  // called before each event
   Micros ended_at = 0;
   HistoryError parse_error;
   bool Read(std::string_view text);
 };
 
-// The judge's word on a history: the same as of the run itself.
+// The result of checking a history: the same as that of the run itself.
 struct CheckedHistory {
   Verdict verdict;
   struct LocatedFinding {
     std::string rule;
     Finding finding;
     std::size_t line =
-        0;  // of the event that broke it; where that is one that never came, of the last before
+        0;  // of the event that violated the rule; for an event that never came, of the last one before
   };
   std::vector<LocatedFinding> broken;
 };
--- a/src/lab/judge/record.h
+++ b/src/lab/judge/record.h
@@ -1,4 +1,4 @@
-// What was seen of one query, at both ends: the judge fills it, the rules read it.
+// What was observed of one query at both ends. The run checker fills it, the rules read it.
 #ifndef BURLFALL_LAB_JUDGE_RECORD_H_
 #define BURLFALL_LAB_JUDGE_RECORD_H_
 
@@ -12,7 +12,7 @@
 
 struct AttemptRecord {
   ArrivedAttempt seen;
-  std::size_t try_number = 0;  // the try, among its query's
+  std::size_t try_number = 0;  // index in QueryRecord::tries
   bool ran = false;
   bool effect = false;
   bool answered = false;  // or dropped
@@ -20,6 +20,7 @@
   Micros answered_at = kNever;
   Micros link_ended_at = kNever;
 
+  // When the attempt stopped being outstanding; kNever: it has not.
   Micros OverAt() const { return std::min(answered_at, link_ended_at); }
   bool Over() const { return OverAt() != kNever; }
 };
@@ -32,14 +33,14 @@
   Micros ended_at = 0;
   int status = 0;
   Mark mark;
-  int answers = 0;  // whole ones
+  int answers = 0;  // complete answers
 
   bool Taken() const { return written_at != kNever; }
 };
 
 struct QueryRecord {
-  std::vector<TryRecord> tries;         // as they were due
-  std::vector<AttemptRecord> attempts;  // as they arrived
+  std::vector<TryRecord> tries;         // in the order in which they were due
+  std::vector<AttemptRecord> attempts;  // in the order of arrival
 };
 
 }  // namespace burlfall::lab
--- a/src/lab/judge/result.cpp
+++ b/src/lab/judge/result.cpp
@@ -39,7 +39,7 @@
     {"made_up", "Nothing comes to a node that no client has made: there are no probes."},
 };
 
-// The one list. `f` is told of each field by its name, the field, its unit and what it means.
+// The list of fields. `f` is called for each field with its name, the field, its unit and its meaning.
 template <typename F>
 void Fields(F& f, Finding& v) {
   f("query", v.query, "hex", "trace of the query's first try; empty where it is about no query");
@@ -354,7 +354,7 @@
   std::string error;
 };
 
-// Rows of the reference page; a list's own fields follow it.
+// Builds the rows of the reference page; the fields of a list's entries follow the list.
 struct Lister {
   template <typename T>
   void operator()(const char* name, T& value, const char* unit, const char* meaning) {
@@ -405,7 +405,7 @@
 std::string_view TextOf(Rule rule) { return kRuleTexts[static_cast<int>(rule)].text; }
 
 Json ToJson(const Verdict& verdict) {
-  Verdict copy = verdict;  // the list of fields is one for reading and writing
+  Verdict copy = verdict;  // Fields() needs a mutable value, as it also serves reading
   return Writer::Put(copy);
 }
 
--- a/src/lab/judge/result.h
+++ b/src/lab/judge/result.h
@@ -1,6 +1,6 @@
-// What a run came to: the judge writes it, result.json holds it, comparisons and reports read it. Plain data.
-// Each field's name, unit and meaning stand in one list in result.cpp, from which the writer, the reader and
-// docs/lab-result.md come.
+// The result of a run: the run checker produces it, result.json stores it, comparisons and reports read it.
+// Plain data. One list in result.cpp has the name, unit and meaning of each field; the writer, the reader and
+// docs/lab-result.md are made from it. Fields here are named as in result.json.
 #ifndef BURLFALL_LAB_JUDGE_RESULT_H_
 #define BURLFALL_LAB_JUDGE_RESULT_H_
 
@@ -35,11 +35,12 @@
 };
 constexpr int kRules = static_cast<int>(Rule::kMadeUp) + 1;
 std::string_view NameOf(Rule rule);  // "answer_lost"
-std::string_view TextOf(Rule rule);  // what it asks for, in one sentence
+std::string_view TextOf(Rule rule);  // what the rule requires, in one sentence
 
+// One violation of a rule.
 struct Finding {
-  std::string query;  // the first try's trace
-  std::string trace;  // the try's that is concerned
+  std::string query;  // trace of the query's first try
+  std::string trace;  // trace of the try concerned
   std::string balancer;
   std::string node;
   double at_s = 0;
@@ -54,7 +55,8 @@
   std::vector<Finding> findings;
 };
 
-struct Outcomes {  // of queries: each counts once
+// Numbers of queries by outcome; each query counts once.
+struct Outcomes {
   uint64_t asked = 0;
   uint64_t in_time = 0;
   uint64_t late = 0;
@@ -65,7 +67,8 @@
   uint64_t unreached = 0;
 };
 
-struct Ends {  // of tries
+// Numbers of tries by how they ended.
+struct Ends {
   uint64_t served = 0;
   uint64_t refused = 0;
   uint64_t failed = 0;
@@ -77,12 +80,14 @@
   uint64_t untold = 0;
 };
 
+// One bin of the latency histogram.
 struct Bin {
   int number = 0;
   uint64_t count = 0;
 };
 
-struct Latency {  // of queries that were served, from when their first try was due
+// Latency of the served queries, from when their first try was due.
+struct Latency {
   uint64_t served = 0;
   double mean_ms = 0;
   double p50_ms = 0;
@@ -94,6 +99,7 @@
   std::vector<Bin> bins;
 };
 
+// Worth served in time, as a share of the worth asked.
 struct Service {
   double combined = 0;
   double whole = 0;
@@ -105,7 +111,8 @@
   std::string worst_tenant_name;
 };
 
-struct GroupResult {  // a class, or a tenant within its share
+// Result of a class, or of a tenant within its share.
+struct GroupResult {
   std::string name;
   double service = 0;
   double worth_asked = 0;
@@ -114,6 +121,7 @@
   Latency latency;
 };
 
+// What serving the queries cost.
 struct Effort {
   uint64_t attempts = 0;
   double attempts_per_query = 0;
@@ -158,7 +166,8 @@
   std::vector<int> targets;
 };
 
-struct LabResult {  // how well the lab itself did
+// Accuracy of the lab itself.
+struct LabResult {
   uint64_t sends = 0;
   uint64_t late_sends = 0;
   double late_share = 0;
@@ -169,7 +178,8 @@
   uint64_t site_repeats = 0;
 };
 
-struct Series {  // one value a second from the run's begin
+// One value per second from the start of the run.
+struct Series {
   std::vector<uint64_t> asked;
   std::vector<uint64_t> in_time;
   std::vector<uint64_t> late;
@@ -186,7 +196,8 @@
   std::vector<std::vector<uint64_t>> in_flight_by_node;
 };
 
-struct ProcessResult {  // of one process of a balancer
+// One process of a balancer.
+struct ProcessResult {
   std::string balancer;
   double began_s = 0;
   double served_s = -1;
@@ -194,7 +205,8 @@
   uint64_t calls = 0;
 };
 
-struct FleetResult {  // what the balancers together asked of the list service and of the nodes
+// Load of all balancers together on the list service and on the nodes.
+struct FleetResult {
   uint64_t lives = 0;
   uint64_t listed = 0;
   double listed_within_s = 0;
@@ -213,6 +225,7 @@
   std::vector<uint64_t> busiest_handshakes;
 };
 
+// The whole result of a run.
 struct Verdict {
   int schema = kResultSchema;
   std::string experiment;
@@ -240,10 +253,10 @@
 };
 
 nlohmann::ordered_json ToJson(const Verdict& verdict);
-// False where a field is missing, of another type, or the schema another; `error` names it by its path then.
-// Fields that are not known are passed over.
+// Returns false if a field is missing or has another type, or if the schema differs; `error` then names the
+// field by its path. Unknown fields are ignored.
 bool FromJson(const nlohmann::ordered_json& json, Verdict& verdict, std::string& error);
-std::string ResultReference();  // docs/lab-result.md
+std::string ResultReference();  // the text of docs/lab-result.md
 
 }  // namespace burlfall::lab
 
--- a/src/lab/judge/rules.cpp
+++ b/src/lab/judge/rules.cpp
@@ -68,8 +68,8 @@
     }
     if (one.ended_at > limit && !paused) {
       view.Report(verdict, Rule::kAnswerLate, -1, one.ended_at,
-                 Format("the answer was whole %.1f ms after the client's deadline, %.1f ms too late",
-                        Ms(one.ended_at - one.client_try.give_up_at), Ms(one.ended_at - limit)));
+                  Format("the answer was whole %.1f ms after the client's deadline, %.1f ms too late",
+                         Ms(one.ended_at - one.client_try.give_up_at), Ms(one.ended_at - limit)));
     }
     if (try_verdict.how == End::kServed) CheckMark(view, verdict);
     return;
@@ -82,7 +82,7 @@
     case End::kLeft:
       if (one.ended_at >= limit && !killed) {
         report_lost(Format("no answer until %.1f ms after the client's deadline",
-                    Ms(one.ended_at - one.client_try.give_up_at)));
+                           Ms(one.ended_at - one.client_try.give_up_at)));
       }
       return;
     case End::kBroken:
@@ -92,7 +92,7 @@
       return;
   }
   if (try_verdict.end_unreported && run_ended_at < limit) {
-    try_verdict.how = End::kLeft;  // its client went with the run
+    try_verdict.how = End::kLeft;  // the run ended before its client could give up
   } else if (killed) {
     try_verdict.how = End::kLost;
   } else if (balancer_end != nullptr) {
@@ -100,13 +100,13 @@
   } else if (try_verdict.end_unreported) {
     report_lost("no answer, and no end that the client would have seen");
   } else if (try_verdict.how == End::kLost) {
-    return;  // the client knows of a death that nobody else told
+    return;  // the client saw an end of the balancer that was not reported otherwise
   } else if (one.status != 0 &&
              std::any_of(view.attempts.begin(), view.attempts.end(), [](const AttemptRecord* attempt) {
                return attempt->answered &&
                       (attempt->how == AttemptEnd::kDropped || attempt->how == AttemptEnd::kCorrupted);
              })) {
-    try_verdict.how = End::kFailed;  // a node cut the answer short that the balancer had begun to pass on
+    try_verdict.how = End::kFailed;  // a node truncated the answer while the balancer was forwarding it
   } else {
     report_lost("the balancer ended the link without a whole answer");
   }
@@ -134,7 +134,7 @@
     }
   }
   verdict.tries[view.number].own_answer = why.empty();
-  // What a node spoilt the balancer passes on as it came: worth nothing, and not the balancer's doing.
+  // The balancer forwards a corrupted answer unchanged: it has no worth, but is not the balancer's fault.
   const bool corrupted = std::any_of(view.attempts.begin(), view.attempts.end(), [](const auto* attempt) {
     return attempt->answered && attempt->how == AttemptEnd::kCorrupted;
   });
@@ -179,7 +179,7 @@
 }
 
 std::string QueryRules::RetryViolation(const TryView& view, const AttemptRecord& earlier,
-                                    const AttemptRecord& later) const {
+                                       const AttemptRecord& later) const {
   const meadowslip::RequestClass& cls = ClassOf(view.query);
   if (cls.idempotency == Idempotency::kSafe || !MayHaveRun(earlier, later.seen.first_byte_at)) return "";
   if (cls.idempotency == Idempotency::kUnsafe) {
@@ -204,12 +204,13 @@
 void QueryRules::CheckRefusal(const TryView& view, QueryVerdict& verdict) const {
   const meadowslip::RequestClass& cls = ClassOf(view.query);
   if (verdict.tries[view.number].how != End::kRefused || cls.idempotency == Idempotency::kSafe) return;
-  // Nodes that all drop repeats make a refusal of a keyed query harmless, whatever has run.
+  // If all nodes drop repeats, refusing a keyed query is harmless, whatever has run.
   if (cls.idempotency == Idempotency::kKeyed && cls.group == DedupGroup::kAll) return;
   for (const AttemptRecord* attempt : view.attempts) {
     if (!MayHaveRun(*attempt, view.record.ended_at)) continue;
-    view.Report(verdict, Rule::kRefusalUntrue, attempt->seen.node, view.record.ended_at,
-               Format("refused with %d though attempt %llu may have run", view.record.status, Number(*attempt)));
+    view.Report(
+        verdict, Rule::kRefusalUntrue, attempt->seen.node, view.record.ended_at,
+        Format("refused with %d though attempt %llu may have run", view.record.status, Number(*attempt)));
     return;
   }
 }
@@ -229,9 +230,10 @@
     const auto repeated = [&](std::string why) {
       verdict.violations.push_back({Rule::kEffectRepeated, number, -1, one.ended_at, std::move(why)});
     };
-    const bool sent_wrongly = std::any_of(
-        verdict.violations.begin(), verdict.violations.end(),
-        [&](const Violation& violation) { return violation.number == number && violation.rule == Rule::kSentAgain; });
+    const bool sent_wrongly =
+        std::any_of(verdict.violations.begin(), verdict.violations.end(), [&](const Violation& violation) {
+          return violation.number == number && violation.rule == Rule::kSentAgain;
+        });
     if (effects[number] > 1) {
       if (keyed && !sent_wrongly) {
         verdict.site_repeated = true;
@@ -259,10 +261,10 @@
   return facts_.settings.classes.at(static_cast<std::size_t>(query.tries.front().client_try.cls));
 }
 
-// Only a node's word that it never ran proves it, and only once it has been said.
+// An attempt may have run unless its node has answered, by then, that it never ran.
 bool QueryRules::MayHaveRun(const AttemptRecord& attempt, Micros by) const {
   const bool proven_not_run = attempt.answered && attempt.how == AttemptEnd::kRejected &&
-                       attempt.answered_at <= by + facts_.order_slack;
+                              attempt.answered_at <= by + facts_.order_slack;
   return !proven_not_run;
 }
 
--- a/src/lab/judge/rules.h
+++ b/src/lab/judge/rules.h
@@ -1,5 +1,5 @@
-// The rules on single queries, over what was seen of one from its first try to the last event: those on
-// answers, effects, copies and numbers of attempts. The rules on nodes, which need no query, are the judge's.
+// The rules on single queries, applied to everything observed from the first try to the last event: rules on
+// answers, effects, copies and numbers of attempts. The run checker has the rules that need no query.
 #ifndef BURLFALL_LAB_JUDGE_RULES_H_
 #define BURLFALL_LAB_JUDGE_RULES_H_
 
@@ -14,6 +14,7 @@
 
 namespace burlfall::lab {
 
+// A violation of a rule by one query.
 struct Violation {
   Rule rule = Rule::kAnswerLost;
   std::size_t number = 0;  // of the try
@@ -22,38 +23,40 @@
   std::string why;
 };
 
+// The result of checking one query.
 struct QueryVerdict {
   struct TryVerdict {
-    End how = End::kLeft;     // as it really was
-    bool own_answer = false;  // served with what a node made for it
-    bool end_unreported = false;      // the lab never told of its end
+    End how = End::kLeft;         // corrected by what the nodes and balancers did
+    bool own_answer = false;      // served with a node's answer to an attempt of this try
+    bool end_unreported = false;  // the lab never reported how the try ended
   };
   std::vector<TryVerdict> tries;
   std::vector<Violation> violations;
-  bool site_repeated = false;  // nodes ran a keyed effect twice though the balancer kept the rules
+  bool site_repeated = false;  // nodes ran a keyed effect twice although the balancer kept the rules
 };
 
 class QueryRules {
  public:
   QueryRules(const Facts& facts, const FaultHistory& history) : facts_(facts), history_(history) {}
 
-  // The last moment at which a try's answer is in time.
+  // The latest time at which an answer to the try is not too late.
   Micros AnswerLimit(const TryRecord& one) const;
-  // `run_ended_at`: a try whose limit is later is not blamed for having no end.
+  // `run_ended_at`: a try whose limit is later may have no end.
   void Check(const QueryRecord& query, Micros run_ended_at, QueryVerdict& verdict) const;
-  // An earlier attempt of the same try was out when this one came.
+  // Whether an earlier attempt of the same try was outstanding when this one arrived.
   bool IsCopy(const QueryRecord& query, std::size_t attempt) const;
 
  private:
-  struct TryView;  // of one try of a query
+  struct TryView;  // one try of a query with its attempts
 
   void CheckEnd(const TryView& view, Micros run_ended_at, QueryVerdict& verdict) const;
   void CheckMark(const TryView& view, QueryVerdict& verdict) const;
   void CheckSends(const TryView& view, QueryVerdict& verdict) const;
   void CheckRefusal(const TryView& view, QueryVerdict& verdict) const;
   void CheckEffects(const QueryRecord& query, QueryVerdict& verdict) const;
-  // The first word on what an attempt after `earlier` breaks; empty: nothing.
-  std::string RetryViolation(const TryView& view, const AttemptRecord& earlier, const AttemptRecord& later) const;
+  // Returns which limit on repeated sending `later` violates given `earlier`; empty: none.
+  std::string RetryViolation(const TryView& view, const AttemptRecord& earlier,
+                             const AttemptRecord& later) const;
 
   const meadowslip::RequestClass& ClassOf(const QueryRecord& query) const;
   bool MayHaveRun(const AttemptRecord& attempt, Micros by) const;
--- a/src/lab/judge/run_checker.cpp
+++ b/src/lab/judge/run_checker.cpp
@@ -58,7 +58,8 @@
   return Tally::Outcome::kLeft;
 }
 
-// Refused or failed after over half of its time, or never answered: without an attempt this costs worth.
+// Whether the try was refused or failed after more than half of its time, or was never answered. If no
+// attempt was sent for it, this counts as held back.
 bool HeldTooLong(const TryRecord& one, End how, Micros ended_at) {
   const Micros took = ended_at - one.client_try.due;
   const Micros time_allowed = one.client_try.give_up_at - one.client_try.due;
@@ -100,9 +101,11 @@
 
 RunChecker::~RunChecker() = default;
 
-uint64_t RunChecker::Violations(Rule rule) const { return verdict_.rules[static_cast<std::size_t>(rule)].broken; }
+uint64_t RunChecker::Violations(Rule rule) const {
+  return verdict_.rules[static_cast<std::size_t>(rule)].broken;
+}
 
-// What is told
+// Events
 
 void RunChecker::Due(const Try& one) {
   traces_.Due(one);
@@ -140,7 +143,7 @@
     ++verdict_.lab.strays;
   } else {
     if (IsComplete(how)) ++one->answers;
-    if (!one->ended) {  // the first end is what the client went by
+    if (!one->ended) {  // the client acted on the first end
       one->ended = true;
       one->how = how;
       one->ended_at = at;
@@ -165,10 +168,10 @@
   const auto of = tries_.find(attempt.trace);
   if (of == tries_.end()) {
     Finding finding = MakeFinding(attempt.balancer, attempt.node,
-                            Format("attempt %llu is for no query that is open or was lately",
-                                   static_cast<unsigned long long>(attempt.attempt)));
+                                  Format("attempt %llu is for no query that is open or was lately",
+                                         static_cast<unsigned long long>(attempt.attempt)));
     ReportViolation(Rule::kSentAfterEnd, std::move(finding), attempt.trace, attempt.first_byte_at,
-          attempt.first_byte_at - facts_.linger);
+                    attempt.first_byte_at - facts_.linger);
   } else {
     std::vector<AttemptRecord>& attempts = queries_[of->second.query].seen.attempts;
     attempts_.emplace(attempt.attempt, RecordPosition{of->second.query, attempts.size()});
@@ -238,7 +241,8 @@
   AdvanceTo(at);
 }
 
-void RunChecker::NodeChanged(int node, NodeChange change, Micros at, const std::vector<double>& work_by_balancer) {
+void RunChecker::NodeChanged(int node, NodeChange change, Micros at,
+                             const std::vector<double>& work_by_balancer) {
   traces_.NodeChanged(node, change, at, work_by_balancer);
   NodeResult* one = Find(verdict_.nodes, node);
   if (one == nullptr) return;
@@ -253,14 +257,15 @@
     for (std::size_t balancer = 0; balancer < work_by_balancer.size(); ++balancer) {
       total_work += work_by_balancer[balancer];
       const Micros since = knowledge_.StartKnownSince(static_cast<int>(balancer), node, started_at, at);
-      if (since != kNever && since + facts_.socket_slack <= at) work_by_informed += work_by_balancer[balancer];
+      if (since != kNever && since + facts_.socket_slack <= at)
+        work_by_informed += work_by_balancer[balancer];
     }
     if (total_work > 0 && work_by_informed * 3 >= total_work * 2) {
-      Finding finding =
-          MakeFinding(-1, node,
-                Format("it fell over %.1f s after its start, and %.0f%% of the work came from balancers "
-                       "that were told of that",
-                       Ms(at - started_at) / 1000, 100 * work_by_informed / total_work));
+      Finding finding = MakeFinding(
+          -1, node,
+          Format("it fell over %.1f s after its start, and %.0f%% of the work came from balancers "
+                 "that were told of that",
+                 Ms(at - started_at) / 1000, 100 * work_by_informed / total_work));
       ReportViolation(Rule::kColdNode, std::move(finding), 0, at, 0);
     }
   }
@@ -271,19 +276,25 @@
   knowledge_.OnListed(node, state, started_at, at);
 }
 
-void RunChecker::NodeStateSent(int balancer, int node, meadowslip::BackendState state, Micros started_at, Micros at) {
+void RunChecker::NodeStateSent(int balancer, int node, meadowslip::BackendState state, Micros started_at,
+                               Micros at) {
   traces_.NodeStateSent(balancer, node, state, started_at, at);
   knowledge_.OnNodeState(balancer, node, state, started_at, at);
 }
 
-void RunChecker::ListRequested(int balancer, Micros at, bool watching) { knowledge_.OnListRequest(balancer, at, watching); }
+void RunChecker::ListRequested(int balancer, Micros at, bool watching) {
+  knowledge_.OnListRequest(balancer, at, watching);
+}
 
 void RunChecker::ListRequestFailed(int balancer, Micros at) { knowledge_.OnListRequestFailed(balancer, at); }
 
-void RunChecker::ManualDrain(int balancer, int node, bool out, Micros at) { knowledge_.OnManualDrain(balancer, node, out, at); }
+void RunChecker::ManualDrain(int balancer, int node, bool out, Micros at) {
+  knowledge_.OnManualDrain(balancer, node, out, at);
+}
 
 void RunChecker::UnexpectedRequest(int node, int balancer, Micros at) {
-  ReportViolation(Rule::kMadeUp, MakeFinding(balancer, node, "something came that no client had made"), 0, at, 0);
+  ReportViolation(Rule::kMadeUp, MakeFinding(balancer, node, "something came that no client had made"), 0, at,
+                  0);
 }
 
 void RunChecker::BalancerUp(int balancer, Micros at) {
@@ -306,7 +317,7 @@
   fault_history_.FaultEnded(action, at);
 }
 
-// The life of a record
+// Records of queries
 
 std::size_t RunChecker::AllocateQuery() {
   if (free_positions_.empty()) {
@@ -361,7 +372,8 @@
     const Try& one = query.seen.tries[violation.number].client_try;
     Finding finding = MakeFinding(one.balancer, violation.node, std::move(violation.why));
     finding.query = HexOf(one.first);
-    ReportViolation(violation.rule, std::move(finding), one.trace, violation.at, query.seen.tries.front().client_try.due);
+    ReportViolation(violation.rule, std::move(finding), one.trace, violation.at,
+                    query.seen.tries.front().client_try.due);
   }
   if (query_verdict_.site_repeated) ++verdict_.lab.site_repeats;
   if (!query.retry_only) Count(query.seen);
@@ -370,7 +382,7 @@
     if (!attempt.Over()) tally_->AttemptFinished(attempt.seen.node, now_);
     attempts_.erase(attempt.seen.attempt);
   }
-  query.seen.tries.clear();  // their memory serves the next query in this place
+  query.seen.tries.clear();  // the next query at this position reuses the memory
   query.seen.attempts.clear();
   query.retry_only = false;
   free_positions_.push_back(position);
@@ -389,18 +401,19 @@
   totals.attempts = static_cast<int>(query.attempts.size());
   Ends not_counted;
   Ends& ends = tally_->IsCounted(first.due) ? verdict_.ends : not_counted;
-  const Mark* used = nullptr;  // that of the answer which its client went by
+  const Mark* used = nullptr;  // that of the answer which the client used
   for (std::size_t number = 0; number < query.tries.size(); ++number) {
     const TryRecord& one = query.tries[number];
     const QueryVerdict::TryVerdict& try_verdict = query_verdict_.tries[number];
     const Micros ended_at = one.ended ? one.ended_at : rules_.AnswerLimit(one);
     ++CountOf(ends, try_verdict.how);
     if (try_verdict.end_unreported) ++ends.untold;
-    if (try_verdict.how == End::kLeft && one.Taken() && ended_at >= one.client_try.give_up_at) ++ends.left_unanswered;
+    if (try_verdict.how == End::kLeft && one.Taken() && ended_at >= one.client_try.give_up_at)
+      ++ends.left_unanswered;
     const bool sent = std::any_of(query.attempts.begin(), query.attempts.end(),
                                   [&](const AttemptRecord& attempt) { return attempt.try_number == number; });
     if (!sent && HeldTooLong(one, try_verdict.how, ended_at)) ++totals.held_back;
-    if (used != nullptr) continue;  // what follows an answer changes nothing
+    if (used != nullptr) continue;  // tries after an answer change nothing
     totals.ended_at = ended_at;
     totals.outcome = OutcomeOf(try_verdict, ended_at <= totals.aim_at);
     if (try_verdict.own_answer) used = &one.mark;
@@ -411,14 +424,15 @@
     const Facts::Participant* node = Find(facts_.nodes, attempt.seen.node);
     const Facts::Participant* balancer = Find(facts_.balancers, attempt.seen.balancer);
     if (node != nullptr && balancer != nullptr && node->zone != balancer->zone) ++totals.cross_zone;
-    if (!attempt.ran || !attempt.effect) continue;  // an answer to a dropped repeat costs next to nothing
+    if (!attempt.ran || !attempt.effect) continue;  // answering a dropped repeat costs almost no work
     totals.work_begun_us += attempt.seen.work_us;
-    if (used == nullptr || used->attempt != attempt.seen.attempt) totals.work_wasted_us += attempt.seen.work_us;
+    if (used == nullptr || used->attempt != attempt.seen.attempt)
+      totals.work_wasted_us += attempt.seen.work_us;
   }
   tally_->Close(totals);
 }
 
-// Rules that need no query
+// Rules that need no query record
 
 void RunChecker::CheckDrain(const ArrivedAttempt& attempt) {
   const Micros since = knowledge_.UnusableSince(attempt.balancer, attempt.node, attempt.first_byte_at);
@@ -433,17 +447,18 @@
              static_cast<unsigned long long>(attempt.attempt), Ms(attempt.first_byte_at - since), Ms(grace)));
   if (one != nullptr) finding.query = HexOf(one->client_try.first);
   ReportViolation(Rule::kDraining, std::move(finding), attempt.trace, attempt.first_byte_at,
-        attempt.first_byte_at - facts_.linger);
+                  attempt.first_byte_at - facts_.linger);
 }
 
 void RunChecker::CheckListed(const ArrivedAttempt& attempt) {
   if (!knowledge_.NeverListed(attempt.balancer, attempt.node, attempt.first_byte_at)) return;
-  Finding finding = MakeFinding(attempt.balancer, attempt.node,
-                          Format("attempt %llu was sent to a node that the balancer has heard of in no list",
-                                 static_cast<unsigned long long>(attempt.attempt)));
+  Finding finding =
+      MakeFinding(attempt.balancer, attempt.node,
+                  Format("attempt %llu was sent to a node that the balancer has heard of in no list",
+                         static_cast<unsigned long long>(attempt.attempt)));
   if (const TryRecord* one = FindTry(attempt.trace)) finding.query = HexOf(one->client_try.first);
   ReportViolation(Rule::kUnlisted, std::move(finding), attempt.trace, attempt.first_byte_at,
-        attempt.first_byte_at - facts_.linger);
+                  attempt.first_byte_at - facts_.linger);
 }
 
 void RunChecker::CheckBalancerEnds() {
@@ -453,12 +468,13 @@
     if (balancer != nullptr)
       ++(balancer_end.planned ? balancer->planned_ends : intended ? balancer->kills : balancer->crashes);
     if (intended) continue;
-    ReportViolation(Rule::kCrashed, MakeFinding(balancer_end.balancer, -1, "it ended though neither stopped nor killed"), 0, balancer_end.at,
-          0);
+    ReportViolation(Rule::kCrashed,
+                    MakeFinding(balancer_end.balancer, -1, "it ended though neither stopped nor killed"), 0,
+                    balancer_end.at, 0);
   }
 }
 
-// What comes of it
+// Results
 
 Finding RunChecker::MakeFinding(int balancer, int node, std::string why) const {
   Finding finding;
--- a/src/lab/judge/sketch.cpp
+++ b/src/lab/judge/sketch.cpp
@@ -38,7 +38,7 @@
     if (static_cast<double>(seen) < wanted) continue;
     if (bin < 0) return min_time;
     if (bin == kBins) return max_time;
-    // The middle of the bin on its own scale: both ends are off by the same share.
+    // The geometric middle of the bin, which differs from both ends by the same ratio.
     return std::clamp(kMin * std::pow(kRatio, bin + 0.5), min_time, max_time);
   }
   return max_time;
--- a/src/lab/judge/tally.cpp
+++ b/src/lab/judge/tally.cpp
@@ -7,9 +7,9 @@
 namespace burlfall::lab {
 namespace {
 
-constexpr std::size_t kMaxSeconds = 24 * 3600;  // of a run; what is later counts for the last
-constexpr std::size_t kOpenSeconds = 60;         // whose queries may still be open
-constexpr std::size_t kWindowSeconds = 10;              // seconds
+constexpr std::size_t kMaxSeconds = 24 * 3600;  // of a run; later queries count for the last second
+constexpr std::size_t kOpenSeconds = 60;        // the last seconds, whose queries may still be open
+constexpr std::size_t kWindowSeconds = 10;      // seconds
 
 void Add(Outcomes& outcomes, Tally::Outcome outcome) {
   ++outcomes.asked;
@@ -38,7 +38,9 @@
   }
 }
 
-bool Served(Tally::Outcome outcome) { return outcome == Tally::Outcome::kInTime || outcome == Tally::Outcome::kLate; }
+bool Served(Tally::Outcome outcome) {
+  return outcome == Tally::Outcome::kInTime || outcome == Tally::Outcome::kLate;
+}
 
 double Ratio(double part, double of) { return of > 0 ? part / of : 0; }
 
@@ -78,7 +80,7 @@
     Second& second = seconds_.emplace_back();
     second.latency = std::make_unique<Sketch>();
     second.attempts.resize(in_flight_.size());
-    second.in_flight = in_flight_;  // what is out from before is out in this second too
+    second.in_flight = in_flight_;  // attempts outstanding from before count here too
     if (seconds_.size() > kOpenSeconds) Finalize(seconds_[finalized_++]);
   }
   return seconds_[wanted];
@@ -166,7 +168,7 @@
 void Tally::FillService(Verdict& verdict) const {
   Service& service = verdict.service;
   service.whole = all_.worth.Share();
-  service.worst_ten_seconds = service.whole;  // of a run that is shorter
+  service.worst_ten_seconds = service.whole;  // if the run is shorter than the window
   service.worst_class = service.worst_tenant = service.whole;
 
   const auto from = static_cast<std::size_t>((facts_.settle + kSecond - 1) / kSecond);
--- a/src/lab/judge/tally.h
+++ b/src/lab/judge/tally.h
@@ -1,5 +1,5 @@
-// Adds up what the judge has made of single queries: service as the operators count it, latency, outcomes and
-// the course of the run second by second. No I/O, no clock.
+// Sums up the checked queries: service as the operators count it, latency, outcomes, and the values per
+// second. No I/O, no clock.
 #ifndef BURLFALL_LAB_JUDGE_TALLY_H_
 #define BURLFALL_LAB_JUDGE_TALLY_H_
 
@@ -17,12 +17,12 @@
 class Tally {
  public:
   enum class Outcome { kInTime, kLate, kRefused, kFailed, kLost, kLeft, kUnreached };
-  struct Query {  // once nothing more can happen to it
+  struct Query {  // a finished query
     int cls = 0;
     int tenant = 0;
     bool within_share = true;
     double worth = 0;
-    Micros due = 0;  // its first try
+    Micros due = 0;  // of its first try
     Micros ended_at = 0;
     Micros aim_at = 0;
     Outcome outcome = Outcome::kInTime;
@@ -35,10 +35,10 @@
     double work_wasted_us = 0;
   };
 
-  explicit Tally(const Facts& facts);  // outlives this
+  explicit Tally(const Facts& facts);  // `facts` must outlive this
   ~Tally();
 
-  // Whether what was due then counts for service, latency and outcomes.
+  // Whether a query that was due then counts for service, latency and outcomes.
   bool IsCounted(Micros due) const;
   void Close(const Query& query);
   void AttemptStarted(int node, Micros at);
@@ -59,12 +59,12 @@
   struct Second {
     Worth worth;
     Outcomes outcomes;
-    std::unique_ptr<Sketch> latency;  // until no query of this second can be open
+    std::unique_ptr<Sketch> latency;  // null once no query of this second can be open
     double p50_ms = 0;
     double p99_ms = 0;
     uint64_t sends = 0;
     std::vector<uint32_t> attempts;   // by node
-    std::vector<uint32_t> in_flight;  // by node, the most at once
+    std::vector<uint32_t> in_flight;  // by node, maximum within the second
   };
 
   Second& SecondAt(Micros at);
@@ -79,10 +79,10 @@
   std::vector<Group> tenants_;  // within their shares
   Effort effort_;
   double wasted_us_ = 0;
-  double late_failed_worth_ = 0;  // worth
+  double late_failed_worth_ = 0;
   uint64_t tries_ = 0;
   std::vector<Second> seconds_;
-  std::size_t finalized_ = 0;          // so many have no sketch any more
+  std::size_t finalized_ = 0;        // number of leading seconds without a histogram
   std::vector<uint32_t> in_flight_;  // by node, now
 };
 
--- a/src/lab/judge/text.cpp
+++ b/src/lab/judge/text.cpp
@@ -6,7 +6,7 @@
 namespace burlfall::lab {
 
 std::string Format(const char* format, ...) {
-  char text[512];  // longer ones are cut: names come from an experiment's file
+  char text[512];  // longer texts are truncated: names come from an experiment's file
   va_list values;
   va_start(values, format);
   std::vsnprintf(text, sizeof text, format, values);
--- a/src/lab/judge/traces.cpp
+++ b/src/lab/judge/traces.cpp
@@ -11,10 +11,11 @@
 namespace {
 
 constexpr std::size_t kMaxOtherEvents = 4096;  // events of nodes, balancers and faults
-constexpr std::size_t kMaxLines = 60;     // of one story
-constexpr Micros kReorderWindow = kSecond;        // by which events may stand out of order in the ring
-constexpr Micros kContextBefore = 10 * kSecond;   // how long before a query what happened to its peers still tells
-constexpr Micros kContextAfter = 100 * kMs;       // and how long after its end
+constexpr std::size_t kMaxLines = 60;          // of one timeline
+constexpr Micros kReorderWindow = kSecond;     // by which events in the ring may be out of order
+constexpr Micros kContextBefore =
+    10 * kSecond;  // events of the query's nodes and balancers are included from this long before it
+constexpr Micros kContextAfter = 100 * kMs;  // until this long after its end
 
 constexpr const char* kEndTexts[] = {
     "served",
@@ -26,7 +27,7 @@
     "left",
 };
 constexpr const char* kAttemptEndTexts[] = {"answered 200", "answered 500", "turned away, never ran",
-                                        "answered, spoilt", "dropped"};
+                                            "answered, spoilt", "dropped"};
 constexpr const char* kChangeTexts[] = {"started", "draining", "died", "fell over"};
 constexpr const char* kStateTexts[] = {"gone", "ready", "draining"};
 
@@ -46,10 +47,10 @@
 
 struct TraceStore::Scope {
   std::set<TraceId> traces;
-  std::map<uint64_t, int> attempts;  // and their nodes
+  std::map<uint64_t, int> attempts;  // attempt -> node
   std::set<int> nodes;
   std::set<int> balancers;
-  Micros due = kNever;  // of the first try, or the first event that is left
+  Micros due = kNever;  // of the first try, or the first event that is still kept
   Micros until = 0;
 };
 
@@ -158,7 +159,8 @@
   event.how = static_cast<uint8_t>(change);
 }
 
-void TraceStore::NodeStateSent(int balancer, int node, meadowslip::BackendState state, Micros started_at, Micros at) {
+void TraceStore::NodeStateSent(int balancer, int node, meadowslip::BackendState state, Micros started_at,
+                               Micros at) {
   Event& event = other_events_.Push();
   event.what = EventKind::kNodeStateSent;
   event.at = at;
--- a/src/lab/judge/traces.h
+++ b/src/lab/judge/traces.h
@@ -1,7 +1,6 @@
-// The last events of a run, of which the story of any query can be told: who saw what of it, and when. One
-// ring holds those of all queries, another those of nodes, balancers and faults; so memory is bounded
-// whatever they do, and taking an event in costs no more than writing it down. The looking is done where a
-// story is wanted.
+// Keeps the last events of a run, from which the timeline of any query can be built: who observed what of it,
+// and when. One ring buffer holds the events of all queries, another those of nodes, balancers and faults, so
+// memory is bounded. Recording an event is cheap; the search is done when a timeline is requested.
 #ifndef BURLFALL_LAB_JUDGE_TRACES_H_
 #define BURLFALL_LAB_JUDGE_TRACES_H_
 
@@ -17,11 +16,11 @@
 
 class TraceStore : public Observer {
  public:
-  explicit TraceStore(const Facts& facts);  // the names, and how many events to keep
+  explicit TraceStore(const Facts& facts);  // for names and the number of events to keep
 
-  // What is left of the query that this trace is a try of, with its other tries, and of what its balancers
-  // and nodes went through meanwhile. One line an event, by time, its offset from when the first try was due.
-  // `since`: the query's first event is not older; spares the look at all that is.
+  // Returns the remaining events of the query that this trace is a try of, with its other tries, and of its
+  // balancers and nodes meanwhile: one line per event, sorted by time, with the offset from when the first
+  // try was due. `since`: the query's first event is not older, so older events need not be searched.
   std::vector<std::string> Timeline(TraceId trace, Micros since = 0) const;
 
   void Due(const Try& one) override;
@@ -33,8 +32,10 @@
   void AttemptEnded(uint64_t attempt, Micros at, AttemptEnd how) override;
   void LinkEnded(uint64_t attempt, Micros at) override;
   void HandshakeAt(int, int, Micros) override {}
-  void NodeChanged(int node, NodeChange change, Micros at, const std::vector<double>& work_by_balancer) override;
-  void NodeStateSent(int balancer, int node, meadowslip::BackendState state, Micros started_at, Micros at) override;
+  void NodeChanged(int node, NodeChange change, Micros at,
+                   const std::vector<double>& work_by_balancer) override;
+  void NodeStateSent(int balancer, int node, meadowslip::BackendState state, Micros started_at,
+                     Micros at) override;
   void ListRequested(int, Micros, bool) override {}
   void BalancerUp(int balancer, Micros at) override;
   void BalancerDown(int balancer, Micros at, bool planned) override;
@@ -57,7 +58,7 @@
     kFaultBegan,
     kFaultEnded,
   };
-  struct Event {  // what a field means depends on `what`: see those who fill it
+  struct Event {  // the meaning of the fields depends on `what`: see the functions that fill it
     Micros at = 0;
     TraceId trace = 0;
     uint64_t attempt = 0;
@@ -69,16 +70,16 @@
     EventKind what = EventKind::kDue;
     uint8_t how = 0;
   };
-  struct Scope;  // of one story
+  struct Scope;  // of one timeline
   struct Ring {
     explicit Ring(std::size_t max_events) : capacity(max_events) {}
     Event& Push();
-    // All from the oldest, but for those before one that is older than `since`.
+    // Returns the events after the last one that is older than `since`, oldest first.
     std::vector<const Event*> From(Micros since) const;
 
     std::size_t capacity;
     std::vector<Event> events;
-    std::size_t next = 0;  // the oldest, once there are so many
+    std::size_t next = 0;  // the oldest event, once the ring is full
   };
   std::string Line(const Event& event, const Scope& scope) const;
 
--- a/src/lab/witness/null_observer.h
+++ b/src/lab/witness/null_observer.h
@@ -1,5 +1,5 @@
-// An observer that ignores every event: the base of observers that need only a few events, and the observer of
-// a simulated node that nobody observes.
+// An observer that ignores every event: the base of observers that need only a few events, and the observer
+// of a simulated node that nobody observes.
 #ifndef BURLFALL_LAB_WITNESS_NULL_OBSERVER_H_
 #define BURLFALL_LAB_WITNESS_NULL_OBSERVER_H_
 
--- a/src/lab/witness/observer_list.h
+++ b/src/lab/witness/observer_list.h
@@ -27,27 +27,35 @@
   void HandshakeAt(int node, int balancer, Micros at) override {
     Notify(&Observer::HandshakeAt, node, balancer, at);
   }
-  void NodeChanged(int node, NodeChange change, Micros at, const std::vector<double>& work_by_balancer) override {
+  void NodeChanged(int node, NodeChange change, Micros at,
+                   const std::vector<double>& work_by_balancer) override {
     Notify(&Observer::NodeChanged, node, change, at, work_by_balancer);
   }
-  void UnexpectedRequest(int node, int balancer, Micros at) override { Notify(&Observer::UnexpectedRequest, node, balancer, at); }
+  void UnexpectedRequest(int node, int balancer, Micros at) override {
+    Notify(&Observer::UnexpectedRequest, node, balancer, at);
+  }
   void Listed(int node, meadowslip::BackendState state, Micros started_at, Micros at) override {
     Notify(&Observer::Listed, node, state, started_at, at);
   }
-  void NodeStateSent(int balancer, int node, meadowslip::BackendState state, Micros started_at, Micros at) override {
+  void NodeStateSent(int balancer, int node, meadowslip::BackendState state, Micros started_at,
+                     Micros at) override {
     Notify(&Observer::NodeStateSent, balancer, node, state, started_at, at);
   }
   void ListRequested(int balancer, Micros at, bool watching) override {
     Notify(&Observer::ListRequested, balancer, at, watching);
   }
-  void ListRequestFailed(int balancer, Micros at) override { Notify(&Observer::ListRequestFailed, balancer, at); }
+  void ListRequestFailed(int balancer, Micros at) override {
+    Notify(&Observer::ListRequestFailed, balancer, at);
+  }
   void ListCall(int balancer, bool watch, Micros at) override {
     Notify(&Observer::ListCall, balancer, watch, at);
   }
   void ListCallEnded(int balancer, bool watch, ListEnd how, Micros queued_for, Micros at) override {
     Notify(&Observer::ListCallEnded, balancer, watch, how, queued_for, at);
   }
-  void BalancerStarting(int balancer, Micros at) override { Notify(&Observer::BalancerStarting, balancer, at); }
+  void BalancerStarting(int balancer, Micros at) override {
+    Notify(&Observer::BalancerStarting, balancer, at);
+  }
   void ManualDrain(int balancer, int node, bool out, Micros at) override {
     Notify(&Observer::ManualDrain, balancer, node, out, at);
   }
