--- a/src/lab/judge/traces.cpp
+++ b/src/lab/judge/traces.cpp
@@ -27,8 +27,8 @@
     "left",
 };
 constexpr const char* kAttemptEndTexts[] = {"answered 200", "answered 500", "turned away, never ran",
-                                            "answered, spoilt", "dropped"};
-constexpr const char* kChangeTexts[] = {"started", "draining", "died", "fell over"};
+                                            "answered, corrupted", "dropped"};
+constexpr const char* kChangeTexts[] = {"started", "draining", "died", "overloaded"};
 constexpr const char* kStateTexts[] = {"gone", "ready", "draining"};
 
 std::string Name(const std::vector<std::string>& names, int number, const char* kind) {
@@ -258,7 +258,7 @@
                     Ms(event.value - from));
       break;
     case EventKind::kWritten:
-      what = "written whole: taken";
+      what = "completely written: taken";
       break;
     case EventKind::kEnded:
       what = Format("%s, status %d", kEndTexts[event.how], event.number);
@@ -284,7 +284,7 @@
       break;
     case EventKind::kLinkEnded:
       who = node;
-      what = Format("attempt %llu: given up by the balancer", attempt);
+      what = Format("attempt %llu: link ended by the balancer", attempt);
       break;
     case EventKind::kNodeChanged:
       who = node;
--- a/tests/lab/compare_test.cpp
+++ b/tests/lab/compare_test.cpp
@@ -1,4 +1,4 @@
-// Comparisons of results: what is a difference, and what is noise.
+// Tests of the comparison of results: significant differences and noise.
 #include "lab/judge/compare.h"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
 
 const FigureChange& First(const Comparison& comparison) { return comparison.experiments.at(0).figures.at(0); }
 
-TEST(Compare, WelchsIntervalByHand) {
+TEST(Compare, WelchsIntervalMatchesAManualCalculation) {
   // Means 0.82 and 0.88, deviations 0.02 each: error 0.016330, 4 degrees of freedom, t 2.77645.
   const Comparison comparison = Compare({Day(0.80), Day(0.82), Day(0.84)}, {Day(0.86), Day(0.88), Day(0.90)});
   const FigureChange& change = First(comparison);
@@ -35,15 +35,15 @@
   EXPECT_EQ(comparison.experiments[0].figures[5].significance, Significance::kSame);
 }
 
-TEST(Compare, NoiseAndSingleRunsAreSaidToBeSo) {
+TEST(Compare, NoiseAndSingleRunsAreReportedAsSuch) {
   EXPECT_EQ(First(Compare({Day(0.80), Day(0.86)}, {Day(0.84), Day(0.88)})).significance, Significance::kNoise);
   EXPECT_EQ(First(Compare({Day(0.80)}, {Day(0.84), Day(0.88)})).significance, Significance::kSingleRun);
   EXPECT_EQ(First(Compare({Day(0.80)}, {Day(0.80)})).significance, Significance::kSame);
   EXPECT_EQ(First(Compare({Day(0.9), Day(0.9)}, {Day(0.8), Day(0.8)})).significance, Significance::kWorse);
 }
 
-// Days differ far more from each other than the two sides do on each.
-TEST(Compare, SeedBySeedWhereBothRanTheSame) {
+// The results of different seeds differ far more than the two sides do for the same seed.
+TEST(Compare, ComparesSeedBySeedIfBothSidesRanTheSameSeeds) {
   const std::vector<Verdict> before = {Day(0.5, 1), Day(0.7, 2), Day(0.9, 3)};
   const std::vector<Verdict> after = {Day(0.93, 3), Day(0.52, 1), Day(0.72, 2)};
   const Comparison comparison = Compare(before, after);
@@ -52,7 +52,7 @@
   EXPECT_EQ(First(Compare(before, {Day(0.93, 3), Day(0.52, 1), Day(0.72, 4)})).significance, Significance::kNoise);
 }
 
-TEST(Compare, LeavesOutLateRunsAndTellsOfBrokenRules) {
+TEST(Compare, ExcludesLateRunsAndReportsViolatedRules) {
   Verdict late = Day(0.1);
   late.lab.too_late = true;
   late.rules = {{"draining", "", 2, {}}};
--- a/tests/lab/fleet_tally_test.cpp
+++ b/tests/lab/fleet_tally_test.cpp
@@ -1,5 +1,4 @@
-// What the balancers together asked, process by process and second by second, and what of the goals was
-// missed.
+// Tests of the load that all balancers together cause, per process and per second, and of the missed goals.
 #include "lab/judge/fleet_tally.h"
 
 #include <gtest/gtest.h>
@@ -21,7 +20,7 @@
   for (int b = 0; b < 3; ++b) tally.BalancerStarting(b, At(0.1));
   tally.ListCall(0, false, At(0.2));
   tally.ListCallEnded(0, false, ListEnd::kListed, 1, At(0.3));
-  tally.ListCall(0, true, At(1.2));  // its watch: it has its list by then
+  tally.ListCall(0, true, At(1.2));  // a watch; it already has its list
   tally.ListCall(1, false, At(1.3));
   tally.ListCallEnded(1, false, ListEnd::kRefused, 1, At(1.4));
   tally.ListCall(1, false, At(4.3));
@@ -39,10 +38,10 @@
   EXPECT_EQ(result.watch_calls, (std::vector<uint64_t>{0, 1, 0, 0, 0, 0, 0}));
   EXPECT_EQ(result.refusals, (std::vector<uint64_t>{0, 1, 0, 0, 0, 0, 0}));
   EXPECT_EQ(result.without_list, (std::vector<uint64_t>{2, 2, 2, 2, 1, 1, 1}));
-  ASSERT_EQ(result.missed.size(), 4u);  // late, one never, a second with two, one without at the end
+  ASSERT_EQ(result.missed.size(), 4u);  // one listed late, one never, two calls in a second, one without a list at the end
 }
 
-TEST(FleetTally, AProcessThatTheScriptEndedWithoutAListIsNotWaitedFor) {
+TEST(FleetTally, AProcessThatTheScriptEndedWithoutAListDoesNotCount) {
   FleetGoals goals;
   goals.listed_within_s = 3;
   FleetTally tally(goals, {"b1"}, kBegin);
--- a/tests/lab/history_test.cpp
+++ b/tests/lab/history_test.cpp
@@ -1,5 +1,5 @@
-// A history is judged as the run itself was; and for each rule there is one that differs from a good one by
-// its breaking alone, and is rejected for it.
+// Tests that checking a history gives the same verdict as checking the run itself. For each rule there is a
+// history that differs from a valid one only by violating this rule, and the check must find the violation.
 #include <algorithm>
 #include <functional>
 #include <nlohmann/json.hpp>
@@ -15,8 +15,8 @@
 using Json = nlohmann::ordered_json;
 using meadowslip::BackendState;
 
-// Four nodes, of which the last is in no list; one attempt at a time; repeats of keyed queries are dropped in
-// one zone alone.
+// Four nodes, of which the last is in no list; one attempt at a time; repeats of keyed queries are dropped only
+// within a zone.
 Facts HistoryFacts() {
   Facts facts = StageFacts();
   facts.nodes.push_back({"n4", 0, 3});
@@ -25,7 +25,8 @@
   return facts;
 }
 
-// The events of a good run, told to whoever listens. Queries go by their trace, attempts by their number.
+// Reports the events of a run without violations to an observer. Queries are identified by their trace, attempts
+// by their number.
 struct Script {
   const Facts& facts;
   Observer& to;
@@ -153,7 +154,7 @@
            {"work_us", 1.0}},
           {{"at", at + 1000}, {"event", "link_ended"}, {"attempt", attempt}}};
 }
-// An attempt goes to another node, and all that is told of it follows.
+// Moves an attempt, and all events of it, to another node.
 void Move(Lines& lines, uint64_t attempt, int node) {
   LineOf(lines, {{"event", "arrived"}, {"attempt", attempt}})["node"] = node;
   for (Json& line : lines) {
@@ -172,7 +173,7 @@
   return rules;
 }
 
-TEST(History, AGoodOneIsJudgedAsTheRunWas) {
+TEST(History, CheckingAHistoryGivesTheVerdictOfTheRun) {
   const Facts facts = HistoryFacts();
   RunChecker judge(facts);
   std::string text;
@@ -215,7 +216,7 @@
        [](Lines& l) {
          LineOf(l, {{"event", "answered"}, {"attempt", 2}})["how"] = "error";
        }},
-      {"sent_again",  // after the window in which nodes drop a repeat
+      {"sent_again",  // after the window within which nodes drop a repeat
        [](Lines& l) {
          for (Json& line : l) {
            const bool of_it = line.value("attempt", 0) == 5 || Holds(line, Ended(3));
@@ -224,7 +225,7 @@
            if (line.contains("first_byte_at")) line["first_byte_at"] = line["at"];
          }
        }},
-      {"sent_again", [](Lines& l) { Move(l, 5, 2); }},  // where its repeat is not dropped
+      {"sent_again", [](Lines& l) { Move(l, 5, 2); }},  // to a zone where the repeat is not dropped
       {"effect_repeated",
        [](Lines& l) {
          Insert(l, {{"event", "arrived"}, {"attempt", 2}},
@@ -244,12 +245,12 @@
          Insert(l, {{"event", "answered"}, {"attempt", 9}}, OneMore(50, 5, 0, 630 * kMs));
        }},
       {"draining", [](Lines& l) { Move(l, 10, 2); }},
-      {"draining",  // gone
+      {"draining",  // the node is gone
        [](Lines& l) {
          Insert(l, Ended(5), {Told(0, "gone", 2000 * kMs)});
          Insert(l, Ended(6), {Told(0, "ready", 3500 * kMs)});
        }},
-      {"draining", [](Lines& l) { Move(l, 11, 1); }},  // out by hand
+      {"draining", [](Lines& l) { Move(l, 11, 1); }},  // drained manually
       {"cold_node",
        [](Lines& l) {
          Insert(l, {{"event", "handshake"}},
@@ -272,7 +273,7 @@
   };
 }
 
-TEST(History, EachRuleHasAHistoryThatBreaksItAlone) {
+TEST(History, EachRuleHasAHistoryThatViolatesOnlyIt) {
   EXPECT_EQ(Broken(TextOf(Good())), std::set<std::string>());
   std::set<std::string> seen;
   for (const Fault& fault : Faults()) {
@@ -284,7 +285,7 @@
   EXPECT_EQ(seen.size(), static_cast<std::size_t>(kRules)) << "a rule without a history that breaks it";
 }
 
-TEST(History, ABrokenRuleIsNamedWithItsTimeAndLine) {
+TEST(History, AViolationIsReportedWithItsTimeAndLine) {
   Lines lines = Good();
   LineOf(lines, {{"event", "answered"}, {"attempt", 2}})["how"] = "error";
   HistoryError bad;
@@ -296,7 +297,7 @@
   EXPECT_EQ(judged->broken[0].finding.trace, Trace(2));
 }
 
-TEST(History, WhatIsNoneIsRefusedWithItsLine) {
+TEST(History, AMalformedHistoryIsRejectedWithItsLine) {
   const auto refused = [](const std::string& text, std::size_t line, const std::string& why) {
     HistoryError bad;
     EXPECT_FALSE(CheckHistory(text, bad)) << why;
--- a/tests/lab/judge_test.cpp
+++ b/tests/lab/judge_test.cpp
@@ -1,4 +1,5 @@
-// What the judge counts: service, latency, the course of a run, its own memory, and the lab's lateness.
+// Tests of what the run checker counts: service, latency, values per second, its own memory, and late sends of
+// the lab.
 #include <chrono>
 #include <random>
 
@@ -9,7 +10,7 @@
 namespace burlfall::lab {
 namespace {
 
-TEST(Service, ByHand) {
+TEST(Service, MatchesAManualCalculation) {
   Facts facts = StageFacts();
   facts.settle = 2 * kSecond;
   Stage stage(facts);
@@ -19,7 +20,7 @@
     double worth;
     bool within_share;
   };
-  // Aim 300 ms. What is due in the first two seconds does not count.
+  // Aim 300 ms. Queries due in the first two seconds do not count.
   for (const Case& c : {Case{1000, 900, kCharge, 0, 100, true}, Case{3200, 100, kCharge, 0, 6, true},
                         Case{3000, 500, kCharge, 0, 2, true}, Case{20'000, 100, kRead, 1, 4, true},
                         Case{21'000, 100, kRead, 1, 3, false}, Case{35'000, 301, kRead, 1, 1, true}}) {
@@ -45,16 +46,16 @@
   EXPECT_EQ(service.worst_class_name, "charge");
   EXPECT_DOUBLE_EQ(service.worst_tenant, 6.0 / 8);  // small: 4 of 5 within its share
   EXPECT_DOUBLE_EQ(verdict.tenants[1].service, 4.0 / 5);
-  EXPECT_DOUBLE_EQ(service.worst_ten_seconds, 0);  // the last query alone, from 26 s on
+  EXPECT_DOUBLE_EQ(service.worst_ten_seconds, 0);  // from 26 s on, with only the last query
   EXPECT_DOUBLE_EQ(service.worst_ten_seconds_at_s, 26);
   EXPECT_DOUBLE_EQ(service.combined, 0.45 * 13 / 16 + 0.15 * 0 + 0.3 * 6 / 8 + 0.1 * 6 / 8);
   EXPECT_EQ(verdict.outcomes.asked, 5u);
   EXPECT_EQ(verdict.outcomes.late, 2u);
   EXPECT_DOUBLE_EQ(verdict.effort.late_fail_share, 3.0 / 16);
-  EXPECT_EQ(verdict.series.late[1], 1u);  // the series has the settle time too
+  EXPECT_EQ(verdict.series.late[1], 1u);  // the series includes the settle time
 }
 
-TEST(Service, WorthIsByWorkAndLessBeyondAShare) {
+TEST(Service, WorthIsProportionalToWorkAndReducedBeyondTheShare) {
   meadowslip::Settings settings = StageFacts().settings;
   settings.classes[kRead].worth = 3;
   settings.over_share_worth = 0.1;
@@ -83,8 +84,8 @@
   EXPECT_DOUBLE_EQ(verdict.latency.most_ms, 310);  // from when the first try was due
 }
 
-// It has been counted as refused, and stays so; the rules hold for it all the same.
-TEST(Service, ARetryAfterItsQueryIsForgottenCountsForTheRulesAlone) {
+// The query was already counted as refused and stays so; the rules still apply to the retry.
+TEST(Service, ARetryAfterItsQueryIsForgottenCountsOnlyForTheRules) {
   Stage stage;
   TraceId first = stage.Ask(kRead, 0);
   stage.End(first, 10, End::kRefused, 503);
@@ -96,17 +97,17 @@
   EXPECT_EQ(stage.judge.Violations(Rule::kAnswerLost), 1u);
 }
 
-TEST(Effort, WasteCopiesCrossingsAndWhatWasHeldBack) {
+TEST(Effort, CountsWasteCopiesCrossZoneAttemptsAndHeldBackTries) {
   Stage stage;
   TraceId trace = stage.Ask(kRead, 0);
-  uint64_t first = stage.Send(trace, 2, 1);  // of another zone
+  uint64_t first = stage.Send(trace, 2, 1);  // a node of another zone
   stage.Run(first, 2);
   uint64_t second = stage.Send(trace, 0, 50);
   stage.Run(second, 51);
   stage.Answer(second, 70);
   stage.Serve(trace, second, 71);
   stage.Cancel(first, 72);
-  stage.End(stage.Ask(kRead, 100), 601, End::kRefused, 503);  // over half of its time, no attempt
+  stage.End(stage.Ask(kRead, 100), 601, End::kRefused, 503);  // after more than half of its time, without an attempt
   stage.End(stage.Ask(kRead, 100), 599, End::kRefused, 503);
   trace = stage.Ask(kRead, 100);
   stage.Send(trace, 0, 101);
@@ -122,7 +123,7 @@
   EXPECT_DOUBLE_EQ(effort.work_wasted_share, 1.0 / 3);
 }
 
-TEST(Outcomes, OfQueriesInAllAndBySecondAndOfAttemptsAtTheirNode) {
+TEST(Outcomes, AreCountedInTotalPerSecondAndPerNode) {
   Stage stage;
   stage.Good(kRead, 0, 40);
   stage.End(stage.Ask(kRead, 0), 500, End::kRefused, 503);
@@ -150,7 +151,7 @@
   EXPECT_EQ(node.answered + 2 * node.errors + 4 * node.turned_away + 8 * node.dropped, 15u);
 }
 
-TEST(Series, AttemptsAndMostInFlightByNode) {
+TEST(Series, AttemptsAndMaxInFlightByNode) {
   Stage stage;
   TraceId trace = stage.Ask(kRead, 100);
   uint64_t first = stage.Send(trace, 0, 500);
@@ -203,10 +204,10 @@
   EXPECT_EQ(facts.faults.at(0).name, TraitsOf(FaultKind::kBalancersKilled).word);
   EXPECT_EQ(facts.settle, 1500 * kMs);
   EXPECT_EQ(facts.check_after,
-            5080 * kMs);  // a client may come back after all of Retry-After and its own wait
+            5080 * kMs);  // a client may retry after the longest Retry-After plus its own wait
 }
 
-TEST(Lab, SaysNothingWhereItWasLateItself) {
+TEST(Lab, GivesNoVerdictWhenTheLabSentTooLate) {
   for (int late : {1, 2}) {
     Stage stage;
     for (int i = 0; i < 100; ++i) stage.judge.SentLate(i < late ? 6 * kMs : 5 * kMs);
@@ -218,7 +219,7 @@
   }
 }
 
-TEST(Findings, AreBoundedAndCounted) {
+TEST(Findings, AreLimitedInNumberButAllCounted) {
   Stage stage;
   for (int i = 0; i < 30; ++i) stage.End(stage.Ask(kRead, i), i + 5, End::kBroken);
   const RuleResult& lost = stage.Finish().rules[0];
@@ -226,7 +227,7 @@
   EXPECT_EQ(lost.findings.size(), 20u);
 }
 
-// As a run at 1,000 queries a second would go, of which each hundredth takes a second.
+// Simulates 1,000 queries a second, of which every hundredth takes a second.
 TEST(Memory, IsBoundedOverAMillionQueries) {
   Facts facts = StageFacts();
   facts.length = 0;
@@ -241,7 +242,7 @@
     most = std::max(most, stage.judge.records());
   }
   const std::chrono::duration<double, std::micro> took = std::chrono::steady_clock::now() - began;
-  // Open until the client's time is over, and looked at two seconds later: 3.07 s of queries and attempts.
+  // A query is open until its limit and is reviewed two seconds later: 3.07 s of queries and attempts.
   EXPECT_LE(most, 2u * 3100);
   RecordProperty("nanoseconds_a_query", static_cast<int>(1000 * took.count() / kQueries));
   EXPECT_TRUE(stage.Finish(1'010'000).rules_kept);
@@ -249,7 +250,7 @@
   EXPECT_EQ(stage.judge.records(), 0u);
 }
 
-// An attempt that never ends does not hold its query's record for ever.
+// An attempt that never ends must not keep the record of its query forever.
 TEST(Memory, ForgetsAttemptsThatNeverEnd) {
   Stage stage;
   TraceId trace = stage.Ask(kRead, 0);
@@ -261,7 +262,7 @@
   EXPECT_EQ(stage.judge.records(), 2u);
 }
 
-TEST(Traces, TellTheStoryOfAQueryAndOfItsPeers) {
+TEST(Traces, TimelineHasTheEventsOfAQueryAndItsPeers) {
   Facts facts = StageFacts();
   facts.trace_events = 8;
   TraceStore store(facts);
--- a/tests/lab/result_test.cpp
+++ b/tests/lab/result_test.cpp
@@ -1,4 +1,4 @@
-// result.json: what is written is read again, and the page about it is true.
+// Tests that result.json is read back as written, and that the page about it is up to date.
 #include "lab/judge/result.h"
 
 #include <cstdlib>
@@ -19,7 +19,7 @@
   return stage.Finish(60'000);
 }
 
-TEST(Result, IsReadAsItWasWritten) {
+TEST(Result, IsReadBackAsWritten) {
   const nlohmann::ordered_json json = ToJson(Sample());
   Verdict read;
   std::string error;
@@ -30,7 +30,7 @@
   EXPECT_EQ(json["verdict"], "broken");
 }
 
-TEST(Result, WhatCannotBeReadIsNamedByItsPath) {
+TEST(Result, AnUnreadableFieldIsReportedByItsPath) {
   const nlohmann::ordered_json good = ToJson(Sample());
   Verdict read;
   std::string error;
@@ -56,8 +56,8 @@
   EXPECT_TRUE(FromJson(bad, read, error));
 }
 
-// With WRITE_DOCS set the test writes the page.
-TEST(Result, ThePageIsMadeFromTheList) {
+// If WRITE_DOCS is set, the test writes the page.
+TEST(Result, ThePageMatchesTheListOfFields) {
   const std::string path = DOCS "/lab-result.md";
   if (std::getenv("WRITE_DOCS") != nullptr) std::ofstream(path) << ResultReference();
   std::ifstream file(path);
--- a/tests/lab/rules_test.cpp
+++ b/tests/lab/rules_test.cpp
@@ -1,11 +1,11 @@
-// Each rule, broken by a scripted balancer and only just kept by it: the judge names the first and the trace,
-// and lets the second pass.
+// Each rule is violated, and just barely kept, by a scripted balancer: the run checker must report the violation
+// with its trace and accept the other.
 #include "stage.h"
 
 namespace burlfall::lab {
 namespace {
 
-TEST(Kept, AGoodQueryOfEachClassBreaksNothing) {
+TEST(Kept, AnOrdinaryQueryOfEachClassViolatesNothing) {
   Stage stage;
   for (int cls : {kRead, kRelease, kCharge}) stage.Good(cls, 100 * cls);
   EXPECT_EQ(stage.Found(), kNothing);
@@ -14,8 +14,8 @@
   EXPECT_EQ(stage.verdict.ends.served, 3u);
 }
 
-// Whichever end tells first.
-TEST(Kept, AnAnswerSeenByItsClientBeforeItsNodeTellsOfIt) {
+// The order in which the two ends report does not matter.
+TEST(Kept, AnAnswerReportedByTheClientBeforeTheNode) {
   Stage stage;
   TraceId trace = stage.Ask(kRelease, 0);
   uint64_t attempt = stage.Send(trace, 0, 1);
@@ -25,8 +25,8 @@
   EXPECT_EQ(stage.Found(), kNothing);
 }
 
-// The look at its query was first meant for earlier, when its first try would have been over for long enough.
-TEST(Kept, ARetryWhoseNodeTellsLate) {
+// The review of the query was first scheduled for earlier, by the end of its first try.
+TEST(Kept, ARetryReportedLateByItsNode) {
   Stage stage;
   TraceId first = stage.Ask(kRelease, 0);
   stage.End(first, 10, End::kRefused, 503);
@@ -52,7 +52,7 @@
   EXPECT_NE(finding.story[2].find("+1.000 ms  n1           attempt 1 arrived"), std::string::npos);
 }
 
-TEST(AnswerLost, ButNotOneThatWasNeverTaken) {
+TEST(AnswerLost, NotForATryThatWasNeverTaken) {
   Stage stage;
   Try one;
   one.trace = one.first = 7;
@@ -64,8 +64,8 @@
   EXPECT_EQ(stage.verdict.ends.unreached, 1u);
 }
 
-TEST(AnswerLost, NoneUntilTheClientsTimeIsOver) {
-  for (double ms : {1069.0, 1070.0}) {  // 20 ms of slack and 50 ms on sockets
+TEST(AnswerLost, NoAnswerUntilTheLimit) {
+  for (double ms : {1069.0, 1070.0}) {  // 20 ms of answer slack and 50 ms of socket slack
     Stage stage;
     TraceId trace = stage.Ask(kRead, 0);
     stage.End(trace, ms, End::kLeft);
@@ -74,23 +74,23 @@
   }
 }
 
-TEST(AnswerLost, NoEndIsToldAtAll) {
+TEST(AnswerLost, NoEndIsReported) {
   Stage stage;
   TraceId trace = stage.Ask(kRead, 0);
-  stage.Good(kRead, 5000);  // time passes
+  stage.Good(kRead, 5000);  // lets time advance
   EXPECT_EQ(stage.judge.Violations(Rule::kAnswerLost), 1u);
   EXPECT_EQ(stage.Found(), Stage::Only("answer_lost", trace));
   EXPECT_EQ(stage.verdict.ends.untold, 1u);
 }
 
-TEST(AnswerLost, ButNotIfTheRunEndsBeforeItsTimeIsOver) {
+TEST(AnswerLost, NotIfTheRunEndsBeforeTheLimit) {
   Stage stage;
   stage.Ask(kRead, 0);
   EXPECT_TRUE(stage.Finish(900).rules_kept);
 }
 
-TEST(AnswerLost, NotByABalancerThatIsKilledWithItInHand) {
-  // Its client may see the link broken before the lab has seen the process end.
+TEST(AnswerLost, NotIfTheBalancerIsKilledBeforeItAnswers) {
+  // The client may see the link end before the lab sees the process end.
   for (End how : {End::kLost, End::kBroken}) {
     Stage stage;
     TraceId trace = stage.Ask(kRelease, 0);
@@ -104,7 +104,7 @@
   }
 }
 
-TEST(AnswerLost, ByABalancerThatWasKilledBeforeOrAfter) {
+TEST(AnswerLost, IfTheBalancerWasKilledBeforeOrAfter) {
   for (double killed_ms : {-50.0, 400.0}) {
     Stage stage;
     stage.judge.FaultBegan(0, stage.At(killed_ms));
@@ -115,8 +115,8 @@
   }
 }
 
-// A try that crossed the closing of a kept link goes out once more, here to a balancer that is killed then.
-TEST(AnswerLost, TheBalancerThatTookItLastIsTheOneThatCounts) {
+// A try is sent once more if its keep-alive link was closed meanwhile, here to a balancer that is then killed.
+TEST(AnswerLost, OnlyTheLastBalancerThatTookTheTryCounts) {
   Stage stage;
   TraceId trace = stage.Ask(kRead, 0, 0, 1);
   Try again;
@@ -143,7 +143,7 @@
   EXPECT_EQ(stage.verdict.balancers[0].planned_ends, 1);
 }
 
-TEST(AnswerLost, NotWhereANodeCutsShortWhatWasBeingPassedOn) {
+TEST(AnswerLost, NotIfANodeTruncatesTheForwardedAnswer) {
   for (AttemptEnd how : {AttemptEnd::kDropped, AttemptEnd::kAnswered}) {
     Stage stage;
     TraceId trace = stage.Ask(kRead, 0);
@@ -154,7 +154,7 @@
   }
 }
 
-TEST(AnswerLate, LaterThanTheSlackAndNoSooner) {
+TEST(AnswerLate, OnlyAfterTheSlack) {
   for (double ms : {1070.0, 1071.0}) {
     Stage stage;
     TraceId trace = stage.Ask(kRead, 0);
@@ -163,7 +163,7 @@
   }
 }
 
-TEST(AnswerForeign, EachKindOfMarkThatIsNotTheTrysOwn) {
+TEST(AnswerForeign, EachKindOfMarkOfAnotherTry) {
   enum Kind { kNoMark, kOtherQuery, kOtherTry, kUnknown, kOtherNode, kError };
   for (Kind kind : {kNoMark, kOtherQuery, kOtherTry, kUnknown, kOtherNode, kError}) {
     Stage stage;
@@ -187,7 +187,7 @@
   }
 }
 
-TEST(AnsweredTwice, OnlyASecondWholeAnswerIsOne) {
+TEST(AnsweredTwice, OnlyByASecondCompleteAnswer) {
   for (End how : {End::kFailed, End::kLeft}) {
     Stage stage;
     TraceId trace = stage.Good(kRead, 0);
@@ -197,7 +197,7 @@
   }
 }
 
-TEST(SentAfterEnd, LaterThanTheSlackAndNoSooner) {
+TEST(SentAfterEnd, OnlyAfterTheSlack) {
   for (double ms : {70.0, 71.0}) {
     Stage stage;
     TraceId trace = stage.Good(kRead, 0);
@@ -212,13 +212,13 @@
   TraceId trace = stage.Ask(kRead, 0);
   uint64_t attempt = stage.Send(trace, 0, 1);
   stage.End(trace, 20, End::kLeft);
-  stage.Answer(attempt, 40);  // an answer that nobody waits for any more harms nobody
+  stage.Answer(attempt, 40);  // an answer that no client waits for is no violation
   stage.Send(trace, 1, 80);
   EXPECT_EQ(stage.Found(), Stage::Only("sent_after_end", trace));
   EXPECT_EQ(stage.verdict.ends.left_unanswered, 0u);
 }
 
-TEST(SentAfterEnd, ForAQueryThatIsLongOverOrNeverWas) {
+TEST(SentAfterEnd, ForAQueryThatEndedLongAgoOrNeverExisted) {
   Stage stage;
   stage.Good(kRead, 0);
   stage.Send(0xabc, 1, 20'000);
@@ -238,8 +238,8 @@
   }
 }
 
-TEST(SentAgain, AnUnsafeQueryWhoseProofCameOnlyAfterIt) {
-  for (double proof_ms : {14.0, 20.0}) {  // 5 ms are allowed for events of different ends
+TEST(SentAgain, AnUnsafeQueryProvenNotRunOnlyAfterwards) {
+  for (double proof_ms : {14.0, 20.0}) {  // events of different ends may be out of order by 5 ms
     Stage stage;
     TraceId trace = stage.Ask(kRelease, 0);
     uint64_t first = stage.Send(trace, 0, 1);
@@ -292,7 +292,7 @@
                                                      Stage::Line("sent_again", trace)}));
 }
 
-TEST(EffectRepeated, OverTwoTriesWhereTheFirstWasSaidToBeHarmless) {
+TEST(EffectRepeated, InTwoTriesIfTheFirstWasRefused) {
   Stage stage;
   TraceId first = stage.Ask(kRelease, 0);
   stage.Run(stage.Send(first, 0, 1), 2);
@@ -306,7 +306,7 @@
                                                      Stage::Line("refusal_untrue", first)}));
 }
 
-TEST(EffectRepeated, NotWhereTheClientTriedAgainOfItsOwn) {
+TEST(EffectRepeated, NotIfTheClientRetriedOnItsOwn) {
   Stage stage;
   TraceId first = stage.Ask(kRelease, 0);
   uint64_t attempt = stage.Send(first, 0, 1);
@@ -321,8 +321,8 @@
   EXPECT_EQ(stage.Found(), kNothing);
 }
 
-// The nodes should have dropped the second: that is no fault of the balancer.
-TEST(EffectRepeated, AKeyedOneWithinItsWindowIsTheSitesFault) {
+// The nodes should have dropped the second attempt, so it is not the balancer's fault.
+TEST(EffectRepeated, NotForAKeyedQueryThatNodesShouldHaveDropped) {
   Stage stage;
   TraceId trace = stage.Ask(kCharge, 0);
   stage.Run(stage.Send(trace, 0, 1), 2);
@@ -357,8 +357,8 @@
   }
 }
 
-TEST(Copies, WhereNoneAreAllowed) {
-  for (double cancelled_ms : {149.0, 151.0}) {  // 50 ms of slack after the second is sent
+TEST(Copies, IfNoneAreAllowed) {
+  for (double cancelled_ms : {149.0, 151.0}) {  // 50 ms of socket slack after the second is sent
     Facts facts = StageFacts();
     facts.settings.second_copies = false;
     Stage stage(facts);
@@ -373,8 +373,8 @@
   }
 }
 
-// What the balancer closed, the node behind the cut has not seen close.
-TEST(Copies, NotWhereTheNodeOfTheFirstWasCutOff) {
+// A node behind the cut has not seen the balancer close the link.
+TEST(Copies, NotIfTheNodeOfTheFirstWasCutOff) {
   for (int node : {2, 1}) {
     Facts facts = StageFacts();
     facts.settings.second_copies = false;
@@ -414,20 +414,20 @@
   }
 }
 
-TEST(Draining, SentLaterThanTheGrace) {
+TEST(Draining, SentAfterTheGracePeriod) {
   for (auto state : {meadowslip::BackendState::kDraining, meadowslip::BackendState::kGone}) {
-    for (double ms : {899.0, 901.0}) {  // told at 100, and once more, which starts no new grace
+    for (double ms : {899.0, 901.0}) {  // notified at 100; the repeated notification starts no new grace period
       Stage stage;
       stage.judge.NodeStateSent(0, 0, state, 0, stage.At(100));
       stage.judge.NodeStateSent(0, 0, state, 0, stage.At(500));
-      stage.Good(kRead, 2000, 20, 1);  // the other balancer has not been told
+      stage.Good(kRead, 2000, 20, 1);  // the other balancer has not been notified
       TraceId trace = stage.Good(kRead, ms);
       EXPECT_EQ(stage.Found(), ms == 899 ? kNothing : Stage::Only("draining", trace));
     }
   }
 }
 
-TEST(Draining, NotOnceTheNodeIsBackOrTheBalancerIsNew) {
+TEST(Draining, NotAfterTheNodeReturnsOrTheBalancerRestarts) {
   Stage stage;
   stage.judge.NodeStateSent(0, 0, meadowslip::BackendState::kDraining, 0, stage.At(100));
   stage.judge.NodeStateSent(0, 0, meadowslip::BackendState::kReady, stage.At(1500), stage.At(2000));
@@ -438,13 +438,13 @@
   EXPECT_EQ(stage.Found(), kNothing);
 }
 
-TEST(Draining, DeemedToldWhereItHasNotAskedForLong) {
+TEST(Draining, AssumedKnownIfTheBalancerHasNotRequestedTheList) {
   struct Case {
     bool watching, failed;
     double sent_ms;
     bool broken;
   };
-  // Listed at 500, asked at 1,000: deemed told at 11,000, after a call that failed at 41,000.
+  // Listed at 500, requested at 1,000: assumed known at 11,000; if the call failed, at 41,000.
   for (const Case& c : {Case{false, false, 11'798, false}, Case{false, false, 11'800, true},
                         Case{true, false, 39'000, false}, Case{false, true, 39'000, false}}) {
     Stage stage;
@@ -460,8 +460,9 @@
   }
 }
 
-// Listed at 500, and the balancer is there since 0, or begins at 5,000: what is pushed it has from then on.
-TEST(Draining, WhatIsPushedIsToldWhetherItIsAskedForOrNot) {
+// Listed at 500; the balancer runs since 0, or starts at 5,000. It counts as knowing pushed lists from the later
+// of the two on.
+TEST(Draining, PushedListsAreKnownWithoutARequest) {
   for (const double up_ms : {0.0, 5000.0}) {
     for (const bool late : {false, true}) {
       Facts facts = StageFacts();
@@ -475,7 +476,7 @@
   }
 }
 
-TEST(Draining, DeemedToldThatTheNodeIsBack) {
+TEST(Draining, AssumedKnownThatTheNodeIsBack) {
   Stage stage;
   stage.judge.BalancerUp(0, stage.At(0));
   stage.judge.NodeStateSent(0, 0, meadowslip::BackendState::kDraining, 0, stage.At(100));
@@ -486,7 +487,7 @@
   EXPECT_EQ(stage.Found(), kNothing);
 }
 
-TEST(Draining, WhereOnlyAListedDrainBindsNotOneThatIsGone) {
+TEST(Draining, AGoneNodeDoesNotCountIfOnlyListedDrainsBind) {
   Facts facts = StageFacts();
   facts.settings.gone_binds = false;
   Stage stage(facts);
@@ -495,10 +496,10 @@
   EXPECT_EQ(stage.Found(), kNothing);
 }
 
-TEST(ColdNode, PushedOverByThoseWhoKnew) {
+TEST(ColdNode, OverloadedByBalancersThatKnew) {
   struct Case {
     std::vector<double> pushed_by;
-    double started_ms, told_ms;  // what b1 is told of it, and when; it started at 5,000
+    double started_ms, told_ms;  // the start time that b1 receives, and when; the node started at 5,000
     bool broken;
   };
   for (const Case& c : {Case{{2, 1}, 5000, 6000, true}, Case{{1.9, 1.1}, 5000, 6000, false},
@@ -514,7 +515,7 @@
   }
 }
 
-TEST(ColdNode, PushedOverByOneWhoIsDeemedToKnow) {
+TEST(ColdNode, OverloadedByABalancerAssumedToKnow) {
   for (double fell_ms : {14'000.0, 16'000.0}) {
     Stage stage;
     stage.judge.BalancerUp(0, stage.At(0));
@@ -525,12 +526,12 @@
   }
 }
 
-TEST(Crashed, ABalancerThatNobodyEnded) {
+TEST(Crashed, ABalancerThatNeitherStoppedNorWasKilled) {
   Stage stage;
-  stage.judge.FaultBegan(0, stage.At(1000));  // kills the first
+  stage.judge.FaultBegan(0, stage.At(1000));  // kills the first balancer
   stage.judge.BalancerDown(0, stage.At(1000), false);
   stage.judge.FaultEnded(0, stage.At(4000));
-  stage.judge.FaultBegan(1, stage.At(9000));  // cuts the zone of that number off
+  stage.judge.FaultBegan(1, stage.At(9000));  // cuts off the zone
   stage.judge.BalancerDown(1, stage.At(9000), false);
   const Verdict& verdict = stage.Finish();
   EXPECT_EQ(stage.judge.Violations(Rule::kCrashed), 1u);
@@ -538,9 +539,9 @@
   EXPECT_EQ(verdict.balancers[1].crashes, 1);
 }
 
-// A process that the script stopped answers nothing meanwhile, which is not its doing; one beside it is held
-// to its time, and so is the same one before and after.
-TEST(AnswerLost, ABalancerThatStoodStillIsExcusedForThatTimeAlone) {
+// A paused process does not answer, which is not its fault. The time limits still apply to another balancer, and
+// to the same one before and after the pause.
+TEST(AnswerLost, APausedBalancerIsExcusedOnlyForThePause) {
   struct Case {
     double asked_ms;
     int balancer;
--- a/tests/lab/sample_verdict.h
+++ b/tests/lab/sample_verdict.h
@@ -1,4 +1,4 @@
-// Made-up results that look like a run's, for reports and tables. No run ever came to them.
+// Randomly generated results that resemble those of a run, for tests of reports and tables.
 #ifndef BURLFALL_TESTS_LAB_SAMPLE_VERDICT_H_
 #define BURLFALL_TESTS_LAB_SAMPLE_VERDICT_H_
 
@@ -19,7 +19,7 @@
   int seconds = 60;
   int nodes = 12;
   double rate = 250;
-  double bad = 1;  // how much goes wrong
+  double bad = 1;  // scales all failures
   bool many_faults = false;
 };
 
@@ -49,7 +49,7 @@
   }
 
  private:
-  double Draw() {  // evenly in [0, 1)
+  double Draw() {  // uniform in [0, 1)
     state_ = state_ * 6364136223846793005u + 1442695040888963407u;
     return static_cast<double>(state_ >> 11) / 9007199254740992.0;
   }
@@ -95,7 +95,7 @@
     v.rules_kept = false;
   }
 
-  // How bad a second is: 0 nothing, 1 everything.
+  // Severity of failures within a second: 0 none, 1 everything fails.
   double Trouble(const Verdict& v, int s) const {
     double trouble = 0;
     for (const FaultResult& f : v.faults) trouble += s >= f.began_s && s < f.ended_s ? 0.12 : 0;
