--- a/tests/lab/compare_test.cpp
+++ b/tests/lab/compare_test.cpp
@@ -8,7 +8,7 @@
 namespace burlfall::lab {
 namespace {
 
-Verdict Day(double service, uint64_t seed = 0, const std::string& experiment = "calm") {
+Verdict SampleRun(double service, uint64_t seed = 0, const std::string& experiment = "calm") {
   Verdict run;
   run.experiment = experiment;
   run.seed = seed;
@@ -23,7 +23,8 @@
 
 TEST(Compare, WelchsIntervalMatchesAManualCalculation) {
   // Means 0.82 and 0.88, deviations 0.02 each: error 0.016330, 4 degrees of freedom, t 2.77645.
-  const Comparison comparison = Compare({Day(0.80), Day(0.82), Day(0.84)}, {Day(0.86), Day(0.88), Day(0.90)});
+  const Comparison comparison = Compare({SampleRun(0.80), SampleRun(0.82), SampleRun(0.84)},
+                                        {SampleRun(0.86), SampleRun(0.88), SampleRun(0.90)});
   const FigureChange& change = First(comparison);
   EXPECT_EQ(change.figure, "service");
   EXPECT_NEAR(change.before.deviation, 0.02, 1e-12);
@@ -36,28 +37,33 @@
 }
 
 TEST(Compare, NoiseAndSingleRunsAreReportedAsSuch) {
-  EXPECT_EQ(First(Compare({Day(0.80), Day(0.86)}, {Day(0.84), Day(0.88)})).significance, Significance::kNoise);
-  EXPECT_EQ(First(Compare({Day(0.80)}, {Day(0.84), Day(0.88)})).significance, Significance::kSingleRun);
-  EXPECT_EQ(First(Compare({Day(0.80)}, {Day(0.80)})).significance, Significance::kSame);
-  EXPECT_EQ(First(Compare({Day(0.9), Day(0.9)}, {Day(0.8), Day(0.8)})).significance, Significance::kWorse);
+  EXPECT_EQ(
+      First(Compare({SampleRun(0.80), SampleRun(0.86)}, {SampleRun(0.84), SampleRun(0.88)})).significance,
+      Significance::kNoise);
+  EXPECT_EQ(First(Compare({SampleRun(0.80)}, {SampleRun(0.84), SampleRun(0.88)})).significance,
+            Significance::kSingleRun);
+  EXPECT_EQ(First(Compare({SampleRun(0.80)}, {SampleRun(0.80)})).significance, Significance::kSame);
+  EXPECT_EQ(First(Compare({SampleRun(0.9), SampleRun(0.9)}, {SampleRun(0.8), SampleRun(0.8)})).significance,
+            Significance::kWorse);
 }
 
 // The results of different seeds differ far more than the two sides do for the same seed.
 TEST(Compare, ComparesSeedBySeedIfBothSidesRanTheSameSeeds) {
-  const std::vector<Verdict> before = {Day(0.5, 1), Day(0.7, 2), Day(0.9, 3)};
-  const std::vector<Verdict> after = {Day(0.93, 3), Day(0.52, 1), Day(0.72, 2)};
+  const std::vector<Verdict> before = {SampleRun(0.5, 1), SampleRun(0.7, 2), SampleRun(0.9, 3)};
+  const std::vector<Verdict> after = {SampleRun(0.93, 3), SampleRun(0.52, 1), SampleRun(0.72, 2)};
   const Comparison comparison = Compare(before, after);
   EXPECT_TRUE(comparison.experiments[0].by_seed);
   EXPECT_EQ(First(comparison).significance, Significance::kBetter);
-  EXPECT_EQ(First(Compare(before, {Day(0.93, 3), Day(0.52, 1), Day(0.72, 4)})).significance, Significance::kNoise);
+  EXPECT_EQ(First(Compare(before, {SampleRun(0.93, 3), SampleRun(0.52, 1), SampleRun(0.72, 4)})).significance,
+            Significance::kNoise);
 }
 
 TEST(Compare, ExcludesLateRunsAndReportsViolatedRules) {
-  Verdict late = Day(0.1);
+  Verdict late = SampleRun(0.1);
   late.lab.too_late = true;
   late.rules = {{"draining", "", 2, {}}};
-  const Comparison comparison =
-      Compare({Day(0.9), Day(0.8), Day(0.1, 0, "old")}, {Day(0.9), Day(0.8), late, Day(0.1, 0, "new")});
+  const Comparison comparison = Compare({SampleRun(0.9), SampleRun(0.8), SampleRun(0.1, 0, "old")},
+                                        {SampleRun(0.9), SampleRun(0.8), late, SampleRun(0.1, 0, "new")});
   const ExperimentChange& change = comparison.experiments.at(0);
   EXPECT_EQ(change.after_runs, 2);
   EXPECT_EQ(change.after_too_late, 1);
--- a/tests/lab/fleet_tally_test.cpp
+++ b/tests/lab/fleet_tally_test.cpp
@@ -38,7 +38,8 @@
   EXPECT_EQ(result.watch_calls, (std::vector<uint64_t>{0, 1, 0, 0, 0, 0, 0}));
   EXPECT_EQ(result.refusals, (std::vector<uint64_t>{0, 1, 0, 0, 0, 0, 0}));
   EXPECT_EQ(result.without_list, (std::vector<uint64_t>{2, 2, 2, 2, 1, 1, 1}));
-  ASSERT_EQ(result.missed.size(), 4u);  // one listed late, one never, two calls in a second, one without a list at the end
+  ASSERT_EQ(result.missed.size(),
+            4u);  // one listed late, one never, two calls in a second, one without a list at the end
 }
 
 TEST(FleetTally, AProcessThatTheScriptEndedWithoutAListDoesNotCount) {
--- a/tests/lab/history_test.cpp
+++ b/tests/lab/history_test.cpp
@@ -15,8 +15,8 @@
 using Json = nlohmann::ordered_json;
 using meadowslip::BackendState;
 
-// Four nodes, of which the last is in no list; one attempt at a time; repeats of keyed queries are dropped only
-// within a zone.
+// Four nodes, of which the last is in no list; one attempt at a time; repeats of keyed queries are dropped
+// only within a zone.
 Facts HistoryFacts() {
   Facts facts = StageFacts();
   facts.nodes.push_back({"n4", 0, 3});
@@ -25,8 +25,8 @@
   return facts;
 }
 
-// Reports the events of a run without violations to an observer. Queries are identified by their trace, attempts
-// by their number.
+// Reports the events of a run without violations to an observer. Queries are identified by their trace,
+// attempts by their number.
 struct Script {
   const Facts& facts;
   Observer& to;
@@ -104,7 +104,7 @@
 
 using Lines = std::vector<Json>;
 
-Lines Good() {
+Lines ValidHistory() {
   const Facts facts = HistoryFacts();
   Lines lines;
   HistoryWriter writer(facts, [&](std::string_view line) { lines.push_back(Json::parse(line)); });
@@ -121,28 +121,29 @@
   return text;
 }
 
-bool Holds(const Json& line, const Json& wanted) {
+bool Contains(const Json& line, const Json& wanted) {
   return std::all_of(wanted.items().begin(), wanted.items().end(), [&](const auto& one) {
     return line.contains(one.key()) && line[one.key()] == one.value();
   });
 }
-std::size_t Place(const Lines& lines, const Json& wanted) {
-  const auto it = std::find_if(lines.begin(), lines.end(), [&](auto& line) { return Holds(line, wanted); });
+std::size_t IndexOf(const Lines& lines, const Json& wanted) {
+  const auto it =
+      std::find_if(lines.begin(), lines.end(), [&](auto& line) { return Contains(line, wanted); });
   EXPECT_NE(it, lines.end()) << wanted;
   return static_cast<std::size_t>(it - lines.begin());
 }
-Json& LineOf(Lines& lines, const Json& wanted) { return lines[Place(lines, wanted)]; }
+Json& LineOf(Lines& lines, const Json& wanted) { return lines[IndexOf(lines, wanted)]; }
 void Insert(Lines& lines, const Json& after, const std::vector<Json>& more) {
-  lines.insert(lines.begin() + static_cast<std::ptrdiff_t>(Place(lines, after)) + 1, more.begin(),
+  lines.insert(lines.begin() + static_cast<std::ptrdiff_t>(IndexOf(lines, after)) + 1, more.begin(),
                more.end());
 }
 std::string Trace(TraceId trace) { return HexOf(trace); }
-Json Ended(TraceId trace) { return {{"event", "ended"}, {"trace", Trace(trace)}}; }
-Json Told(int node, const char* state, int64_t at) {
+Json EndedEvent(TraceId trace) { return {{"event", "ended"}, {"trace", Trace(trace)}}; }
+Json NodeStateEvent(int node, const char* state, int64_t at) {
   return {{"at", at},     {"event", "told"}, {"balancer", 0},
           {"node", node}, {"state", state},  {"started_at", 0}};
 }
-std::vector<Json> OneMore(int attempt, TraceId trace, int node, int64_t at) {
+std::vector<Json> ExtraAttempt(int attempt, TraceId trace, int node, int64_t at) {
   return {{{"at", at},
            {"event", "arrived"},
            {"attempt", attempt},
@@ -155,21 +156,21 @@
           {{"at", at + 1000}, {"event", "link_ended"}, {"attempt", attempt}}};
 }
 // Moves an attempt, and all events of it, to another node.
-void Move(Lines& lines, uint64_t attempt, int node) {
+void MoveAttempt(Lines& lines, uint64_t attempt, int node) {
   LineOf(lines, {{"event", "arrived"}, {"attempt", attempt}})["node"] = node;
   for (Json& line : lines) {
     if (line.contains("mark") && line["mark"]["attempt"] == attempt) line["mark"]["node"] = node;
   }
 }
 
-std::set<std::string> Broken(const std::string& text) {
+std::set<std::string> ViolatedRules(const std::string& text) {
   HistoryError bad;
-  const std::optional<CheckedHistory> judged = CheckHistory(text, bad);
-  EXPECT_TRUE(judged) << bad.line << ": " << bad.why;
+  const std::optional<CheckedHistory> checked = CheckHistory(text, bad);
+  EXPECT_TRUE(checked) << bad.line << ": " << bad.why;
   std::set<std::string> rules;
-  if (!judged) return rules;
-  EXPECT_EQ(judged->verdict.rules_kept, judged->broken.empty());
-  for (const CheckedHistory::LocatedFinding& one : judged->broken) rules.insert(one.rule);
+  if (!checked) return rules;
+  EXPECT_EQ(checked->verdict.rules_kept, checked->broken.empty());
+  for (const CheckedHistory::LocatedFinding& one : checked->broken) rules.insert(one.rule);
   return rules;
 }
 
@@ -193,25 +194,26 @@
   EXPECT_EQ(ToJson(again->verdict), ToJson(live));
 }
 
-struct Fault {
+struct RuleMutation {
   const char* rule;
   std::function<void(Lines&)> make;
 };
 
-std::vector<Fault> Faults() {
+std::vector<RuleMutation> RuleMutations() {
   return {
       {"answer_lost",
        [](Lines& l) {
-         Json& end = LineOf(l, Ended(1));
+         Json& end = LineOf(l, EndedEvent(1));
          end = {{"at", end["at"]}, {"event", "ended"}, {"trace", Trace(1)}, {"how", "broken"}};
        }},
-      {"answer_lost", [](Lines& l) { l.erase(l.begin() + static_cast<std::ptrdiff_t>(Place(l, Ended(6)))); }},
-      {"answer_late", [](Lines& l) { LineOf(l, Ended(1))["at"] = 1171 * kMs; }},
-      {"answered_twice", [](Lines& l) { Insert(l, Ended(1), {LineOf(l, Ended(1))}); }},
-      {"answer_foreign", [](Lines& l) { LineOf(l, Ended(1))["mark"]["attempt"] = 99; }},
-      {"answer_foreign", [](Lines& l) { LineOf(l, Ended(1)).erase("mark"); }},
-      {"sent_after_end", [](Lines& l) { Insert(l, Ended(1), OneMore(50, 1, 1, 400 * kMs)); }},
-      {"sent_after_end", [](Lines& l) { Insert(l, Ended(1), OneMore(50, 0xabc, 1, 400 * kMs)); }},
+      {"answer_lost",
+       [](Lines& l) { l.erase(l.begin() + static_cast<std::ptrdiff_t>(IndexOf(l, EndedEvent(6)))); }},
+      {"answer_late", [](Lines& l) { LineOf(l, EndedEvent(1))["at"] = 1171 * kMs; }},
+      {"answered_twice", [](Lines& l) { Insert(l, EndedEvent(1), {LineOf(l, EndedEvent(1))}); }},
+      {"answer_foreign", [](Lines& l) { LineOf(l, EndedEvent(1))["mark"]["attempt"] = 99; }},
+      {"answer_foreign", [](Lines& l) { LineOf(l, EndedEvent(1)).erase("mark"); }},
+      {"sent_after_end", [](Lines& l) { Insert(l, EndedEvent(1), ExtraAttempt(50, 1, 1, 400 * kMs)); }},
+      {"sent_after_end", [](Lines& l) { Insert(l, EndedEvent(1), ExtraAttempt(50, 0xabc, 1, 400 * kMs)); }},
       {"sent_again",
        [](Lines& l) {
          LineOf(l, {{"event", "answered"}, {"attempt", 2}})["how"] = "error";
@@ -219,13 +221,13 @@
       {"sent_again",  // after the window within which nodes drop a repeat
        [](Lines& l) {
          for (Json& line : l) {
-           const bool of_it = line.value("attempt", 0) == 5 || Holds(line, Ended(3));
+           const bool of_it = line.value("attempt", 0) == 5 || Contains(line, EndedEvent(3));
            if (!of_it) continue;
            line["at"] = line["at"].get<int64_t>() + 545 * kMs;
            if (line.contains("first_byte_at")) line["first_byte_at"] = line["at"];
          }
        }},
-      {"sent_again", [](Lines& l) { Move(l, 5, 2); }},  // to a zone where the repeat is not dropped
+      {"sent_again", [](Lines& l) { MoveAttempt(l, 5, 2); }},  // to a zone where the repeat is not dropped
       {"effect_repeated",
        [](Lines& l) {
          Insert(l, {{"event", "arrived"}, {"attempt", 2}},
@@ -233,24 +235,24 @@
        }},
       {"refusal_untrue",
        [](Lines& l) {
-         LineOf(l, Ended(4))["how"] = "refused";
-         LineOf(l, Ended(4))["status"] = 503;
+         LineOf(l, EndedEvent(4))["how"] = "refused";
+         LineOf(l, EndedEvent(4))["status"] = 503;
        }},
       {"copies",
        [](Lines& l) {
-         Insert(l, {{"event", "ran"}, {"attempt", 1}}, OneMore(50, 1, 1, 110 * kMs));
+         Insert(l, {{"event", "ran"}, {"attempt", 1}}, ExtraAttempt(50, 1, 1, 110 * kMs));
        }},
       {"too_many_attempts",
        [](Lines& l) {
-         Insert(l, {{"event", "answered"}, {"attempt", 9}}, OneMore(50, 5, 0, 630 * kMs));
+         Insert(l, {{"event", "answered"}, {"attempt", 9}}, ExtraAttempt(50, 5, 0, 630 * kMs));
        }},
-      {"draining", [](Lines& l) { Move(l, 10, 2); }},
+      {"draining", [](Lines& l) { MoveAttempt(l, 10, 2); }},
       {"draining",  // the node is gone
        [](Lines& l) {
-         Insert(l, Ended(5), {Told(0, "gone", 2000 * kMs)});
-         Insert(l, Ended(6), {Told(0, "ready", 3500 * kMs)});
+         Insert(l, EndedEvent(5), {NodeStateEvent(0, "gone", 2000 * kMs)});
+         Insert(l, EndedEvent(6), {NodeStateEvent(0, "ready", 3500 * kMs)});
        }},
-      {"draining", [](Lines& l) { Move(l, 11, 1); }},  // drained manually
+      {"draining", [](Lines& l) { MoveAttempt(l, 11, 1); }},  // drained manually
       {"cold_node",
        [](Lines& l) {
          Insert(l, {{"event", "handshake"}},
@@ -260,10 +262,10 @@
                   {"change", "fell"},
                   {"pushed_by", {9.5, 0.5}}}});
        }},
-      {"unlisted", [](Lines& l) { Move(l, 1, 3); }},
+      {"unlisted", [](Lines& l) { MoveAttempt(l, 1, 3); }},
       {"made_up",
        [](Lines& l) {
-         Insert(l, Ended(1), {{{"at", 230 * kMs}, {"event", "strange"}, {"node", 0}, {"balancer", 0}}});
+         Insert(l, EndedEvent(1), {{{"at", 230 * kMs}, {"event", "strange"}, {"node", 0}, {"balancer", 0}}});
        }},
       {"crashed",
        [](Lines& l) {
@@ -274,47 +276,47 @@
 }
 
 TEST(History, EachRuleHasAHistoryThatViolatesOnlyIt) {
-  EXPECT_EQ(Broken(TextOf(Good())), std::set<std::string>());
+  EXPECT_EQ(ViolatedRules(TextOf(ValidHistory())), std::set<std::string>());
   std::set<std::string> seen;
-  for (const Fault& fault : Faults()) {
-    Lines lines = Good();
-    fault.make(lines);
-    EXPECT_EQ(Broken(TextOf(lines)), std::set<std::string>{fault.rule}) << TextOf(lines);
-    seen.insert(fault.rule);
+  for (const RuleMutation& mutation : RuleMutations()) {
+    Lines lines = ValidHistory();
+    mutation.make(lines);
+    EXPECT_EQ(ViolatedRules(TextOf(lines)), std::set<std::string>{mutation.rule}) << TextOf(lines);
+    seen.insert(mutation.rule);
   }
   EXPECT_EQ(seen.size(), static_cast<std::size_t>(kRules)) << "a rule without a history that breaks it";
 }
 
 TEST(History, AViolationIsReportedWithItsTimeAndLine) {
-  Lines lines = Good();
+  Lines lines = ValidHistory();
   LineOf(lines, {{"event", "answered"}, {"attempt", 2}})["how"] = "error";
   HistoryError bad;
-  const std::optional<CheckedHistory> judged = CheckHistory(TextOf(lines), bad);
-  ASSERT_TRUE(judged);
-  ASSERT_EQ(judged->broken.size(), 1u);
-  EXPECT_EQ(judged->broken[0].line, Place(lines, {{"event", "arrived"}, {"attempt", 3}}) + 1);
-  EXPECT_DOUBLE_EQ(judged->broken[0].finding.at_s, 0.311);
-  EXPECT_EQ(judged->broken[0].finding.trace, Trace(2));
+  const std::optional<CheckedHistory> checked = CheckHistory(TextOf(lines), bad);
+  ASSERT_TRUE(checked);
+  ASSERT_EQ(checked->broken.size(), 1u);
+  EXPECT_EQ(checked->broken[0].line, IndexOf(lines, {{"event", "arrived"}, {"attempt", 3}}) + 1);
+  EXPECT_DOUBLE_EQ(checked->broken[0].finding.at_s, 0.311);
+  EXPECT_EQ(checked->broken[0].finding.trace, Trace(2));
 }
 
 TEST(History, AMalformedHistoryIsRejectedWithItsLine) {
-  const auto refused = [](const std::string& text, std::size_t line, const std::string& why) {
+  const auto expect_rejected = [](const std::string& text, std::size_t line, const std::string& why) {
     HistoryError bad;
     EXPECT_FALSE(CheckHistory(text, bad)) << why;
     EXPECT_EQ(bad.line, line) << why;
     EXPECT_NE(bad.why.find(why), std::string::npos) << bad.why;
   };
-  const Lines good = Good();
-  const std::string text = TextOf(good);
-  const std::size_t count = good.size();
-  refused("", 0, "it ends before its end");
-  refused(text.substr(0, text.size() - 1), count, "cut short");
-  refused(text.substr(0, text.rfind('\n', text.size() - 2) + 1), count - 1, "it ends before its end");
-  refused(text + "{}\n", count + 1, "behind the end");
+  const Lines valid = ValidHistory();
+  const std::string text = TextOf(valid);
+  const std::size_t count = valid.size();
+  expect_rejected("", 0, "it ends before its end");
+  expect_rejected(text.substr(0, text.size() - 1), count, "cut short");
+  expect_rejected(text.substr(0, text.rfind('\n', text.size() - 2) + 1), count - 1, "it ends before its end");
+  expect_rejected(text + "{}\n", count + 1, "behind the end");
   const auto edited = [&](const Json& at, const std::function<void(Json&)>& edit, const std::string& why) {
-    Lines lines = good;
+    Lines lines = valid;
     edit(LineOf(lines, at));
-    refused(TextOf(lines), Place(lines, at) + 1, why);
+    expect_rejected(TextOf(lines), IndexOf(lines, at) + 1, why);
   };
   const Json first = {{"history", 1}};
   edited(
@@ -336,30 +338,30 @@
       {{"event", "due"}, {"trace", Trace(2)}}, [](Json& line) { line["class"] = 3; }, "class");
   edited(
       {{"event", "answered"}, {"attempt", 2}}, [](Json& line) { line["how"] = "well"; }, "how");
-  Lines lines = good;
+  Lines lines = valid;
   lines[0]["history"] = 2;
-  refused(TextOf(lines), 1, "version 2");
-  lines = good;
+  expect_rejected(TextOf(lines), 1, "version 2");
+  lines = valid;
   lines[3]["event"] = "guessed";
-  refused(TextOf(lines), 4, "an unknown event: guessed");
-  lines = good;
-  const std::size_t end = Place(lines, Ended(2));
+  expect_rejected(TextOf(lines), 4, "an unknown event: guessed");
+  lines = valid;
+  const std::size_t end = IndexOf(lines, EndedEvent(2));
   lines[end]["trace"] = Trace(77);
-  refused(TextOf(lines), end + 1, "an unknown query");
-  lines = good;
+  expect_rejected(TextOf(lines), end + 1, "an unknown query");
+  lines = valid;
   lines[end]["at"] = 200 * kMs;
-  refused(TextOf(lines), end + 1, "a time that goes back");
-  lines = good;
-  const std::size_t late = Place(lines, {{"event", "by_hand"}, {"out", false}});
+  expect_rejected(TextOf(lines), end + 1, "a time that goes back");
+  lines = valid;
+  const std::size_t late = IndexOf(lines, {{"event", "by_hand"}, {"out", false}});
   lines[late]["at"] = 100 * kMs;
-  refused(TextOf(lines), late + 1, "a time that goes back");
-  lines = good;
-  const std::size_t ran = Place(lines, {{"event", "ran"}, {"attempt", 3}});
+  expect_rejected(TextOf(lines), late + 1, "a time that goes back");
+  lines = valid;
+  const std::size_t ran = IndexOf(lines, {{"event", "ran"}, {"attempt", 3}});
   lines[ran]["attempt"] = 300;
-  refused(TextOf(lines), ran + 1, "an unknown attempt");
+  expect_rejected(TextOf(lines), ran + 1, "an unknown attempt");
   std::string torn = text;
   torn.insert(text.find('\n') + 1, "{\"at\":1,\n");
-  refused(torn, 2, "not a line of JSON");
+  expect_rejected(torn, 2, "not a line of JSON");
 }
 
 }  // namespace
--- a/tests/lab/judge_test.cpp
+++ b/tests/lab/judge_test.cpp
@@ -1,5 +1,5 @@
-// Tests of what the run checker counts: service, latency, values per second, its own memory, and late sends of
-// the lab.
+// Tests of what the run checker counts: service, latency, values per second, its own memory, and late sends
+// of the lab.
 #include <chrono>
 #include <random>
 
@@ -107,7 +107,8 @@
   stage.Answer(second, 70);
   stage.Serve(trace, second, 71);
   stage.Cancel(first, 72);
-  stage.End(stage.Ask(kRead, 100), 601, End::kRefused, 503);  // after more than half of its time, without an attempt
+  stage.End(stage.Ask(kRead, 100), 601, End::kRefused,
+            503);  // after more than half of its time, without an attempt
   stage.End(stage.Ask(kRead, 100), 599, End::kRefused, 503);
   trace = stage.Ask(kRead, 100);
   stage.Send(trace, 0, 101);
@@ -232,18 +233,18 @@
   Facts facts = StageFacts();
   facts.length = 0;
   Stage stage(facts);
-  std::size_t most = 0;
+  std::size_t max_records = 0;
   const auto began = std::chrono::steady_clock::now();
   constexpr int kQueries = 1'000'000;
   for (int i = 0; i < kQueries; ++i) {
     stage.judge.SentLate(100);
     stage.Good(i % 3, i, i % 100 == 0 ? 1000 : 20);
     stage.marks.clear();
-    most = std::max(most, stage.judge.records());
+    max_records = std::max(max_records, stage.judge.records());
   }
   const std::chrono::duration<double, std::micro> took = std::chrono::steady_clock::now() - began;
   // A query is open until its limit and is reviewed two seconds later: 3.07 s of queries and attempts.
-  EXPECT_LE(most, 2u * 3100);
+  EXPECT_LE(max_records, 2u * 3100);
   RecordProperty("nanoseconds_a_query", static_cast<int>(1000 * took.count() / kQueries));
   EXPECT_TRUE(stage.Finish(1'010'000).rules_kept);
   EXPECT_EQ(stage.verdict.outcomes.asked, static_cast<uint64_t>(kQueries));
@@ -282,12 +283,12 @@
   both.Ended(0xfeed, at + 4 * kMs, End::kRefused, 503, {}, 250 * kMs);
   both.FaultBegan(1, at + 5 * kMs);
   EXPECT_EQ(store.Timeline(0xfeed), judge.traces().Timeline(0xfeed));
-  const std::vector<std::string> story = store.Timeline(0xfeed, at);
-  ASSERT_EQ(story.size(), 6u);
-  EXPECT_EQ(story[0], "  -1000.000 ms  n2           draining");
-  EXPECT_EQ(story[3], "     +3.000 ms  n2           attempt 1: turned away, never ran");
-  EXPECT_EQ(story[4], "     +4.000 ms  client       refused, status 503, Retry-After 250 ms");
-  EXPECT_EQ(story[5], "     +5.000 ms  script       fault 1 (zone-cut) begins");
+  const std::vector<std::string> timeline = store.Timeline(0xfeed, at);
+  ASSERT_EQ(timeline.size(), 6u);
+  EXPECT_EQ(timeline[0], "  -1000.000 ms  n2           draining");
+  EXPECT_EQ(timeline[3], "     +3.000 ms  n2           attempt 1: turned away, never ran");
+  EXPECT_EQ(timeline[4], "     +4.000 ms  client       refused, status 503, Retry-After 250 ms");
+  EXPECT_EQ(timeline[5], "     +5.000 ms  script       fault 1 (zone-cut) begins");
   for (int i = 0; i < 8; ++i) store.Written(static_cast<TraceId>(i + 1), at + kSecond);
   EXPECT_TRUE(store.Timeline(0xfeed).empty());  // overwritten
 }
--- a/tests/lab/report_test.cpp
+++ b/tests/lab/report_test.cpp
@@ -354,7 +354,7 @@
 TEST(Report, OfManyRunsThoseThatNeedALookAreWhole) {
   std::vector<ReportedRun> runs;
   for (uint64_t seed = 1; seed <= 4; ++seed) {
-    runs.push_back({SampleVerdict({.seed = seed, .seconds = 2, .bad = seed == 3 ? 1.0 : 0.0})});
+    runs.push_back({SampleVerdict({.seed = seed, .seconds = 2, .severity = seed == 3 ? 1.0 : 0.0})});
   }
   runs[1].verdict.service.combined = 0.01;
   const std::string html = Report(runs, {.gnuplot = "no-such-gnuplot", .most_whole = 2}).html;
@@ -383,13 +383,13 @@
   };
   write("twelve", {run({}, "Everything at once")});
   write("crowded", {run({.seconds = 60, .many_faults = true}, "Everything at once, and more")});
-  write("large", {run({.seconds = 600, .nodes = 200, .rate = 4000, .bad = 0.5}, "Two hundred nodes")});
+  write("large", {run({.seconds = 600, .nodes = 200, .rate = 4000, .severity = 0.5}, "Two hundred nodes")});
   write("huge",
-        {run({.seconds = 3601, .nodes = 1000, .rate = 4000, .bad = 0.5}, "A thousand nodes for an hour")});
+        {run({.seconds = 3601, .nodes = 1000, .rate = 4000, .severity = 0.5}, "A thousand nodes for an hour")});
   write("second", {run({.seconds = 1, .nodes = 1, .rate = 5}, "One second, one node")});
   write("nothing", {run({.seconds = 5, .nodes = 3, .rate = 0}, "No queries")});
   write("empty", {ReportedRun{}});
-  ReportedRun late = run({.bad = 0.5}, "The lab was late");
+  ReportedRun late = run({.severity = 0.5}, "The lab was late");
   late.verdict.lab = {15000, 480, 0.032, 21.5, 88, true, 0, 0};
   late.verdict.verdict = "none";
   write("late", {late});
@@ -401,7 +401,7 @@
                             .subject = subject,
                             .seed = seed + many.size(),
                             .seconds = 30,
-                            .bad = *subject == 'b'   ? 0.5
+                            .severity = *subject == 'b'   ? 0.5
                                    : *subject == 'r' ? 1.5
                                                      : 0.6}));
       }
--- a/tests/lab/rules_test.cpp
+++ b/tests/lab/rules_test.cpp
@@ -1,5 +1,5 @@
-// Each rule is violated, and just barely kept, by a scripted balancer: the run checker must report the violation
-// with its trace and accept the other.
+// Each rule is violated, and just barely kept, by a scripted balancer: the run checker must report the
+// violation with its trace and accept the other.
 #include "stage.h"
 
 namespace burlfall::lab {
@@ -115,7 +115,8 @@
   }
 }
 
-// A try is sent once more if its keep-alive link was closed meanwhile, here to a balancer that is then killed.
+// A try is sent once more if its keep-alive link was closed meanwhile, here to a balancer that is then
+// killed.
 TEST(AnswerLost, OnlyTheLastBalancerThatTookTheTryCounts) {
   Stage stage;
   TraceId trace = stage.Ask(kRead, 0, 0, 1);
@@ -416,7 +417,8 @@
 
 TEST(Draining, SentAfterTheGracePeriod) {
   for (auto state : {meadowslip::BackendState::kDraining, meadowslip::BackendState::kGone}) {
-    for (double ms : {899.0, 901.0}) {  // notified at 100; the repeated notification starts no new grace period
+    for (double ms :
+         {899.0, 901.0}) {  // notified at 100; the repeated notification starts no new grace period
       Stage stage;
       stage.judge.NodeStateSent(0, 0, state, 0, stage.At(100));
       stage.judge.NodeStateSent(0, 0, state, 0, stage.At(500));
@@ -460,8 +462,8 @@
   }
 }
 
-// Listed at 500; the balancer runs since 0, or starts at 5,000. It counts as knowing pushed lists from the later
-// of the two on.
+// Listed at 500; the balancer runs since 0, or starts at 5,000. It counts as knowing pushed lists from the
+// later of the two on.
 TEST(Draining, PushedListsAreKnownWithoutARequest) {
   for (const double up_ms : {0.0, 5000.0}) {
     for (const bool late : {false, true}) {
@@ -506,7 +508,8 @@
                         Case{{2, 1}, 1000, 6000, false}, Case{{2, 1}, 5000, 7951, false}}) {
     Stage stage;
     stage.judge.NodeChanged(0, NodeChange::kStarted, stage.At(5000), {});
-    stage.judge.NodeStateSent(0, 0, meadowslip::BackendState::kReady, stage.At(c.started_ms), stage.At(c.told_ms));
+    stage.judge.NodeStateSent(0, 0, meadowslip::BackendState::kReady, stage.At(c.started_ms),
+                              stage.At(c.told_ms));
     stage.judge.NodeChanged(0, NodeChange::kOverloaded, stage.At(8000), c.pushed_by);
     const Verdict& verdict = stage.Finish();
     EXPECT_EQ(verdict.rules_kept, !c.broken);
@@ -539,8 +542,8 @@
   EXPECT_EQ(verdict.balancers[1].crashes, 1);
 }
 
-// A paused process does not answer, which is not its fault. The time limits still apply to another balancer, and
-// to the same one before and after the pause.
+// A paused process does not answer, which is not its fault. The time limits still apply to another balancer,
+// and to the same one before and after the pause.
 TEST(AnswerLost, APausedBalancerIsExcusedOnlyForThePause) {
   struct Case {
     double asked_ms;
--- a/tests/lab/sample_verdict.h
+++ b/tests/lab/sample_verdict.h
@@ -19,7 +19,7 @@
   int seconds = 60;
   int nodes = 12;
   double rate = 250;
-  double bad = 1;  // scales all failures
+  double severity = 1;  // scales all failures
   bool many_faults = false;
 };
 
@@ -78,7 +78,7 @@
     }
     v.verdict = "kept";
     v.rules_kept = true;
-    if (spec_.bad < 1) return;
+    if (spec_.severity < 1) return;
     RuleResult& draining = v.rules[static_cast<std::size_t>(Rule::kDraining)];
     draining.broken = 57;
     for (int i = 0; i < 5; ++i) {
@@ -99,7 +99,7 @@
   double Trouble(const Verdict& v, int s) const {
     double trouble = 0;
     for (const FaultResult& f : v.faults) trouble += s >= f.began_s && s < f.ended_s ? 0.12 : 0;
-    return std::min(0.8, trouble * spec_.bad);
+    return std::min(0.8, trouble * spec_.severity);
   }
 
   void Second(Verdict& v, int s) {
