--- a/src/lab/judge/balancer_knowledge.h
+++ b/src/lab/judge/balancer_knowledge.h
@@ -29,8 +29,8 @@
   Micros UnusableSince(int balancer, int node, Micros at) const;
   // Whether the balancer got a list since its start, long enough before `at`, and no list named the node.
   bool NeverListed(int balancer, int node, Micros at) const;
-  // Since when the balancer has known, as of `at`, of the start at `started_at` or a later one; kNever: it
-  // does not.
+  // Since when the balancer has known, as of `at`, of the start at `started_at` or a later one; kNever:
+  // it does not.
   Micros StartKnownSince(int balancer, int node, Micros started_at, Micros at) const;
 
  private:
--- a/src/lab/judge/compare.cpp
+++ b/src/lab/judge/compare.cpp
@@ -94,8 +94,8 @@
 ExperimentChange ChangeOf(const std::string& experiment, Runs before, Runs after, double confidence) {
   ExperimentChange change;
   change.experiment = experiment;
-  change.before_broken = BrokenRules(before);  // violations are reported even if the lab was late
-  change.after_broken = BrokenRules(after);
+  change.before_broken = ViolatedRules(before);  // violations are reported even if the lab was late
+  change.after_broken = ViolatedRules(after);
   change.before_too_late = DropTooLate(before);
   change.after_too_late = DropTooLate(after);
   change.before_runs = static_cast<int>(before.size());
--- a/src/lab/judge/figures.cpp
+++ b/src/lab/judge/figures.cpp
@@ -72,7 +72,7 @@
   return spread;
 }
 
-std::vector<std::string> BrokenRules(const std::vector<const Verdict*>& runs) {
+std::vector<std::string> ViolatedRules(const std::vector<const Verdict*>& runs) {
   std::set<std::string> broken;
   for (const Verdict* run : runs) {
     for (const RuleResult& rule : run->rules) {
--- a/src/lab/judge/figures.h
+++ b/src/lab/judge/figures.h
@@ -31,7 +31,7 @@
 Spread SpreadOf(const std::vector<double>& values);
 
 // Returns the names of the rules that were violated in any of the runs.
-std::vector<std::string> BrokenRules(const std::vector<const Verdict*>& runs);
+std::vector<std::string> ViolatedRules(const std::vector<const Verdict*>& runs);
 
 }  // namespace burlfall::lab
 
--- a/src/lab/judge/history_file.cpp
+++ b/src/lab/judge/history_file.cpp
@@ -61,8 +61,7 @@
 
 // ---- Settings in the platform's format -------------------------------------------------------------------
 
-// Returns the settings as ParseSettings() reads them. Names of zones and kinds have no effect and are
-// omitted.
+// Returns the settings as ParseSettings() reads them, without names of zones and kinds, which have no effect.
 Json SettingsOf(const Settings& s) {
   Json classes = Json::array();
   for (const meadowslip::RequestClass& c : s.classes) {
--- a/src/lab/judge/run_checker.h
+++ b/src/lab/judge/run_checker.h
@@ -41,8 +41,7 @@
   RunChecker(const RunChecker&) = delete;
   RunChecker& operator=(const RunChecker&) = delete;
 
-  // Checks the queries that are still open and ends the run. Call it once, after the balancers have answered
-  // everything.
+  // Checks the queries that are still open and ends the run. Call it once, after the last answers.
   Verdict Finish(Micros at);
 
   std::size_t records() const { return tries_.size() + attempts_.size(); }  // held in memory
--- a/src/lab/report/table.cpp
+++ b/src/lab/report/table.cpp
@@ -168,7 +168,7 @@
         run->lab.too_late ? ++cell.too_late : ++cell.runs;
         if (!run->lab.too_late) service.push_back(run->service.combined);
       }
-      cell.broken = BrokenRules(all);
+      cell.broken = ViolatedRules(all);
       cell.service = SpreadOf(service);
       cell.lost = static_cast<int>(std::count_if(lost.begin(), lost.end(), [&](const LostRun& one) {
         return one.subject == table.subjects[s] && one.experiment == table.experiments[e];
--- a/src/lab/witness/observer.h
+++ b/src/lab/witness/observer.h
@@ -113,8 +113,7 @@
   // outstanding. AttemptEnded() is called before or after this.
   virtual void LinkEnded(uint64_t attempt, Micros at) = 0;
   virtual void HandshakeAt(int node, int balancer, Micros at) = 0;
-  // `work_by_balancer`: only for kOverloaded, the work within the overload window that came from each
-  // balancer.
+  // `work_by_balancer`: only for kOverloaded, the work within the overload window by balancer.
   virtual void NodeChanged(int node, NodeChange change, Micros at,
                            const std::vector<double>& work_by_balancer) = 0;
   // A balancer sent a request that no client had made: a probe, or a query with an unknown trace.
@@ -124,8 +123,7 @@
   // only; what was listed when the run started counts as known.
   virtual void Listed(int, meadowslip::BackendState, Micros /*started_at*/, Micros /*at*/) {}
   // Discovery wrote this state to the balancer, whether or not it arrives; or the state was in the list that
-  // the balancer started with, and this follows its BalancerUp(). A node missing from a complete list is
-  // kGone.
+  // the balancer started with, and this follows its BalancerUp(). A node not in a complete list is kGone.
   virtual void NodeStateSent(int balancer, int node, meadowslip::BackendState state, Micros started_at,
                              Micros at) = 0;
   // The balancer completed a request (the answer's states have been passed to NodeStateSent()), its watch
@@ -137,7 +135,8 @@
   // A call has reached the list service, whether the service is up or down; `watch`: it waits for changes.
   // And how it ended, after `queued_for`. Not part of a history.
   virtual void ListCall(int /*balancer*/, bool /*watch*/, Micros /*at*/) {}
-  virtual void ListCallEnded(int /*balancer*/, bool /*watch*/, ListEnd, Micros /*in_line*/, Micros /*at*/) {}
+  virtual void ListCallEnded(int /*balancer*/, bool /*watch*/, ListEnd, Micros /*queued_for*/,
+                             Micros /*at*/) {}
   // The process of a balancer is started; it serves once BalancerUp() is called.
   virtual void BalancerStarting(int /*balancer*/, Micros /*at*/) {}
 
--- a/tests/lab/rules_test.cpp
+++ b/tests/lab/rules_test.cpp
@@ -115,8 +115,7 @@
   }
 }
 
-// A try is sent once more if its keep-alive link was closed meanwhile, here to a balancer that is then
-// killed.
+// A try is sent again if its keep-alive link was closed meanwhile, here to a balancer that is then killed.
 TEST(AnswerLost, OnlyTheLastBalancerThatTookTheTryCounts) {
   Stage stage;
   TraceId trace = stage.Ask(kRead, 0, 0, 1);
