--- a/src/lab/site/discovery.cpp
+++ b/src/lab/site/discovery.cpp
@@ -171,7 +171,8 @@
   if (effect.did == Did::kUnwatched) return witness_.ListRequested(effect.balancer, now, false);
   if (effect.did != Did::kAnswered) {
     witness_.ListRequestFailed(effect.balancer, now);
-    if (model_.watching(effect.balancer)) witness_.ListRequested(effect.balancer, now, true);  // by another call
+    if (model_.watching(effect.balancer))
+      witness_.ListRequested(effect.balancer, now, true);  // by another call
   }
   auto it = calls_.find(effect.call);
   if (it == calls_.end()) return;
--- a/tests/lab/report_test.cpp
+++ b/tests/lab/report_test.cpp
@@ -384,8 +384,8 @@
   write("twelve", {run({}, "Everything at once")});
   write("crowded", {run({.seconds = 60, .many_faults = true}, "Everything at once, and more")});
   write("large", {run({.seconds = 600, .nodes = 200, .rate = 4000, .severity = 0.5}, "Two hundred nodes")});
-  write("huge",
-        {run({.seconds = 3601, .nodes = 1000, .rate = 4000, .severity = 0.5}, "A thousand nodes for an hour")});
+  write("huge", {run({.seconds = 3601, .nodes = 1000, .rate = 4000, .severity = 0.5},
+                     "A thousand nodes for an hour")});
   write("second", {run({.seconds = 1, .nodes = 1, .rate = 5}, "One second, one node")});
   write("nothing", {run({.seconds = 5, .nodes = 3, .rate = 0}, "No queries")});
   write("empty", {ReportedRun{}});
@@ -402,8 +402,8 @@
                             .seed = seed + many.size(),
                             .seconds = 30,
                             .severity = *subject == 'b'   ? 0.5
-                                   : *subject == 'r' ? 1.5
-                                                     : 0.6}));
+                                        : *subject == 'r' ? 1.5
+                                                          : 0.6}));
       }
     }
   }
