--- a/src/lab/judge/compare.cpp
+++ b/src/lab/judge/compare.cpp
@@ -14,7 +14,7 @@
 
 using Runs = std::vector<const Verdict*>;
 
-// Half the width of Student's interval around a mean with this standard error.
+// Returns half the width of Student's confidence interval around a mean with this standard error.
 double HalfWidth(double error, double freedom, double confidence) {
   if (error <= 0) return 0;
   const boost::math::students_t distribution(freedom);
@@ -32,23 +32,24 @@
   return HalfWidth(std::sqrt(u + v), freedom, confidence);
 }
 
-// Differences below this come of the arithmetic, not of the runs.
+// Compares with a relative tolerance of 1e-12: smaller differences are rounding errors.
 bool Equal(double a, double b) { return std::abs(a - b) <= 1e-12 * std::max(std::abs(a), std::abs(b)); }
 
-Says Reading(const FigureChange& change, More more, bool enough, bool all_equal) {
-  if (all_equal) return Says::kSame;
-  if (!enough) return Says::kOneRun;
-  if (change.low <= 0 && change.high >= 0) return Says::kNoise;
-  if (more == More::kIsNeither) return Says::kOther;
-  return (change.difference > 0) == (more == More::kIsBetter) ? Says::kBetter : Says::kWorse;
+Significance SignificanceOf(const FigureChange& change, Direction direction, bool enough, bool all_equal) {
+  if (all_equal) return Significance::kSame;
+  if (!enough) return Significance::kSingleRun;
+  if (change.low <= 0 && change.high >= 0) return Significance::kNoise;
+  if (direction == Direction::kNeutral) return Significance::kDiffers;
+  return (change.difference > 0) == (direction == Direction::kHigherIsBetter) ? Significance::kBetter
+                                                                              : Significance::kWorse;
 }
 
 FigureChange ChangeOf(const Figure& figure, const Runs& before, const Runs& after, bool by_seed,
                       double confidence) {
   std::vector<double> a;
   std::vector<double> b;
-  for (const Verdict* run : before) a.push_back(figure.of(*run));
-  for (const Verdict* run : after) b.push_back(figure.of(*run));
+  for (const Verdict* run : before) a.push_back(figure.measure(*run));
+  for (const Verdict* run : after) b.push_back(figure.measure(*run));
   FigureChange change;
   change.figure = figure.name;
   change.before = SpreadOf(a);
@@ -68,11 +69,11 @@
   change.high = change.difference + half;
   const auto equal = [&](double value) { return Equal(value, a.front()); };
   const bool all_equal = std::all_of(a.begin(), a.end(), equal) && std::all_of(b.begin(), b.end(), equal);
-  change.says = Reading(change, figure.more, enough, all_equal);
+  change.significance = SignificanceOf(change, figure.direction, enough, all_equal);
   return change;
 }
 
-// By seed; true where both have the same ones, each once, and more than one.
+// Sorts both sides by seed. Returns true if both ran the same seeds, each once, and more than one.
 bool SortBySeed(Runs& before, Runs& after) {
   const auto by_seed = [](const Verdict* a, const Verdict* b) { return a->seed < b->seed; };
   std::stable_sort(before.begin(), before.end(), by_seed);
@@ -85,7 +86,7 @@
   return true;
 }
 
-// Drops those of which the lab itself was too late to tell.
+// Removes the runs in which the lab itself sent too late, and returns their number.
 int DropTooLate(Runs& runs) {
   return static_cast<int>(std::erase_if(runs, [](const Verdict* run) { return run->lab.too_late; }));
 }
@@ -93,8 +94,8 @@
 ExperimentChange ChangeOf(const std::string& experiment, Runs before, Runs after, double confidence) {
   ExperimentChange change;
   change.experiment = experiment;
-  change.before_broken = BrokenIn(before);  // a rule that broke is told of, whether or not the lab was late
-  change.after_broken = BrokenIn(after);
+  change.before_broken = ViolatedRules(before);  // violations are reported even if the lab was late
+  change.after_broken = ViolatedRules(after);
   change.before_too_late = DropTooLate(before);
   change.after_too_late = DropTooLate(after);
   change.before_runs = static_cast<int>(before.size());
@@ -107,19 +108,19 @@
   return change;
 }
 
-const char* WordOf(Says says) {
-  switch (says) {
-    case Says::kSame:
+const char* NameOf(Significance significance) {
+  switch (significance) {
+    case Significance::kSame:
       return "same";
-    case Says::kNoise:
+    case Significance::kNoise:
       return "noise";
-    case Says::kBetter:
+    case Significance::kBetter:
       return "better";
-    case Says::kWorse:
+    case Significance::kWorse:
       return "worse";
-    case Says::kOther:
+    case Significance::kDiffers:
       return "differs";
-    case Says::kOneRun:
+    case Significance::kSingleRun:
       break;
   }
   return "one run: unknown";
@@ -182,11 +183,11 @@
                      "difference", "interval", "says");
     }
     for (const FigureChange& figure : change.figures) {
-      const bool known = figure.says != Says::kOneRun;
+      const bool known = figure.significance != Significance::kSingleRun;
       const std::string interval = known ? Format("%+.4f to %+.4f", figure.low, figure.high) : "";
       text += Format("  %-28s %10.4f %9.4f %10.4f %9.4f %+10.4f  %-22s %s\n", figure.figure.c_str(),
                      figure.before.mean, figure.before.deviation, figure.after.mean, figure.after.deviation,
-                     figure.difference, interval.c_str(), WordOf(figure.says));
+                     figure.difference, interval.c_str(), NameOf(figure.significance));
     }
     text += "\n";
   }
@@ -206,7 +207,7 @@
                          {"difference", figure.difference},
                          {"low", figure.low},
                          {"high", figure.high},
-                         {"says", WordOf(figure.says)}});
+                         {"says", NameOf(figure.significance)}});
     }
     experiments.push_back({{"experiment", change.experiment},
                            {"before_runs", change.before_runs},
--- a/src/lab/judge/record.h
+++ b/src/lab/judge/record.h
@@ -1,4 +1,4 @@
-// What was seen of one query, at both ends: the judge fills it, the rules read it.
+// What was observed of one query at both ends. The run checker fills it, the rules read it.
 #ifndef BURLFALL_LAB_JUDGE_RECORD_H_
 #define BURLFALL_LAB_JUDGE_RECORD_H_
 
@@ -6,40 +6,41 @@
 #include <cstddef>
 #include <vector>
 
-#include "lab/witness/witness.h"
+#include "lab/witness/observer.h"
 
 namespace burlfall::lab {
 
 struct AttemptRecord {
-  AttemptSeen seen;
-  std::size_t of = 0;  // the try, among its query's
+  ArrivedAttempt seen;
+  std::size_t try_number = 0;  // index in QueryRecord::tries
   bool ran = false;
   bool effect = false;
   bool answered = false;  // or dropped
-  AtNode how = AtNode::kDropped;
+  AttemptEnd how = AttemptEnd::kDropped;
   Micros answered_at = kNever;
   Micros link_ended_at = kNever;
 
+  // When the attempt stopped being outstanding; kNever: it has not.
   Micros OverAt() const { return std::min(answered_at, link_ended_at); }
   bool Over() const { return OverAt() != kNever; }
 };
 
 struct TryRecord {
-  Try one;
+  Try client_try;
   Micros written_at = kNever;
   bool ended = false;
   End how = End::kLeft;
   Micros ended_at = 0;
   int status = 0;
   Mark mark;
-  int answers = 0;  // whole ones
+  int answers = 0;  // complete answers
 
   bool Taken() const { return written_at != kNever; }
 };
 
 struct QueryRecord {
-  std::vector<TryRecord> tries;         // as they were due
-  std::vector<AttemptRecord> attempts;  // as they arrived
+  std::vector<TryRecord> tries;         // in the order in which they were due
+  std::vector<AttemptRecord> attempts;  // in the order of arrival
 };
 
 }  // namespace burlfall::lab
--- a/src/lab/judge/result.cpp
+++ b/src/lab/judge/result.cpp
@@ -10,12 +10,12 @@
 
 using Json = nlohmann::ordered_json;
 
-struct RuleWords {
+struct RuleText {
   std::string_view name;
   std::string_view text;
 };
 
-constexpr RuleWords kRuleWords[kRules] = {
+constexpr RuleText kRuleTexts[kRules] = {
     {"answer_lost",
      "Each query that a balancer has taken gets a final answer, unless the balancer is killed."},
     {"answer_late", "The answer is whole no later than the slack after the client's deadline."},
@@ -39,7 +39,7 @@
     {"made_up", "Nothing comes to a node that no client has made: there are no probes."},
 };
 
-// The one list. `f` is told of each field by its name, the field, its unit and what it means.
+// The list of fields. `f` is called for each field with its name, the field, its unit and its meaning.
 template <typename F>
 void Fields(F& f, Finding& v) {
   f("query", v.query, "hex", "trace of the query's first try; empty where it is about no query");
@@ -218,7 +218,7 @@
 }
 
 template <typename F>
-void Fields(F& f, LifeResult& v) {
+void Fields(F& f, ProcessResult& v) {
   f("balancer", v.balancer, "", "whose process it was");
   f("began_s", v.began_s, "s", "when it was started");
   f("served_s", v.served_s, "s", "when it served; -1: never");
@@ -354,7 +354,7 @@
   std::string error;
 };
 
-// Rows of the reference page; a list's own fields follow it.
+// Builds the rows of the reference page; the fields of a list's entries follow the list.
 struct Lister {
   template <typename T>
   void operator()(const char* name, T& value, const char* unit, const char* meaning) {
@@ -401,11 +401,11 @@
 
 }  // namespace
 
-std::string_view NameOf(Rule rule) { return kRuleWords[static_cast<int>(rule)].name; }
-std::string_view TextOf(Rule rule) { return kRuleWords[static_cast<int>(rule)].text; }
+std::string_view NameOf(Rule rule) { return kRuleTexts[static_cast<int>(rule)].name; }
+std::string_view TextOf(Rule rule) { return kRuleTexts[static_cast<int>(rule)].text; }
 
 Json ToJson(const Verdict& verdict) {
-  Verdict copy = verdict;  // the list of fields is one for reading and writing
+  Verdict copy = verdict;  // Fields() needs a mutable value, as it also serves reading
   return Writer::Put(copy);
 }
 
@@ -443,7 +443,7 @@
   Fields(lister, verdict);
   text += lister.rows;
   text += "\n## Rules\n\n| rule | asks for |\n| --- | --- |\n";
-  for (const RuleWords& words : kRuleWords) {
+  for (const RuleText& words : kRuleTexts) {
     text.append("| `").append(words.name).append("` | ").append(words.text).append(" |\n");
   }
   return text;
--- a/src/lab/judge/tally.h
+++ b/src/lab/judge/tally.h
@@ -1,5 +1,5 @@
-// Adds up what the judge has made of single queries: service as the operators count it, latency, outcomes and
-// the course of the run second by second. No I/O, no clock.
+// Sums up the checked queries: service as the operators count it, latency, outcomes, and the values per
+// second. No I/O, no clock.
 #ifndef BURLFALL_LAB_JUDGE_TALLY_H_
 #define BURLFALL_LAB_JUDGE_TALLY_H_
 
@@ -16,16 +16,16 @@
 
 class Tally {
  public:
-  enum class Fate { kInTime, kLate, kRefused, kFailed, kLost, kLeft, kUnreached };
-  struct Query {  // once nothing more can happen to it
+  enum class Outcome { kInTime, kLate, kRefused, kFailed, kLost, kLeft, kUnreached };
+  struct Query {  // a finished query
     int cls = 0;
     int tenant = 0;
     bool within_share = true;
     double worth = 0;
-    Micros due = 0;  // its first try
+    Micros due = 0;  // of its first try
     Micros ended_at = 0;
     Micros aim_at = 0;
-    Fate fate = Fate::kInTime;
+    Outcome outcome = Outcome::kInTime;
     int tries = 0;
     int attempts = 0;
     int copies = 0;
@@ -35,14 +35,14 @@
     double work_wasted_us = 0;
   };
 
-  explicit Tally(const Facts& facts);  // outlives this
+  explicit Tally(const Facts& facts);  // `facts` must outlive this
   ~Tally();
 
-  // Whether what was due then counts for service, latency and outcomes.
-  bool Counts(Micros due) const;
+  // Whether a query that was due then counts for service, latency and outcomes.
+  bool IsCounted(Micros due) const;
   void Close(const Query& query);
-  void AttemptOut(int node, Micros at);
-  void AttemptOver(int node, Micros at);
+  void AttemptStarted(int node, Micros at);
+  void AttemptFinished(int node, Micros at);
   void Fill(Verdict& verdict) const;  // service, outcomes, latency, classes, tenants, effort and series
 
  private:
@@ -59,16 +59,16 @@
   struct Second {
     Worth worth;
     Outcomes outcomes;
-    std::unique_ptr<Sketch> latency;  // until no query of this second can be open
+    std::unique_ptr<Sketch> latency;  // null once no query of this second can be open
     double p50_ms = 0;
     double p99_ms = 0;
     uint64_t sends = 0;
     std::vector<uint32_t> attempts;   // by node
-    std::vector<uint32_t> in_flight;  // by node, the most at once
+    std::vector<uint32_t> in_flight;  // by node, maximum within the second
   };
 
-  Second& At(Micros at);
-  static void Settle(Second& second);
+  Second& SecondAt(Micros at);
+  static void Finalize(Second& second);
   static GroupResult ResultOf(const std::string& name, const Group& group);
   void FillService(Verdict& verdict) const;
   void FillSeries(Series& series) const;
@@ -79,10 +79,10 @@
   std::vector<Group> tenants_;  // within their shares
   Effort effort_;
   double wasted_us_ = 0;
-  double late_fail_ = 0;  // worth
+  double late_failed_worth_ = 0;
   uint64_t tries_ = 0;
   std::vector<Second> seconds_;
-  std::size_t settled_ = 0;          // so many have no sketch any more
+  std::size_t finalized_ = 0;        // number of leading seconds without a histogram
   std::vector<uint32_t> in_flight_;  // by node, now
 };
 
--- a/src/lab/site/node.h
+++ b/src/lab/site/node.h
@@ -11,7 +11,7 @@
 
 #include "lab/site/node_model.h"
 #include "lab/site/stand_in.h"
-#include "lab/witness/witness.h"
+#include "lab/witness/observer.h"
 
 namespace burlfall::lab {
 
@@ -24,7 +24,7 @@
 // What the nodes of a site share; it outlives them.
 struct NodeSite {
   Machine& machine;
-  Witness& witness;
+  Observer& witness;
   Deduper& repeats;
   const std::vector<ClassSpec>& classes;
   // Who made the queries knows their work. False where it made none of that trace: the query's X-Size-Hint
--- a/src/lab/witness/quiet_witness.h
+++ b/src/lab/witness/null_observer.h
@@ -1,28 +1,28 @@
-// A witness that takes nothing in: for whoever wants to hear of a few things only, and for a stand-in that
-// nobody watches.
-#ifndef BURLFALL_LAB_WITNESS_QUIET_WITNESS_H_
-#define BURLFALL_LAB_WITNESS_QUIET_WITNESS_H_
+// An observer that ignores every event: the base of observers that need only a few events, and the observer
+// of a simulated node that nobody observes.
+#ifndef BURLFALL_LAB_WITNESS_NULL_OBSERVER_H_
+#define BURLFALL_LAB_WITNESS_NULL_OBSERVER_H_
 
 #include <vector>
 
-#include "lab/witness/witness.h"
+#include "lab/witness/observer.h"
 
 namespace burlfall::lab {
 
-class QuietWitness : public Witness {
+class NullObserver : public Observer {
  public:
   void Due(const Try&) override {}
   void Written(TraceId, Micros) override {}
   void Ended(TraceId, Micros, End, int, const Mark&, Micros) override {}
   void SentLate(Micros) override {}
-  void Arrived(const AttemptSeen&) override {}
+  void Arrived(const ArrivedAttempt&) override {}
   void Ran(uint64_t, Micros, bool) override {}
-  void AnsweredAtNode(uint64_t, Micros, AtNode) override {}
+  void AttemptEnded(uint64_t, Micros, AttemptEnd) override {}
   void LinkEnded(uint64_t, Micros) override {}
   void HandshakeAt(int, int, Micros) override {}
   void NodeChanged(int, NodeChange, Micros, const std::vector<double>&) override {}
-  void Told(int, int, meadowslip::BackendState, Micros, Micros) override {}
-  void Asked(int, Micros, bool) override {}
+  void NodeStateSent(int, int, meadowslip::BackendState, Micros, Micros) override {}
+  void ListRequested(int, Micros, bool) override {}
   void BalancerUp(int, Micros) override {}
   void BalancerDown(int, Micros, bool) override {}
   void FaultBegan(int, Micros) override {}
@@ -31,4 +31,4 @@
 
 }  // namespace burlfall::lab
 
-#endif  // BURLFALL_LAB_WITNESS_QUIET_WITNESS_H_
+#endif  // BURLFALL_LAB_WITNESS_NULL_OBSERVER_H_
--- a/tests/histories/recorded_test.cpp
+++ b/tests/histories/recorded_test.cpp
@@ -63,8 +63,8 @@
       std::ofstream(recorded, std::ios::binary) << run.history;
     }
     const std::string history = Text(recorded);
-    BadLine bad;
-    const std::optional<JudgedHistory> recorded_run = JudgeHistory(history, bad);
+    HistoryError bad;
+    const std::optional<CheckedHistory> recorded_run = CheckHistory(history, bad);
     ASSERT_TRUE(recorded_run) << bad.line << ": " << bad.why;
     const std::string expected_line = "# recorded: " + BrokenRules(recorded_run->verdict) + "\n";
     EXPECT_TRUE(text.starts_with(expected_line)) << expected_line;
--- a/tests/lab/rules_test.cpp
+++ b/tests/lab/rules_test.cpp
@@ -1,11 +1,11 @@
-// Each rule, broken by a scripted balancer and only just kept by it: the judge names the first and the trace,
-// and lets the second pass.
+// Each rule is violated, and just barely kept, by a scripted balancer: the run checker must report the
+// violation with its trace and accept the other.
 #include "stage.h"
 
 namespace burlfall::lab {
 namespace {
 
-TEST(Kept, AGoodQueryOfEachClassBreaksNothing) {
+TEST(Kept, AnOrdinaryQueryOfEachClassViolatesNothing) {
   Stage stage;
   for (int cls : {kRead, kRelease, kCharge}) stage.Good(cls, 100 * cls);
   EXPECT_EQ(stage.Found(), kNothing);
@@ -14,8 +14,8 @@
   EXPECT_EQ(stage.verdict.ends.served, 3u);
 }
 
-// Whichever end tells first.
-TEST(Kept, AnAnswerSeenByItsClientBeforeItsNodeTellsOfIt) {
+// The order in which the two ends report does not matter.
+TEST(Kept, AnAnswerReportedByTheClientBeforeTheNode) {
   Stage stage;
   TraceId trace = stage.Ask(kRelease, 0);
   uint64_t attempt = stage.Send(trace, 0, 1);
@@ -25,8 +25,8 @@
   EXPECT_EQ(stage.Found(), kNothing);
 }
 
-// The look at its query was first meant for earlier, when its first try would have been over for long enough.
-TEST(Kept, ARetryWhoseNodeTellsLate) {
+// The review of the query was first scheduled for earlier, by the end of its first try.
+TEST(Kept, ARetryReportedLateByItsNode) {
   Stage stage;
   TraceId first = stage.Ask(kRelease, 0);
   stage.End(first, 10, End::kRefused, 503);
@@ -52,7 +52,7 @@
   EXPECT_NE(finding.story[2].find("+1.000 ms  n1           attempt 1 arrived"), std::string::npos);
 }
 
-TEST(AnswerLost, ButNotOneThatWasNeverTaken) {
+TEST(AnswerLost, NotForATryThatWasNeverTaken) {
   Stage stage;
   Try one;
   one.trace = one.first = 7;
@@ -64,8 +64,8 @@
   EXPECT_EQ(stage.verdict.ends.unreached, 1u);
 }
 
-TEST(AnswerLost, NoneUntilTheClientsTimeIsOver) {
-  for (double ms : {1069.0, 1070.0}) {  // 20 ms of slack and 50 ms on sockets
+TEST(AnswerLost, NoAnswerUntilTheLimit) {
+  for (double ms : {1069.0, 1070.0}) {  // 20 ms of answer slack and 50 ms of socket slack
     Stage stage;
     TraceId trace = stage.Ask(kRead, 0);
     stage.End(trace, ms, End::kLeft);
@@ -74,23 +74,23 @@
   }
 }
 
-TEST(AnswerLost, NoEndIsToldAtAll) {
+TEST(AnswerLost, NoEndIsReported) {
   Stage stage;
   TraceId trace = stage.Ask(kRead, 0);
-  stage.Good(kRead, 5000);  // time passes
-  EXPECT_EQ(stage.judge.Broken(Rule::kAnswerLost), 1u);
+  stage.Good(kRead, 5000);  // lets time advance
+  EXPECT_EQ(stage.judge.Violations(Rule::kAnswerLost), 1u);
   EXPECT_EQ(stage.Found(), Stage::Only("answer_lost", trace));
   EXPECT_EQ(stage.verdict.ends.untold, 1u);
 }
 
-TEST(AnswerLost, ButNotIfTheRunEndsBeforeItsTimeIsOver) {
+TEST(AnswerLost, NotIfTheRunEndsBeforeTheLimit) {
   Stage stage;
   stage.Ask(kRead, 0);
   EXPECT_TRUE(stage.Finish(900).rules_kept);
 }
 
-TEST(AnswerLost, NotByABalancerThatIsKilledWithItInHand) {
-  // Its client may see the link broken before the lab has seen the process end.
+TEST(AnswerLost, NotIfTheBalancerIsKilledBeforeItAnswers) {
+  // The client may see the link end before the lab sees the process end.
   for (End how : {End::kLost, End::kBroken}) {
     Stage stage;
     TraceId trace = stage.Ask(kRelease, 0);
@@ -104,7 +104,7 @@
   }
 }
 
-TEST(AnswerLost, ByABalancerThatWasKilledBeforeOrAfter) {
+TEST(AnswerLost, IfTheBalancerWasKilledBeforeOrAfter) {
   for (double killed_ms : {-50.0, 400.0}) {
     Stage stage;
     stage.judge.FaultBegan(0, stage.At(killed_ms));
@@ -115,8 +115,8 @@
   }
 }
 
-// A try that crossed the closing of a kept link goes out once more, here to a balancer that is killed then.
-TEST(AnswerLost, TheBalancerThatTookItLastIsTheOneThatCounts) {
+// A try is sent again if its keep-alive link was closed meanwhile, here to a balancer that is then killed.
+TEST(AnswerLost, OnlyTheLastBalancerThatTookTheTryCounts) {
   Stage stage;
   TraceId trace = stage.Ask(kRead, 0, 0, 1);
   Try again;
@@ -143,18 +143,18 @@
   EXPECT_EQ(stage.verdict.balancers[0].planned_ends, 1);
 }
 
-TEST(AnswerLost, NotWhereANodeCutsShortWhatWasBeingPassedOn) {
-  for (AtNode how : {AtNode::kDropped, AtNode::kAnswered}) {
+TEST(AnswerLost, NotIfANodeTruncatesTheForwardedAnswer) {
+  for (AttemptEnd how : {AttemptEnd::kDropped, AttemptEnd::kAnswered}) {
     Stage stage;
     TraceId trace = stage.Ask(kRead, 0);
     uint64_t attempt = stage.Send(trace, 0, 1);
     stage.Answer(attempt, 20, how);
     stage.End(trace, 21, End::kBroken, 200);
-    EXPECT_EQ(stage.Found(), how == AtNode::kDropped ? kNothing : Stage::Only("answer_lost", trace));
+    EXPECT_EQ(stage.Found(), how == AttemptEnd::kDropped ? kNothing : Stage::Only("answer_lost", trace));
   }
 }
 
-TEST(AnswerLate, LaterThanTheSlackAndNoSooner) {
+TEST(AnswerLate, OnlyAfterTheSlack) {
   for (double ms : {1070.0, 1071.0}) {
     Stage stage;
     TraceId trace = stage.Ask(kRead, 0);
@@ -163,7 +163,7 @@
   }
 }
 
-TEST(AnswerForeign, EachKindOfMarkThatIsNotTheTrysOwn) {
+TEST(AnswerForeign, EachKindOfMarkOfAnotherTry) {
   enum Kind { kNoMark, kOtherQuery, kOtherTry, kUnknown, kOtherNode, kError };
   for (Kind kind : {kNoMark, kOtherQuery, kOtherTry, kUnknown, kOtherNode, kError}) {
     Stage stage;
@@ -174,7 +174,7 @@
     stage.End(first, 21, End::kFailed, 502);
     TraceId trace = stage.Ask(kRead, 40, first);
     uint64_t attempt = stage.Send(trace, 1, 41);
-    stage.Answer(attempt, 50, kind == kError ? AtNode::kError : AtNode::kAnswered);
+    stage.Answer(attempt, 50, kind == kError ? AttemptEnd::kError : AttemptEnd::kAnswered);
     Mark mark = stage.marks[attempt];
     if (kind == kNoMark) mark = {};
     if (kind == kOtherQuery) mark = {other, 0, 1};
@@ -187,7 +187,7 @@
   }
 }
 
-TEST(AnsweredTwice, OnlyASecondWholeAnswerIsOne) {
+TEST(AnsweredTwice, OnlyByASecondCompleteAnswer) {
   for (End how : {End::kFailed, End::kLeft}) {
     Stage stage;
     TraceId trace = stage.Good(kRead, 0);
@@ -197,7 +197,7 @@
   }
 }
 
-TEST(SentAfterEnd, LaterThanTheSlackAndNoSooner) {
+TEST(SentAfterEnd, OnlyAfterTheSlack) {
   for (double ms : {70.0, 71.0}) {
     Stage stage;
     TraceId trace = stage.Good(kRead, 0);
@@ -212,13 +212,13 @@
   TraceId trace = stage.Ask(kRead, 0);
   uint64_t attempt = stage.Send(trace, 0, 1);
   stage.End(trace, 20, End::kLeft);
-  stage.Answer(attempt, 40);  // an answer that nobody waits for any more harms nobody
+  stage.Answer(attempt, 40);  // an answer that no client waits for is no violation
   stage.Send(trace, 1, 80);
   EXPECT_EQ(stage.Found(), Stage::Only("sent_after_end", trace));
   EXPECT_EQ(stage.verdict.ends.left_unanswered, 0u);
 }
 
-TEST(SentAfterEnd, ForAQueryThatIsLongOverOrNeverWas) {
+TEST(SentAfterEnd, ForAQueryThatEndedLongAgoOrNeverExisted) {
   Stage stage;
   stage.Good(kRead, 0);
   stage.Send(0xabc, 1, 20'000);
@@ -226,7 +226,7 @@
 }
 
 TEST(SentAgain, AnUnsafeQueryThatMayHaveRun) {
-  for (AtNode how : {AtNode::kTurnedAway, AtNode::kError, AtNode::kDropped}) {
+  for (AttemptEnd how : {AttemptEnd::kRejected, AttemptEnd::kError, AttemptEnd::kDropped}) {
     Stage stage;
     TraceId trace = stage.Ask(kRelease, 0);
     uint64_t first = stage.Send(trace, 0, 1);
@@ -234,17 +234,17 @@
     uint64_t second = stage.Send(trace, 1, 11);
     stage.Answer(second, 20);
     stage.Serve(trace, second, 21);
-    EXPECT_EQ(stage.Found(), how == AtNode::kTurnedAway ? kNothing : Stage::Only("sent_again", trace));
+    EXPECT_EQ(stage.Found(), how == AttemptEnd::kRejected ? kNothing : Stage::Only("sent_again", trace));
   }
 }
 
-TEST(SentAgain, AnUnsafeQueryWhoseProofCameOnlyAfterIt) {
-  for (double proof_ms : {14.0, 20.0}) {  // 5 ms are allowed for events of different ends
+TEST(SentAgain, AnUnsafeQueryProvenNotRunOnlyAfterwards) {
+  for (double proof_ms : {14.0, 20.0}) {  // events of different ends may be out of order by 5 ms
     Stage stage;
     TraceId trace = stage.Ask(kRelease, 0);
     uint64_t first = stage.Send(trace, 0, 1);
     uint64_t second = stage.Send(trace, 1, 10);
-    stage.Answer(first, proof_ms, AtNode::kTurnedAway);
+    stage.Answer(first, proof_ms, AttemptEnd::kRejected);
     stage.Answer(second, 30);
     stage.Serve(trace, second, 31);
     EXPECT_EQ(stage.Found(), proof_ms == 14 ? kNothing : Stage::Only("sent_again", trace));
@@ -256,7 +256,7 @@
     Stage stage;
     TraceId trace = stage.Ask(kCharge, 0);
     uint64_t first = stage.Send(trace, 0, 1);
-    stage.Answer(first, 300, AtNode::kError);
+    stage.Answer(first, 300, AttemptEnd::kError);
     uint64_t second = stage.Send(trace, 1, ms);
     stage.Answer(second, 600);
     stage.Serve(trace, second, 601);
@@ -270,7 +270,7 @@
     facts.settings.classes[kCharge].group = meadowslip::DedupGroup::kZone;
     Stage stage(facts);
     TraceId trace = stage.Ask(kCharge, 0);
-    stage.Answer(stage.Send(trace, 0, 1), 30, AtNode::kError);
+    stage.Answer(stage.Send(trace, 0, 1), 30, AttemptEnd::kError);
     uint64_t second = stage.Send(trace, node, 31);
     stage.Answer(second, 40);
     stage.Serve(trace, second, 41);
@@ -283,7 +283,7 @@
   TraceId trace = stage.Ask(kRelease, 0);
   uint64_t first = stage.Send(trace, 0, 1);
   stage.Run(first, 2);
-  stage.Answer(first, 10, AtNode::kError);
+  stage.Answer(first, 10, AttemptEnd::kError);
   uint64_t second = stage.Send(trace, 1, 11);
   stage.Run(second, 12);
   stage.Answer(second, 20);
@@ -292,7 +292,7 @@
                                                      Stage::Line("sent_again", trace)}));
 }
 
-TEST(EffectRepeated, OverTwoTriesWhereTheFirstWasSaidToBeHarmless) {
+TEST(EffectRepeated, InTwoTriesIfTheFirstWasRefused) {
   Stage stage;
   TraceId first = stage.Ask(kRelease, 0);
   stage.Run(stage.Send(first, 0, 1), 2);
@@ -306,12 +306,12 @@
                                                      Stage::Line("refusal_untrue", first)}));
 }
 
-TEST(EffectRepeated, NotWhereTheClientTriedAgainOfItsOwn) {
+TEST(EffectRepeated, NotIfTheClientRetriedOnItsOwn) {
   Stage stage;
   TraceId first = stage.Ask(kRelease, 0);
   uint64_t attempt = stage.Send(first, 0, 1);
   stage.Run(attempt, 2);
-  stage.Answer(attempt, 9, AtNode::kError);
+  stage.Answer(attempt, 9, AttemptEnd::kError);
   stage.End(first, 10, End::kFailed, 502);
   TraceId second = stage.Ask(kRelease, 50, first);
   attempt = stage.Send(second, 1, 51);
@@ -321,8 +321,8 @@
   EXPECT_EQ(stage.Found(), kNothing);
 }
 
-// The nodes should have dropped the second: that is no fault of the balancer.
-TEST(EffectRepeated, AKeyedOneWithinItsWindowIsTheSitesFault) {
+// The nodes should have dropped the second attempt, so it is not the balancer's fault.
+TEST(EffectRepeated, NotForAKeyedQueryThatNodesShouldHaveDropped) {
   Stage stage;
   TraceId trace = stage.Ask(kCharge, 0);
   stage.Run(stage.Send(trace, 0, 1), 2);
@@ -335,12 +335,12 @@
 }
 
 TEST(RefusalUntrue, AnUnsafeQueryThatMayHaveRun) {
-  for (AtNode how : {AtNode::kTurnedAway, AtNode::kDropped}) {
+  for (AttemptEnd how : {AttemptEnd::kRejected, AttemptEnd::kDropped}) {
     Stage stage;
     TraceId trace = stage.Ask(kRelease, 0);
     stage.Answer(stage.Send(trace, 0, 1), 9, how);
     stage.End(trace, 10, End::kRefused, 429);
-    EXPECT_EQ(stage.Found(), how == AtNode::kTurnedAway ? kNothing : Stage::Only("refusal_untrue", trace));
+    EXPECT_EQ(stage.Found(), how == AttemptEnd::kRejected ? kNothing : Stage::Only("refusal_untrue", trace));
   }
 }
 
@@ -357,8 +357,8 @@
   }
 }
 
-TEST(Copies, WhereNoneAreAllowed) {
-  for (double cancelled_ms : {149.0, 151.0}) {  // 50 ms of slack after the second is sent
+TEST(Copies, IfNoneAreAllowed) {
+  for (double cancelled_ms : {149.0, 151.0}) {  // 50 ms of socket slack after the second is sent
     Facts facts = StageFacts();
     facts.settings.second_copies = false;
     Stage stage(facts);
@@ -373,8 +373,8 @@
   }
 }
 
-// What the balancer closed, the node behind the cut has not seen close.
-TEST(Copies, NotWhereTheNodeOfTheFirstWasCutOff) {
+// A node behind the cut has not seen the balancer close the link.
+TEST(Copies, NotIfTheNodeOfTheFirstWasCutOff) {
   for (int node : {2, 1}) {
     Facts facts = StageFacts();
     facts.settings.second_copies = false;
@@ -407,61 +407,63 @@
     uint64_t attempt = 0;
     for (int i = 0; i < attempts; ++i) {
       attempt = stage.Send(trace, i % 3, 10 * i);
-      stage.Answer(attempt, 10 * i + 5, i + 1 == attempts ? AtNode::kAnswered : AtNode::kError);
+      stage.Answer(attempt, 10 * i + 5, i + 1 == attempts ? AttemptEnd::kAnswered : AttemptEnd::kError);
     }
     stage.Serve(trace, attempt, 50);
     EXPECT_EQ(stage.Found(), attempts == 3 ? kNothing : Stage::Only("too_many_attempts", trace));
   }
 }
 
-TEST(Draining, SentLaterThanTheGrace) {
+TEST(Draining, SentAfterTheGracePeriod) {
   for (auto state : {meadowslip::BackendState::kDraining, meadowslip::BackendState::kGone}) {
-    for (double ms : {899.0, 901.0}) {  // told at 100, and once more, which starts no new grace
+    for (double ms :
+         {899.0, 901.0}) {  // notified at 100; the repeated notification starts no new grace period
       Stage stage;
-      stage.judge.Told(0, 0, state, 0, stage.At(100));
-      stage.judge.Told(0, 0, state, 0, stage.At(500));
-      stage.Good(kRead, 2000, 20, 1);  // the other balancer has not been told
+      stage.judge.NodeStateSent(0, 0, state, 0, stage.At(100));
+      stage.judge.NodeStateSent(0, 0, state, 0, stage.At(500));
+      stage.Good(kRead, 2000, 20, 1);  // the other balancer has not been notified
       TraceId trace = stage.Good(kRead, ms);
       EXPECT_EQ(stage.Found(), ms == 899 ? kNothing : Stage::Only("draining", trace));
     }
   }
 }
 
-TEST(Draining, NotOnceTheNodeIsBackOrTheBalancerIsNew) {
+TEST(Draining, NotAfterTheNodeReturnsOrTheBalancerRestarts) {
   Stage stage;
-  stage.judge.Told(0, 0, meadowslip::BackendState::kDraining, 0, stage.At(100));
-  stage.judge.Told(0, 0, meadowslip::BackendState::kReady, stage.At(1500), stage.At(2000));
-  stage.judge.Told(1, 0, meadowslip::BackendState::kDraining, 0, stage.At(100));
+  stage.judge.NodeStateSent(0, 0, meadowslip::BackendState::kDraining, 0, stage.At(100));
+  stage.judge.NodeStateSent(0, 0, meadowslip::BackendState::kReady, stage.At(1500), stage.At(2000));
+  stage.judge.NodeStateSent(1, 0, meadowslip::BackendState::kDraining, 0, stage.At(100));
   stage.judge.BalancerUp(1, stage.At(2500));
   stage.Good(kRead, 3000);
   stage.Good(kRead, 3000, 20, 1);
   EXPECT_EQ(stage.Found(), kNothing);
 }
 
-TEST(Draining, DeemedToldWhereItHasNotAskedForLong) {
+TEST(Draining, AssumedKnownIfTheBalancerHasNotRequestedTheList) {
   struct Case {
     bool watching, failed;
     double sent_ms;
     bool broken;
   };
-  // Listed at 500, asked at 1,000: deemed told at 11,000, after a call that failed at 41,000.
+  // Listed at 500, requested at 1,000: assumed known at 11,000; if the call failed, at 41,000.
   for (const Case& c : {Case{false, false, 11'798, false}, Case{false, false, 11'800, true},
                         Case{true, false, 39'000, false}, Case{false, true, 39'000, false}}) {
     Stage stage;
     stage.judge.BalancerUp(0, stage.At(0));
     stage.judge.Listed(0, meadowslip::BackendState::kDraining, 0, stage.At(500));
     if (c.failed) {
-      stage.judge.AskFailed(0, stage.At(1000));
+      stage.judge.ListRequestFailed(0, stage.At(1000));
     } else {
-      stage.judge.Asked(0, stage.At(1000), c.watching);
+      stage.judge.ListRequested(0, stage.At(1000), c.watching);
     }
     TraceId trace = stage.Good(kRead, c.sent_ms);
     EXPECT_EQ(stage.Found(), c.broken ? Stage::Only("draining", trace) : kNothing) << c.sent_ms;
   }
 }
 
-// Listed at 500, and the balancer is there since 0, or begins at 5,000: what is pushed it has from then on.
-TEST(Draining, WhatIsPushedIsToldWhetherItIsAskedForOrNot) {
+// Listed at 500; the balancer runs since 0, or starts at 5,000. It counts as knowing pushed lists from the
+// later of the two on.
+TEST(Draining, PushedListsAreKnownWithoutARequest) {
   for (const double up_ms : {0.0, 5000.0}) {
     for (const bool late : {false, true}) {
       Facts facts = StageFacts();
@@ -475,72 +477,73 @@
   }
 }
 
-TEST(Draining, DeemedToldThatTheNodeIsBack) {
+TEST(Draining, AssumedKnownThatTheNodeIsBack) {
   Stage stage;
   stage.judge.BalancerUp(0, stage.At(0));
-  stage.judge.Told(0, 0, meadowslip::BackendState::kDraining, 0, stage.At(100));
-  stage.judge.Asked(0, stage.At(100), false);
+  stage.judge.NodeStateSent(0, 0, meadowslip::BackendState::kDraining, 0, stage.At(100));
+  stage.judge.ListRequested(0, stage.At(100), false);
   stage.judge.Listed(0, meadowslip::BackendState::kDraining, 0, stage.At(50));
   stage.judge.Listed(0, meadowslip::BackendState::kReady, stage.At(1900), stage.At(2000));
   stage.Good(kRead, 12'100);
   EXPECT_EQ(stage.Found(), kNothing);
 }
 
-TEST(Draining, WhereOnlyAListedDrainBindsNotOneThatIsGone) {
+TEST(Draining, AGoneNodeDoesNotCountIfOnlyListedDrainsBind) {
   Facts facts = StageFacts();
   facts.settings.gone_binds = false;
   Stage stage(facts);
-  stage.judge.Told(0, 0, meadowslip::BackendState::kGone, 0, stage.At(100));
+  stage.judge.NodeStateSent(0, 0, meadowslip::BackendState::kGone, 0, stage.At(100));
   stage.Good(kRead, 5000);
   EXPECT_EQ(stage.Found(), kNothing);
 }
 
-TEST(ColdNode, PushedOverByThoseWhoKnew) {
+TEST(ColdNode, OverloadedByBalancersThatKnew) {
   struct Case {
     std::vector<double> pushed_by;
-    double started_ms, told_ms;  // what b1 is told of it, and when; it started at 5,000
+    double started_ms, told_ms;  // the start time that b1 receives, and when; the node started at 5,000
     bool broken;
   };
   for (const Case& c : {Case{{2, 1}, 5000, 6000, true}, Case{{1.9, 1.1}, 5000, 6000, false},
                         Case{{2, 1}, 1000, 6000, false}, Case{{2, 1}, 5000, 7951, false}}) {
     Stage stage;
     stage.judge.NodeChanged(0, NodeChange::kStarted, stage.At(5000), {});
-    stage.judge.Told(0, 0, meadowslip::BackendState::kReady, stage.At(c.started_ms), stage.At(c.told_ms));
-    stage.judge.NodeChanged(0, NodeChange::kFell, stage.At(8000), c.pushed_by);
+    stage.judge.NodeStateSent(0, 0, meadowslip::BackendState::kReady, stage.At(c.started_ms),
+                              stage.At(c.told_ms));
+    stage.judge.NodeChanged(0, NodeChange::kOverloaded, stage.At(8000), c.pushed_by);
     const Verdict& verdict = stage.Finish();
     EXPECT_EQ(verdict.rules_kept, !c.broken);
-    EXPECT_EQ(stage.judge.Broken(Rule::kColdNode), c.broken ? 1u : 0u);
+    EXPECT_EQ(stage.judge.Violations(Rule::kColdNode), c.broken ? 1u : 0u);
     EXPECT_EQ(verdict.nodes[0].fell, 1);
   }
 }
 
-TEST(ColdNode, PushedOverByOneWhoIsDeemedToKnow) {
+TEST(ColdNode, OverloadedByABalancerAssumedToKnow) {
   for (double fell_ms : {14'000.0, 16'000.0}) {
     Stage stage;
     stage.judge.BalancerUp(0, stage.At(0));
     stage.judge.NodeChanged(0, NodeChange::kStarted, stage.At(5000), {});
     stage.judge.Listed(0, meadowslip::BackendState::kReady, stage.At(5000), stage.At(5500));
-    stage.judge.NodeChanged(0, NodeChange::kFell, stage.At(fell_ms), {3, 0});
+    stage.judge.NodeChanged(0, NodeChange::kOverloaded, stage.At(fell_ms), {3, 0});
     EXPECT_EQ(stage.Finish().rules_kept, fell_ms < 15'500);
   }
 }
 
-TEST(Crashed, ABalancerThatNobodyEnded) {
+TEST(Crashed, ABalancerThatNeitherStoppedNorWasKilled) {
   Stage stage;
-  stage.judge.FaultBegan(0, stage.At(1000));  // kills the first
+  stage.judge.FaultBegan(0, stage.At(1000));  // kills the first balancer
   stage.judge.BalancerDown(0, stage.At(1000), false);
   stage.judge.FaultEnded(0, stage.At(4000));
-  stage.judge.FaultBegan(1, stage.At(9000));  // cuts the zone of that number off
+  stage.judge.FaultBegan(1, stage.At(9000));  // cuts off the zone
   stage.judge.BalancerDown(1, stage.At(9000), false);
   const Verdict& verdict = stage.Finish();
-  EXPECT_EQ(stage.judge.Broken(Rule::kCrashed), 1u);
+  EXPECT_EQ(stage.judge.Violations(Rule::kCrashed), 1u);
   EXPECT_EQ(verdict.balancers[0].kills, 1);
   EXPECT_EQ(verdict.balancers[1].crashes, 1);
 }
 
-// A process that the script stopped answers nothing meanwhile, which is not its doing; one beside it is held
-// to its time, and so is the same one before and after.
-TEST(AnswerLost, ABalancerThatStoodStillIsExcusedForThatTimeAlone) {
+// A paused process does not answer, which is not its fault. The time limits still apply to another balancer,
+// and to the same one before and after the pause.
+TEST(AnswerLost, APausedBalancerIsExcusedOnlyForThePause) {
   struct Case {
     double asked_ms;
     int balancer;
