--- a/src/lab/commands.cpp
+++ b/src/lab/commands.cpp
@@ -74,7 +74,7 @@
 
 // What a seed draws, a line for each node, fault and query: two that are the same byte for byte ask the same.
 void PrintScript(const Experiment& experiment, std::optional<uint64_t> seed) {
-  std::cout << Describe(experiment, Draw(experiment, seed.value_or(experiment.seed)));
+  std::cout << Describe(experiment, GenerateScript(experiment, seed.value_or(experiment.seed)));
 }
 
 int Check(const std::vector<std::string>& files, bool script, std::optional<uint64_t> seed) {
--- a/src/lab/load/clients.cpp
+++ b/src/lab/load/clients.cpp
@@ -207,7 +207,7 @@
   Query& one = At(slot);
   const ClassSpec& cls = classes_[static_cast<size_t>(one.what.cls)];
   one.give_up_at =
-      retries_.GiveUpAt(one.what.cls, one.due, one.first_due, one.what.patience, one.may_run_since);
+      retries_.GiveUpAt(one.what.cls, one.due, one.first_due, one.what.try_timeout, one.may_run_since);
   works_.Note(one.trace, {one.what.cls, one.what.work_us},
               one.first_due + FromMs(cls.deadline_ms) + reads_on_ + kForgetWork);
   ++counts_.tries;
@@ -370,7 +370,7 @@
                          .first_due = one.first_due,
                          .may_run_since = one.may_run_since,
                          .refused_for = outcome.refused_for,
-                         .honours = one.what.honours,
+                         .honours = one.what.honours_retry_after,
                          .wait = FromMs(draws.Between(parts_.experiment.clients.retry_wait_ms))});
   }
   if (again) {
--- a/src/lab/load/front_model.cpp
+++ b/src/lab/load/front_model.cpp
@@ -34,7 +34,7 @@
 }
 
 RetryModel::RetryModel(const ClientSpec& clients, const std::vector<ClassSpec>& classes)
-    : most_retries_(std::min(clients.most_retries, kMostRetries)),
+    : most_retries_(std::min(clients.most_retries, kMaxRetries)),
       most_retry_after_(static_cast<Micros>(clients.most_retry_after_ms * kMs)) {
   for (const ClassSpec& one : classes) {
     classes_.push_back(
--- a/src/lab/load/rude.cpp
+++ b/src/lab/load/rude.cpp
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-bool IsRude(TraceId trace) { return NumberOfTry(trace) == kMostTries - 1; }
+bool IsRude(TraceId trace) { return NumberOfTry(trace) == kMaxTries - 1; }
 
 RudeClients::RudeClients(Machine& machine, WorkBook& works, const Experiment& experiment,
                          const std::vector<Address>& balancers, uint64_t seed)
@@ -150,7 +150,7 @@
   query.key = 1 + draws.Next() % 1000;
   query.work_us = kMs;
   query.estimate = kMs;
-  query.trace = TraceOfTry(FirstTrace(draws.Next()), kMostTries - 1);
+  query.trace = TraceOfTry(FirstTrace(draws.Next()), kMaxTries - 1);
   works_.Note(query.trace, {query.cls, query.work_us}, machine_.Now() + kRemember);
   std::string text;
   text_.Append(text, query, query.trace, 0, kSecond);
--- a/src/lab/members/real_members.cpp
+++ b/src/lab/members/real_members.cpp
@@ -70,7 +70,7 @@
         plan_(DrawMembers(scenario, seed)),
         judge_(scenario, plan_),
         site_(SiteOf(scenario)),
-        script_(Draw(site_, seed)),
+        script_(GenerateScript(site_, seed)),
         machine_(true),
         signals_(machine_.scheduler(), {SIGINT, SIGTERM}),
         paths_(machine_, seed),
--- a/src/lab/run/run.cpp
+++ b/src/lab/run/run.cpp
@@ -48,12 +48,12 @@
 Run::Run(Machine& machine, const Experiment& experiment, uint64_t seed, Setup setup, Processes& processes)
     : machine_(machine),
       experiment_(experiment),
-      script_(Draw(experiment, seed)),
+      script_(GenerateScript(experiment, seed)),
       setup_(std::move(setup)),
       processes_(processes),
       begins_at_(machine.Now() + setup_.start_within),
       lives_(script_.balancers.size(), Life::kNone),
-      arrivals_(DrawArrivals(experiment, script_)),
+      arrivals_(GenerateArrivals(experiment, script_)),
       judge_(MakeFacts(experiment, script_, setup_.subject, begins_at_)),
       fleet_(experiment.fleet, NamesOf(script_), begins_at_),
       clients_({machine, witnesses_, experiment, *arrivals_, BalancersAt(script_, setup_.listen),
@@ -81,7 +81,7 @@
   now.tries = clients_.counts().tries;
   for (int rule = 0; rule < kRules; ++rule) now.broken += judge_.Broken(static_cast<Rule>(rule));
   for (const Action& action : script_.actions) {
-    if (action.at <= now.since) now.fault = TraitsOf(action.kind).word;
+    if (action.at <= now.since) now.fault = TraitsOf(action.kind).name;
   }
   return now;
 }
--- a/src/lab/script/arrivals.cpp
+++ b/src/lab/script/arrivals.cpp
@@ -1,6 +1,7 @@
-// The queries as they come. The load as it is without jumps is one source of arrivals; each jump is one more,
-// which brings what the jump adds, or, where it takes away, thins out what the others bring. So a jump leaves
-// all that comes without it as it was.
+// Generates the arrivals of queries. The load without traffic jumps is one source of arrivals, and each jump
+// is a further source. A jump with a factor above 1 adds its own arrivals; one with a factor below 1 removes
+// a share of the arrivals of the other sources (thinning). Adding a jump to an experiment therefore leaves
+// the arrivals outside the jump unchanged.
 #include <algorithm>
 #include <cmath>
 #include <queue>
@@ -14,8 +15,8 @@
 namespace burlfall::lab {
 namespace {
 
-// A bijection of 64 bits (the last step of MurmurHash3) and its inverse: traces look like chance, yet no two
-// can be the same.
+// A bijection on 64 bits (the finaliser of MurmurHash3) and its inverse: traces look random, yet no two of
+// them can be equal.
 constexpr uint64_t Mix(uint64_t x) {
   x = (x ^ x >> 33) * 0xff51afd7ed558ccdULL;
   x = (x ^ x >> 33) * 0xc4ceb9fe1a85ec53ULL;
@@ -28,38 +29,40 @@
 }
 static_assert(Unmix(Mix(0x0123456789abcdefULL)) == 0x0123456789abcdefULL);
 
-// What a trace is made of, from the lowest bit: try, arrival of its source, source, run.
+// Bit fields of a trace before mixing, from the lowest bit: number of the try, number of the arrival within
+// its source, source, run.
 constexpr int kTryBits = 4;
 constexpr int kArrivalBits = 40;
 constexpr int kSourceBits = 8;
-constexpr int kMostSources = 1 << kSourceBits;
-static_assert(kMostTries == 1 << kTryBits);
+constexpr int kMaxSources = 1 << kSourceBits;
+static_assert(kMaxTries == 1 << kTryBits);
 
+// A change of the traffic by a factor, in one zone or in all of them.
 struct Jump {
   Micros at = 0;
   Micros until = 0;
   double factor = 1;
-  int zone = -1;  // -1: everywhere
+  int zone = -1;  // -1: all zones
   bool Hits(int in) const { return zone < 0 || zone == in; }
 };
 
-// Of a source, a stretch of time over which its rate runs straight and the zones' parts stay.
+// A period of a source during which its rate changes linearly and the zones' shares are constant.
 struct Segment {
-  double from = 0;  // us
-  double length = 0;
-  double low = 0;  // rate at its start, a microsecond
-  double high = 0;
-  std::vector<double> zones = {};  // cumulative, the last 1
+  double from = 0;                 // us
+  double length = 0;               // us
+  double low = 0;                  // rate at the start, arrivals per microsecond
+  double high = 0;                 // rate at the end, arrivals per microsecond
+  std::vector<double> zones = {};  // cumulative shares of the zones; the last is 1
 };
 
-// The shape's factor as a straight line; it is asked for at places between two steps.
-struct Straight {
+// The load factor as a linear function of time, never below 0; it is valid between two steps of the shape.
+struct LinearFactor {
   double at = 0;
   double value = 1;
   double slope = 0;
   double operator()(double t) const { return std::max(0.0, value + (t - at) * slope); }
 };
-Straight ShapeAround(const std::vector<LoadSpec::Step>& shape, double us) {
+LinearFactor ShapeAround(const std::vector<LoadSpec::Step>& shape, double us) {
   if (shape.empty()) return {};
   const auto after =
       std::find_if(shape.begin(), shape.end(), [&](const LoadSpec::Step& s) { return s.at_s * 1e6 > us; });
@@ -70,6 +73,7 @@
           (after->factor - before.factor) / ((after->at_s - before.at_s) * 1e6)};
 }
 
+// Returns the given weights, or equal ones if none are given, scaled to a sum of 1.
 std::vector<double> Shares(const std::vector<double>& given, size_t n) {
   std::vector<double> shares = given.empty() ? std::vector<double>(n, 1) : given;
   double all = 0;
@@ -78,8 +82,8 @@
   return shares;
 }
 
-// The segments of the load without jumps (`source` is -1), or of what a jump adds. A jump that overlaps with
-// earlier ones multiplies what these made of the load.
+// Returns the segments of the load without jumps (`source` is -1), or of the load that jump `source` adds. A
+// jump that overlaps earlier ones multiplies the load that results from these.
 std::vector<Segment> Segments(const Experiment& experiment, Micros length, const std::vector<Jump>& jumps,
                               int source) {
   const double end = static_cast<double>(length);
@@ -114,7 +118,7 @@
     }
     if (all <= 0) continue;
     for (double& zone : segment.zones) zone /= all;
-    const Straight shape = ShapeAround(experiment.load.shape, middle);
+    const LinearFactor shape = ShapeAround(experiment.load.shape, middle);
     segment.low = experiment.load.rate_per_s * 1e-6 * all * shape(from);
     segment.high = experiment.load.rate_per_s * 1e-6 * all * shape(to);
     segments.push_back(std::move(segment));
@@ -122,14 +126,14 @@
   return segments;
 }
 
-// Arrival times of an inhomogeneous Poisson process, by inversion: what is drawn is how much expected load
-// passes until the next.
-class Times {
+// Arrival times of an inhomogeneous Poisson process, by inversion: the random number is the integral of the
+// rate until the next arrival.
+class ArrivalTimes {
  public:
-  Times(std::vector<Segment> segments, uint64_t seed, const std::string& actor)
+  ArrivalTimes(std::vector<Segment> segments, uint64_t seed, const std::string& actor)
       : segments_(std::move(segments)), stream_(seed, actor) {}
 
-  // The segment that the next arrival falls into, or nullptr after the last.
+  // Sets `at` to the time of the next arrival and returns its segment, or nullptr after the last arrival.
   const Segment* Next(Micros& at) {
     double left = stream_.Exponential(1);
     while (now_ < segments_.size()) {
@@ -153,28 +157,28 @@
  private:
   std::vector<Segment> segments_;
   size_t now_ = 0;
-  double passed_ = 0;  // of the segment
+  double passed_ = 0;  // time since the start of the segment, us
   Stream64 stream_;
 };
 
-// Log-normal with what does not change worked out once.
-class Work {
+// A log-normal distribution with its constant terms computed once.
+class WorkDistribution {
  public:
-  Work(double mean, double spread) {
+  WorkDistribution(double mean, double spread) {
     const double variance = Log(1 + spread * spread);
     mean_ = Log(mean) - variance / 2;
     deviation_ = std::sqrt(variance);
   }
-  double Draw(Stream64& stream) const { return Exp(stream.Normal(mean_, deviation_)); }
+  double Sample(Stream64& stream) const { return Exp(stream.Normal(mean_, deviation_)); }
 
  private:
   double mean_ = 0;
   double deviation_ = 0;
 };
 
-// What all sources share.
-struct Tables {
-  Tables(const Experiment& e, const Script& script)
+// Distributions and settings that all sources share.
+struct SharedTables {
+  SharedTables(const Experiment& e, const Script& script)
       : classes(Weights(e.classes)),
         tenants(e.tenants.empty() ? std::vector<double>{1} : Weights(e.tenants)),
         keys(Zipf(e.load.keys, e.load.key_skew)),
@@ -205,19 +209,20 @@
   AliasTable tenants;
   AliasTable keys;
   uint64_t first_key;
-  std::vector<Work> work;
+  std::vector<WorkDistribution> work;
   std::vector<double> deadlines;
-  Work error;
+  WorkDistribution error;
   bool hints;
   Range give_up_share;
   double honour_share;
 };
 
+// One source of arrivals: the load without jumps, or what one jump adds.
 class Source {
  public:
-  // `index`: -1 for the load without jumps, else the jump's.
+  // `index`: -1 for the load without jumps, else the index of the jump.
   Source(const Experiment& experiment, const Script& script, const std::vector<Jump>& jumps, int index,
-         const Tables& tables)
+         const SharedTables& tables)
       : tables_(tables),
         jumps_(jumps),
         last_(script.length - 1),
@@ -234,32 +239,35 @@
       const Segment* segment = times_.Next(into.at);
       if (segment == nullptr) return false;
       into.at = std::min(into.at, last_);
-      const double part = zone_.Uniform();
+      const double zone_draw = zone_.Uniform();
       into.zone = 0;
-      while (part >= segment->zones[static_cast<size_t>(into.zone)]) ++into.zone;
+      while (zone_draw >= segment->zones[static_cast<size_t>(into.zone)]) ++into.zone;
       into.cls = tables_.classes.Pick(class_);
       into.tenant = tables_.tenants.Pick(tenant_);
       into.key = Mix(tables_.first_key + static_cast<uint64_t>(tables_.keys.Pick(key_)));
       const auto cls = static_cast<size_t>(into.cls);
-      into.work_us = tables_.work[cls].Draw(work_);
+      into.work_us = tables_.work[cls].Sample(work_);
       into.estimate = 0;
       if (tables_.hints) {
-        const double guess = into.work_us * tables_.error.Draw(estimate_);
-        into.estimate = std::max<Micros>(1, static_cast<Micros>(guess + 0.5));
+        const double noisy_work = into.work_us * tables_.error.Sample(estimate_);
+        into.estimate = std::max<Micros>(1, static_cast<Micros>(noisy_work + 0.5));
       }
-      into.patience =
-          static_cast<Micros>(tables_.deadlines[cls] * patience_.Between(tables_.give_up_share) + 0.5);
-      into.honours = honour_.Chance(tables_.honour_share);
+      into.try_timeout =
+          static_cast<Micros>(tables_.deadlines[cls] * try_timeout_.Between(tables_.give_up_share) + 0.5);
+      into.honours_retry_after = honour_.Chance(tables_.honour_share);
       trace_ += uint64_t{1} << kTryBits;
       into.trace = Mix(trace_);
-    } while (Thinned(into));
+    } while (RemovedByThinning(into));
     return true;
   }
 
  private:
+  // Each attribute of an arrival has a random number stream of its own.
   Stream64 Stream(const std::string& attribute) const { return Stream64(seed_, actor_ + "/" + attribute); }
 
-  bool Thinned(const Arrival& a) {
+  // Whether a jump with a factor below 1 removes the arrival. Each active jump consumes a random number, also
+  // when another one has already removed the arrival, so that the streams stay independent.
+  bool RemovedByThinning(const Arrival& a) {
     bool thinned = false;
     for (size_t k = 0; k < jumps_.size(); ++k) {
       const Jump& jump = jumps_[k];
@@ -269,80 +277,82 @@
     return thinned;
   }
 
-  const Tables& tables_;
+  const SharedTables& tables_;
   const std::vector<Jump>& jumps_;
   Micros last_ = 0;
   uint64_t trace_ = 0;
   std::string actor_;
   uint64_t seed_ = 0;
-  Times times_;
+  ArrivalTimes times_;
   Stream64 class_ = Stream("class");
   Stream64 tenant_ = Stream("tenant");
   Stream64 zone_ = Stream("zone");
   Stream64 key_ = Stream("key");
   Stream64 work_ = Stream("work");
   Stream64 estimate_ = Stream("estimate");
-  Stream64 patience_ = Stream("patience");
+  Stream64 try_timeout_ = Stream("patience");
   Stream64 honour_ = Stream("honour");
   std::vector<Stream64> thin_;  // by jump
 };
 
-// What a tenant may ask for: its quota, of which it may save up a second's.
-class Quota {
+// Token bucket for a tenant's quota; its capacity is the quota of one second.
+class QuotaBucket {
  public:
-  explicit Quota(double per_s) : per_us_(per_s * 1e-6), most_(std::max(1.0, per_s)), left_(most_) {}
+  explicit QuotaBucket(double per_s) : per_us_(per_s * 1e-6), burst_(std::max(1.0, per_s)), tokens_(burst_) {}
   bool Take(Micros at) {
-    if (per_us_ <= 0) return true;  // none is set
-    left_ = std::min(most_, left_ + static_cast<double>(at - last_) * per_us_);
+    if (per_us_ <= 0) return true;  // the tenant has no quota
+    tokens_ = std::min(burst_, tokens_ + static_cast<double>(at - last_) * per_us_);
     last_ = at;
-    if (left_ < 1) return false;
-    left_ -= 1;
+    if (tokens_ < 1) return false;
+    tokens_ -= 1;
     return true;
   }
 
  private:
   double per_us_ = 0;
-  double most_ = 1;
-  double left_ = 1;
+  double burst_ = 1;
+  double tokens_ = 1;
   Micros last_ = 0;
 };
 
-class Merged : public Arrivals {
+// Merges the arrivals of all sources in order of time.
+class MergedArrivals : public Arrivals {
  public:
-  Merged(const Experiment& experiment, const Script& script)
+  MergedArrivals(const Experiment& experiment, const Script& script)
       : jumps_(Jumps(experiment, script)), tables_(experiment, script) {
     for (const TenantSpec& tenant : experiment.tenants) quotas_.emplace_back(tenant.quota_per_s);
     if (quotas_.empty()) quotas_.emplace_back(0);
     sources_.reserve(jumps_.size() + 1);
     for (int i = -1; i < static_cast<int>(jumps_.size()); ++i) {
       sources_.emplace_back(experiment, script, jumps_, i, tables_);
-      Refill(sources_.size() - 1);
+      FetchNext(sources_.size() - 1);
     }
   }
-  Merged(const Merged&) = delete;  // the sources refer to what is in here
-  Merged& operator=(const Merged&) = delete;
+  MergedArrivals(const MergedArrivals&) = delete;  // the sources hold references to members
+  MergedArrivals& operator=(const MergedArrivals&) = delete;
 
   bool Next(Arrival& into) override {
-    if (waiting_.empty()) return false;
-    into = waiting_.top().arrival;
-    const size_t source = waiting_.top().source;
-    waiting_.pop();
-    Refill(source);
+    if (pending_.empty()) return false;
+    into = pending_.top().arrival;
+    const size_t source = pending_.top().source;
+    pending_.pop();
+    FetchNext(source);
     into.within_share = quotas_[static_cast<size_t>(into.tenant)].Take(into.at);
     return true;
   }
 
  private:
-  struct Waiting {
+  struct PendingArrival {
     Arrival arrival;
     size_t source = 0;
-    bool operator<(const Waiting& other) const {  // the earliest is on top
+    bool operator<(const PendingArrival& other) const {  // the earliest is on top
       if (arrival.at != other.arrival.at) return arrival.at > other.arrival.at;
       return source > other.source;
     }
   };
 
-  // In the order of the file, not of time: a stream goes by a jump's place among the jumps.
+  // Returns the jumps in the order of the experiment file, not of time: a jump's random number streams are
+  // named by its index among the jumps.
   static std::vector<Jump> Jumps(const Experiment& experiment, const Script& script) {
     std::vector<const Action*> actions;
     for (const Action& a : script.actions) {
@@ -354,33 +364,33 @@
     for (const Action* a : actions) {
       jumps.push_back({a->at, a->until, a->size, a->targets.empty() ? -1 : a->targets.front()});
     }
-    if (jumps.size() >= kMostSources) throw std::invalid_argument("too many traffic jumps");
+    if (jumps.size() >= kMaxSources) throw std::invalid_argument("too many traffic jumps");
     if (experiment.load.keys < 1) throw std::invalid_argument("a load without keys");
     return jumps;
   }
 
-  void Refill(size_t source) {
+  void FetchNext(size_t source) {
     Arrival next;
-    if (sources_[source].Next(next)) waiting_.push({next, source});
+    if (sources_[source].Next(next)) pending_.push({next, source});
   }
 
   std::vector<Jump> jumps_;
-  Tables tables_;
+  SharedTables tables_;
   std::vector<Source> sources_;
-  std::vector<Quota> quotas_;
-  std::priority_queue<Waiting> waiting_;
+  std::vector<QuotaBucket> quotas_;
+  std::priority_queue<PendingArrival> pending_;
 };
 
 }  // namespace
 
 uint64_t TraceOfTry(uint64_t first, int number) { return Mix(Unmix(first) + static_cast<uint64_t>(number)); }
 
-uint64_t FirstTrace(uint64_t trace) { return Mix(Unmix(trace) & ~static_cast<uint64_t>(kMostTries - 1)); }
+uint64_t FirstTrace(uint64_t trace) { return Mix(Unmix(trace) & ~static_cast<uint64_t>(kMaxTries - 1)); }
 
-int NumberOfTry(uint64_t trace) { return static_cast<int>(Unmix(trace) & (kMostTries - 1)); }
+int NumberOfTry(uint64_t trace) { return static_cast<int>(Unmix(trace) & (kMaxTries - 1)); }
 
-std::unique_ptr<Arrivals> DrawArrivals(const Experiment& experiment, const Script& script) {
-  return std::make_unique<Merged>(experiment, script);
+std::unique_ptr<Arrivals> GenerateArrivals(const Experiment& experiment, const Script& script) {
+  return std::make_unique<MergedArrivals>(experiment, script);
 }
 
 }  // namespace burlfall::lab
--- a/src/lab/script/experiment_file.cpp
+++ b/src/lab/script/experiment_file.cpp
@@ -12,12 +12,12 @@
 namespace burlfall::lab {
 namespace {
 
-constexpr double kMostLength = 86400;  // s
-constexpr double kMostWait = 600000;   // ms
+constexpr double kMaxLengthS = 86400;  // s
+constexpr double kMaxWaitMs = 600000;  // ms
 
 std::string Item(const std::string& list, size_t i) { return list + "[" + std::to_string(i) + "]"; }
 
-// Names stand in paths, headers, JSON and file names, so they are plain.
+// Names are used in paths, headers, JSON and file names, so only a few characters are allowed.
 bool IsName(std::string_view text) {
   return !text.empty() && std::all_of(text.begin(), text.end(), [](char c) {
     return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '-' || c == '_';
@@ -34,7 +34,7 @@
 Schema<NodeGroup> NodeSchema() {
   Schema<NodeGroup> s("nodes of one kind; they are named by it and a number, as std-1");
   s.Key("kind", &NodeGroup::kind, "how lists and reports call the kind").Length(1, 40);
-  s.Key("count", &NodeGroup::count, "how many there are").Between(1, kMostNodes);
+  s.Key("count", &NodeGroup::count, "how many there are").Between(1, kMaxNodes);
   s.Key("zone", &NodeGroup::zone, "where they are; left out: in all zones in turn").Length(0, 40);
   s.Key("cores", &NodeGroup::cores, "cores of each").Between(1, 1024);
   s.Key("speed", &NodeGroup::speed, "of a core, against a standard one").Between(0.01, 100);
@@ -49,7 +49,7 @@
       .Between(0, 1e6);
   s.Key("cold_share", &NodeGroup::cold_share, "of its capacity that a node has just after its start")
       .Between(0.01, 1);
-  s.Key("cold_s", &NodeGroup::cold_s, "until a node that started is warm").Unit("s").Between(0, kMostLength);
+  s.Key("cold_s", &NodeGroup::cold_s, "until a node that started is warm").Unit("s").Between(0, kMaxLengthS);
   s.Key("error_share", &NodeGroup::error_share, "of the queries that fail by themselves").Between(0, 1);
   s.Words("cancel_stops", &NodeGroup::cancel_stops,
           {{"nothing", CancelStops::kNothing}, {"queued", CancelStops::kQueued}, {"all", CancelStops::kAll}},
@@ -59,20 +59,20 @@
       .Between(0, 0.99);
   s.Key("warm_key_s", &NodeGroup::warm_key_s, "for how long a node remembers a key")
       .Unit("s")
-      .Between(0, kMostLength);
+      .Between(0, kMaxLengthS);
   s.Key("warm_keys", &NodeGroup::warm_keys, "how many keys a node remembers").Between(0, 1000000);
   return s;
 }
 
 Schema<BalancerSpec> BalancerSchema() {
   Schema<BalancerSpec> s("the balancers, named b1 and on, in all zones in turn");
-  s.Key("count", &BalancerSpec::count, "how many there are").Between(1, kMostBalancers);
+  s.Key("count", &BalancerSpec::count, "how many there are").Between(1, kMaxBalancers);
   s.Key("know_list", &BalancerSpec::know_list,
         "they start with the list as it was at their first start, and else with none");
   s.Key("start_s", &BalancerSpec::start_s,
         "when each starts, from the start of the run; left out: before it, and the run waits for them")
       .Unit("s")
-      .Between(0, kMostLength);
+      .Between(0, kMaxLengthS);
   s.Key("folder", &BalancerSpec::folder, "each has a folder of its own, which outlives its processes");
   s.Key("memory_mb", &BalancerSpec::memory_mb, "megabytes that each may hold").Between(16, 1 << 20);
   s.Key("descriptors", &BalancerSpec::descriptors, "file descriptors that each may hold")
@@ -83,16 +83,16 @@
 
 Schema<DiscoverySpec> DiscoverySchema() {
   Schema<DiscoverySpec> s("the service that tells balancers of nodes");
-  s.Key("late_ms", &DiscoverySpec::late_ms, "until it knows of a change").Unit("ms").Between(0, kMostWait);
+  s.Key("late_ms", &DiscoverySpec::late_ms, "until it knows of a change").Unit("ms").Between(0, kMaxWaitMs);
   s.Key("silent_late_ms", &DiscoverySpec::silent_late_ms, "until it knows of a node that died without a sign")
       .Unit("ms")
-      .Between(0, kMostWait);
+      .Between(0, kMaxWaitMs);
   s.Key("calls_per_s", &DiscoverySpec::calls_per_s, "that it can answer; further ones wait in turn")
       .Unit("per_s")
       .Between(0.1, 1e6);
   s.Key("patience_ms", &DiscoverySpec::patience_ms, "a call that has waited longer fails")
       .Unit("ms")
-      .Between(1, kMostWait);
+      .Between(1, kMaxWaitMs);
   s.Key("pushed", &DiscoverySpec::pushed,
         "lists are pushed to an agent beside each balancer: they count as told, asked for or not, and "
         "calls wait for nobody");
@@ -155,8 +155,8 @@
       }
       const int before = nodes;
       nodes += group.count;
-      if (nodes > kMostNodes && before <= kMostNodes) {
-        findings.Add(at + ".count", "at most " + std::to_string(kMostNodes) + " nodes in all",
+      if (nodes > kMaxNodes && before <= kMaxNodes) {
+        findings.Add(at + ".count", "at most " + std::to_string(kMaxNodes) + " nodes in all",
                      std::to_string(nodes));
       }
     }
@@ -166,7 +166,7 @@
 
 Schema<LoadSpec> LoadSchema() {
   Schema<LoadSpec::Step> step("a point of the shape");
-  step.Key("at_s", &LoadSpec::Step::at_s, "when, from the start").Unit("s").Between(0, kMostLength);
+  step.Key("at_s", &LoadSpec::Step::at_s, "when, from the start").Unit("s").Between(0, kMaxLengthS);
   step.Key("factor", &LoadSpec::Step::factor, "on the rate").Between(0, 1000);
   Schema<LoadSpec> s("the queries that clients ask");
   s.Key("rate_per_s", &LoadSpec::rate_per_s, "queries, retries not counted")
@@ -221,15 +221,15 @@
       .Between(0, 10);
   s.Key("aim_ms", &ClassSpec::aim_ms, "an answer within this earns its worth")
       .Unit("ms")
-      .Between(1, kMostWait);
+      .Between(1, kMaxWaitMs);
   s.Key("deadline_ms", &ClassSpec::deadline_ms, "a client's patience over all tries")
       .Unit("ms")
-      .Between(1, kMostWait);
+      .Between(1, kMaxWaitMs);
   s.Key("worth", &ClassSpec::worth, "of a query, for each unit of its work").Above(0).AtMost(1e6);
   s.Key("window_ms", &ClassSpec::window_ms, "keyed: within it nodes drop a repeat")
       .Unit("ms")
       .Above(0)
-      .AtMost(kMostWait);
+      .AtMost(kMaxWaitMs);
   s.Check([](const ClassSpec& c, Findings& findings) {
     if (c.aim_ms > c.deadline_ms) {
       findings.Add("aim_ms", "at most deadline_ms, " + ShowToml(TomlValue::Number(c.deadline_ms)),
@@ -257,17 +257,17 @@
 
 Schema<ClientSpec> ClientSchema() {
   Schema<ClientSpec> s("what clients, and the front before the balancers, do");
-  s.Key("most_retries", &ClientSpec::most_retries, "of a query, by the client").Between(0, kMostRetries);
-  s.Key("retry_wait_ms", &ClientSpec::retry_wait_ms, "before a retry").Unit("ms").Between(0, kMostWait);
+  s.Key("most_retries", &ClientSpec::most_retries, "of a query, by the client").Between(0, kMaxRetries);
+  s.Key("retry_wait_ms", &ClientSpec::retry_wait_ms, "before a retry").Unit("ms").Between(0, kMaxWaitMs);
   s.Key("honour_share", &ClientSpec::honour_share, "of the clients that heed Retry-After").Between(0, 1);
   s.Key("most_retry_after_ms", &ClientSpec::most_retry_after_ms, "up to which they heed it")
       .Unit("ms")
-      .Between(0, kMostWait);
+      .Between(0, kMaxWaitMs);
   s.Key("give_up_share", &ClientSpec::give_up_share, "of its class's deadline after which a client leaves")
       .Between(0.01, 1);
   s.Key("notice_ms", &ClientSpec::notice_ms, "until the front stops sending to a dead balancer")
       .Unit("ms")
-      .Between(0, kMostWait);
+      .Between(0, kMaxWaitMs);
   s.Key("most_links", &ClientSpec::most_links, "that a zone's front opens to one balancer")
       .Between(1, 100000);
   return s;
@@ -276,15 +276,15 @@
 Schema<FaultSpec> FaultSchema() {
   Schema<FaultSpec> s("a fault; each may overlap with others, on the same nodes too");
   std::vector<std::pair<std::string, FaultKind>> kinds;
-  for (const FaultTraits& traits : AllFaults()) kinds.emplace_back(traits.word, traits.kind);
+  for (const FaultTraits& traits : AllFaults()) kinds.emplace_back(traits.name, traits.kind);
   s.Words("kind", &FaultSpec::kind, kinds, "what goes wrong").Required();
   s.Key("at_s", &FaultSpec::at_s, "when it begins, from the start of the run")
       .Unit("s")
-      .Between(0, kMostLength)
+      .Between(0, kMaxLengthS)
       .Required();
   s.Key("for_s", &FaultSpec::for_s, "how long it lasts; no longer than the run")
       .Unit("s")
-      .Between(0, kMostLength);
+      .Between(0, kMaxLengthS);
   s.Key("share", &FaultSpec::share, "of the nodes or balancers that it hits; one at least")
       .Above(0)
       .AtMost(1);
@@ -292,33 +292,33 @@
         "hits only what is there; of zone-cut, the zone that is cut off (left out: drawn)")
       .Length(0, 40);
   s.Key("names", &FaultSpec::names, "hits exactly these nodes or balancers, instead of a share")
-      .Length(0, kMostNodes);
+      .Length(0, kMaxNodes);
   s.Key("size", &FaultSpec::size, "how bad; what it counts is the kind's").Between(0, 1e6);
   s.Words("folder", &FaultSpec::folder,
           {{"kept", FolderAfter::kKept}, {"empty", FolderAfter::kEmpty}, {"old", FolderAfter::kOld}},
           "balancers-killed: what they find in their folders; old: as these were at the start before");
   s.Check([](const FaultSpec& fault, Findings& findings) {
     const FaultTraits& traits = TraitsOf(fault.kind);
-    const std::string word(traits.word);
+    const std::string kind_name(traits.name);
     const bool some = traits.hits == FaultHits::kNodes || traits.hits == FaultHits::kBalancers;
     auto refuse = [&](const char* key, const std::string& why) {
       if (findings.Given(key)) findings.Add(key, std::string("no ") + key + ", for " + why, "one");
     };
-    if (!traits.lasts) refuse("for_s", word + " has no length");
-    if (traits.size.empty()) refuse("size", word + " has none");
-    if (fault.kind != FaultKind::kBalancersKilled) refuse("folder", word + " leaves folders alone");
-    if (traits.hits == FaultHits::kNothing) refuse("zone", word + " hits the whole site");
-    if (!some) refuse("share", word + " hits no single nodes or balancers");
-    if (!some) refuse("names", word + " hits no single nodes or balancers");
+    if (!traits.lasts) refuse("for_s", kind_name + " has no length");
+    if (traits.size.empty()) refuse("size", kind_name + " has none");
+    if (fault.kind != FaultKind::kBalancersKilled) refuse("folder", kind_name + " leaves folders alone");
+    if (traits.hits == FaultHits::kNothing) refuse("zone", kind_name + " hits the whole site");
+    if (!some) refuse("share", kind_name + " hits no single nodes or balancers");
+    if (!some) refuse("names", kind_name + " hits no single nodes or balancers");
     if (some && !fault.names.empty()) refuse("share", "names are given");
     if (some && !fault.names.empty()) refuse("zone", "names are given");
     if (traits.size.empty()) return;
     const std::string wanted = std::string(traits.size) + ", from " +
-                               ShowToml(TomlValue::Number(traits.size_least)) + " to " +
-                               ShowToml(TomlValue::Number(traits.size_most));
+                               ShowToml(TomlValue::Number(traits.size_min)) + " to " +
+                               ShowToml(TomlValue::Number(traits.size_max));
     if (!findings.Given("size")) {
       findings.Add("size", wanted, "nothing");
-    } else if (fault.size.low < traits.size_least || fault.size.high > traits.size_most) {
+    } else if (fault.size.low < traits.size_min || fault.size.high > traits.size_max) {
       findings.Add(
           "size", wanted,
           ShowToml(TomlValue::List({TomlValue::Number(fault.size.low), TomlValue::Number(fault.size.high)})));
@@ -341,10 +341,10 @@
       "what the balancers together may ask; 0: not looked at. A run that misses one has failed");
   s.Key("from_s", &FleetGoals::from_s, "counted from here on, or from a process's later start")
       .Unit("s")
-      .Between(0, kMostLength);
+      .Between(0, kMaxLengthS);
   s.Key("listed_within_s", &FleetGoals::listed_within_s, "all have their list")
       .Unit("s")
-      .Between(0, kMostLength);
+      .Between(0, kMaxLengthS);
   s.Key("calls_each", &FleetGoals::calls_each, "that a balancer makes until then, on average")
       .Between(0, 1e6);
   s.Key("first_second", &FleetGoals::first_second, "calls at the list service in the first second")
@@ -362,7 +362,7 @@
   return s;
 }
 
-// That each zone's load finds a balancer, as clients know those of their own zone alone.
+// Checks that each zone with load has a balancer, since clients only use the balancers of their own zone.
 void CheckLoad(const Experiment& e, Findings& findings) {
   const size_t zones = e.site.Zones();
   const std::vector<double>& shares = e.load.zone_shares;
@@ -398,7 +398,7 @@
 void CheckClasses(const Experiment& e, Findings& findings) {
   CheckShares(e.classes, "classes", findings);
   for (size_t i = 0; i < e.classes.size(); ++i) {
-    // The balancer answers these paths itself.
+    // The balancer itself serves these paths.
     const std::string& name = e.classes[i].name;
     if (name == "up" || name == "counters") {
       findings.Add(Item("classes", i) + ".name", "a name that is no path of the balancer's own",
@@ -426,7 +426,7 @@
 void CheckFaults(const Experiment& e, Findings& findings) {
   Experiment calm = e;
   calm.faults.clear();
-  const Script script = Draw(calm, e.seed);  // who there is, and where, goes by no seed
+  const Script script = GenerateScript(calm, e.seed);  // names and zones do not depend on the seed
   for (size_t i = 0; i < e.faults.size(); ++i) {
     const FaultSpec& fault = e.faults[i];
     const std::string at = Item("faults", i);
@@ -439,7 +439,7 @@
     if (hits == FaultHits::kBalancers) CheckNames(fault, at, script.balancers, "a balancer", findings);
     if (hits == FaultHits::kZone && e.site.zones.size() < 2) {
       findings.Add(at + ".kind", "a fault that a site of one zone can have",
-                   Quoted(TraitsOf(fault.kind).word));
+                   Quoted(TraitsOf(fault.kind).name));
     }
     if (fault.zone.empty()) continue;
     const auto zone = std::find(e.site.zones.begin(), e.site.zones.end(), fault.zone);
@@ -468,10 +468,10 @@
   s.Key("title", &Experiment::title, "one line for lists and reports").Required().Length(1, 100);
   s.Key("about", &Experiment::about, "what it is for").Length(0, 2000);
   s.Key("seed", &Experiment::seed, "of all that is drawn, unless the command line gives one");
-  s.Key("length_s", &Experiment::length_s, "how long clients ask").Unit("s").Between(1, kMostLength);
+  s.Key("length_s", &Experiment::length_s, "how long clients ask").Unit("s").Between(1, kMaxLengthS);
   s.Key("settle_s", &Experiment::settle_s, "at the start, not counted in the service")
       .Unit("s")
-      .Between(0, kMostLength);
+      .Between(0, kMaxLengthS);
   s.Table("site", &Experiment::site, SiteSchema(), "what there is").Required();
   s.Table("load", &Experiment::load, LoadSchema(), "what is asked of it");
   s.Tables("classes", &Experiment::classes, ClassSchema(), "classes of queries").Required().Length(1, 64);
@@ -481,7 +481,7 @@
         "worth of a query beyond its tenant's quota, as a share of its class's")
       .Between(0, 1);
   s.Table("clients", &Experiment::clients, ClientSchema(), "what clients do");
-  s.Tables("faults", &Experiment::faults, FaultSchema(), "what goes wrong").Length(0, kMostFaults);
+  s.Tables("faults", &Experiment::faults, FaultSchema(), "what goes wrong").Length(0, kMaxFaults);
   s.Table("goals", &Experiment::goals, GoalsSchema(), "what a run should reach");
   s.Table("start", &Experiment::start, StartSchema(),
           "how balancers start, as deploy/start.toml; left out: as the command line says");
--- a/src/lab/script/experiment_file.h
+++ b/src/lab/script/experiment_file.h
@@ -1,4 +1,4 @@
-// The TOML file that an experiment is written in: its keys, and the checks across them.
+// The TOML file of an experiment: its schema, and the checks that concern several keys.
 #ifndef BURLFALL_LAB_SCRIPT_EXPERIMENT_FILE_H_
 #define BURLFALL_LAB_SCRIPT_EXPERIMENT_FILE_H_
 
@@ -9,17 +9,18 @@
 
 namespace burlfall::lab {
 
-// What no run may go beyond, lest a slip of the pen take the machine down.
-constexpr int kMostBalancers = 1000;
-constexpr int kMostNodes = 5000;
-constexpr int kMostFaults = 200;
+// Upper limits for every run, so that a typing error in a file does not exhaust the machine.
+constexpr int kMaxBalancers = 1000;
+constexpr int kMaxNodes = 5000;
+constexpr int kMaxFaults = 200;
 
 Schema<Experiment> ExperimentSchema();
 
-// `file` names the experiment, by what stands before its ending, and is blamed in errors.
+// Parses and checks the text of a file. The experiment gets the file's base name without its extension; error
+// messages name `file`.
 Loaded<Experiment> ParseExperiment(std::string_view file, std::string_view text);
 
-// The load, at its usual rate and by the middles of the ranges, over what all nodes together can do.
+// The load divided by the capacity of all nodes, at the base rate and with the middle of each range.
 double Utilisation(const Experiment& experiment);
 
 }  // namespace burlfall::lab
--- a/src/lab/script/platform_json.cpp
+++ b/src/lab/script/platform_json.cpp
@@ -11,8 +11,8 @@
 
 using Json = nlohmann::ordered_json;
 
-constexpr int kResolutionUs = 5000;  // for decisions that wait to be taken together
-constexpr int kMostOpen = 20000;     // queries that a balancer may hold
+constexpr int kResolutionUs = 5000;     // time that decisions may be delayed to be taken in one batch
+constexpr int kMaxOpenQueries = 20000;  // per balancer
 
 int64_t Us(double ms) { return static_cast<int64_t>(std::floor(ms * 1000 + 0.5)); }
 
@@ -27,7 +27,8 @@
     servers.push_back({{"id", plan.name},
                        {"addr", listed.address},
                        {"kind", experiment.site.nodes.at(static_cast<size_t>(plan.kind)).kind},
-                       {"cell", plan.zone},  // a set that shares what it knows of keys: none is smaller here
+                       // A cell is a set of nodes that share a cache of keys; here it is the zone.
+                       {"cell", plan.zone},
                        {"state", gone    ? "Gone"
                                  : ready ? "Ready"
                                          : "Terminating"},
@@ -98,7 +99,7 @@
         {"MaxRetryAfter", Us(experiment.clients.most_retry_after_ms)},
         {"MaxStreams", 1},
         {"MayProbe", false},
-        {"OpenCap", kMostOpen},
+        {"OpenCap", kMaxOpenQueries},
         {"Peers", false},
         {"RetryAfter", true},
         {"SecondCopies", site.second_copies},
--- a/src/lab/script/portable_math.h
+++ b/src/lab/script/portable_math.h
@@ -1,7 +1,7 @@
-// The few functions that draws need, by the four operations and the square root alone. IEEE 754 fixes these
-// to the last bit; it does not fix exp and log, and C libraries differ there, even one library between two
-// processors. Whoever includes this compiles with -ffp-contract=off, or multiply-adds bring the difference
-// back.
+// The mathematical functions that the random distributions need, computed with the four basic operations and
+// the square root only. IEEE 754 specifies these to the last bit. It does not specify exp and log, whose
+// results differ between C libraries, and even between processors with the same library. Files that include
+// this header must be compiled with -ffp-contract=off: fused multiply-adds would also change the results.
 #ifndef BURLFALL_LAB_SCRIPT_PORTABLE_MATH_H_
 #define BURLFALL_LAB_SCRIPT_PORTABLE_MATH_H_
 
@@ -14,10 +14,11 @@
 namespace burlfall::lab {
 
 namespace portable_internal {
-constexpr double kLn2High = 6.93147180369123816490e-01;  // its low bits are zero: a small multiple is exact
+constexpr double kLn2High =
+    6.93147180369123816490e-01;  // its low bits are zero, so small multiples are exact
 constexpr double kLn2Low = 1.90821492927058770002e-10;
 
-// By Horner, from the highest power down.
+// Horner's method; the coefficients are ordered from the highest power down.
 constexpr double Polynomial(double x, std::initializer_list<double> terms) {
   double sum = 0;
   for (double term : terms) sum = sum * x + term;
@@ -25,7 +26,7 @@
 }
 }  // namespace portable_internal
 
-// Of a normal x > 0, to about one unit in the last place.
+// Natural logarithm of a normal (not subnormal) x > 0, with an error of about one unit in the last place.
 inline double Log(double x) {
   const uint64_t bits = std::bit_cast<uint64_t>(x);
   int exponent = static_cast<int>(bits >> 52) - 1023;
@@ -34,7 +35,7 @@
     part /= 2;
     ++exponent;
   }
-  // log(part) = 2 artanh(s), and s is at most 0.172.
+  // log(part) = 2 artanh(s), where |s| is at most 0.172.
   const double s = (part - 1) / (part + 1);
   const double sum = portable_internal::Polynomial(s * s, {1.0 / 21, 1.0 / 19, 1.0 / 17, 1.0 / 15, 1.0 / 13,
                                                            1.0 / 11, 1.0 / 9, 1.0 / 7, 1.0 / 5, 1.0 / 3});
@@ -42,7 +43,7 @@
   return exponent * portable_internal::kLn2High + (2 * s + low);
 }
 
-// Of |x| <= 700; beyond, as of the bound.
+// Exponential function for |x| <= 700; other arguments are clamped to this range.
 inline double Exp(double x) {
   x = std::clamp(x, -700.0, 700.0);
   const double n = std::floor(x * 1.4426950408889634 + 0.5);
@@ -53,8 +54,8 @@
   return sum * std::bit_cast<double>(static_cast<uint64_t>(static_cast<int64_t>(n) + 1023) << 52);
 }
 
-// Where the normal distribution of mean 0 and deviation 1 has `p` of its mass below; 0 < p < 1. Wichura's
-// algorithm AS 241 (1988), good to about 1e-16.
+// Quantile function of the standard normal distribution, for 0 < p < 1: Wichura's algorithm AS 241 (1988),
+// with a relative error of about 1e-16.
 inline double NormalQuantile(double p) {
   using portable_internal::Polynomial;
   const double q = p - 0.5;
--- a/src/lab/script/range_key.h
+++ b/src/lab/script/range_key.h
@@ -1,4 +1,4 @@
-// How the lab's ranges stand in TOML files: as those that the schema knows.
+// The TOML representation of lab::Range: the same as that of the schema's own Range<double>.
 #ifndef BURLFALL_LAB_SCRIPT_RANGE_KEY_H_
 #define BURLFALL_LAB_SCRIPT_RANGE_KEY_H_
 
@@ -7,7 +7,7 @@
 
 namespace burlfall::schema_internal {
 
-// The lab's ranges are numbers all, and known without the schema.
+// lab::Range is a type of its own so that experiment.h does not depend on the schema.
 template <>
 struct Codec<lab::Range> {
   static void Describe(KeySpec& key) { Codec<Range<double>>::Describe(key); }
--- a/src/lab/script/script.cpp
+++ b/src/lab/script/script.cpp
@@ -14,8 +14,9 @@
 
 int Rounded(double x) { return static_cast<int>(std::floor(x + 0.5)); }
 
-// One stream a node, by its name: another group, or one node more, leaves it as it was.
-NodePlan DrawNode(const NodeGroup& group, int kind, int zone, std::string name, uint64_t seed) {
+// Each node has a random number stream that depends on its name, so that adding a group or a node does not
+// change the other nodes.
+NodePlan GenerateNode(const NodeGroup& group, int kind, int zone, std::string name, uint64_t seed) {
   Stream64 stream(seed, "node/" + name);
   NodePlan node;
   node.name = std::move(name);
@@ -38,7 +39,7 @@
   return static_cast<int>(it - site.zones.begin());
 }
 
-// The numbers of those that the fault may hit, or does where it names them.
+// Returns the indices of the nodes or balancers that the fault may affect, or of those that it names.
 template <class Plan>
 std::vector<int> Candidates(const std::vector<Plan>& plans, const FaultSpec& fault, int zone) {
   std::vector<int> found;
@@ -54,8 +55,8 @@
   return found;
 }
 
-std::vector<int> DrawTargets(const Script& script, const SiteSpec& site, const FaultSpec& fault,
-                             Stream64& stream) {
+std::vector<int> ChooseTargets(const Script& script, const SiteSpec& site, const FaultSpec& fault,
+                               Stream64& stream) {
   const FaultHits hits = TraitsOf(fault.kind).hits;
   const int zone = fault.zone.empty() ? -1 : ZoneOf(site, fault.zone);
   if (hits == FaultHits::kNothing) return {};
@@ -76,31 +77,32 @@
   return hit;
 }
 
-// Each replacement of each place, in order of time, brings a node with a name of its own.
-void DrawSpares(const Experiment& experiment, Script& script) {
-  std::map<int, int> holders;  // by place: how many there were
+// Each replacement of a node adds a spare with a name of its own, in order of time.
+void GenerateSpares(const Experiment& experiment, Script& script) {
+  std::map<int, int> holders;  // number of replacements so far, by place
   for (Action& action : script.actions) {
     if (action.kind != FaultKind::kNodesReplaced) continue;
     for (int place : action.targets) {
       const NodePlan& first = script.nodes[static_cast<size_t>(place)];
       const int holder = ++holders[place] + 1;
       action.spares.push_back(static_cast<int>(script.spares.size()));
-      script.spares.push_back(DrawNode(experiment.site.nodes[static_cast<size_t>(first.kind)], first.kind,
-                                       first.zone, first.name + "." + std::to_string(holder), script.seed));
+      script.spares.push_back(GenerateNode(experiment.site.nodes[static_cast<size_t>(first.kind)], first.kind,
+                                           first.zone, first.name + "." + std::to_string(holder),
+                                           script.seed));
     }
   }
 }
 
-// One line of Describe(). Numbers are written in the shortest form that reads back as the same.
-class Line {
+// One line of Describe(). Numbers are written in the shortest form that parses to the same value.
+class DescriptionLine {
  public:
-  Line(std::string& out, std::string_view what) : out_(out) { out_ += what; }
-  ~Line() { out_ += '\n'; }
-  Line(const Line&) = delete;
-  Line& operator=(const Line&) = delete;
+  DescriptionLine(std::string& out, std::string_view what) : out_(out) { out_ += what; }
+  ~DescriptionLine() { out_ += '\n'; }
+  DescriptionLine(const DescriptionLine&) = delete;
+  DescriptionLine& operator=(const DescriptionLine&) = delete;
 
   template <class T>
-  Line& Put(std::string_view name, const T& value) {
+  DescriptionLine& Put(std::string_view name, const T& value) {
     (out_ += ' ') += name;
     out_ += '=';
     Value(value);
@@ -129,7 +131,7 @@
 };
 
 void DescribeNode(std::string& out, std::string_view what, const NodePlan& node) {
-  Line(out, what)
+  DescriptionLine(out, what)
       .Put("name", node.name)
       .Put("zone", node.zone)
       .Put("kind", node.kind)
@@ -176,9 +178,9 @@
        "discovery is down, and comes back with an older list"},
       {FaultKind::kLinksReset, "links-reset", kNodes, true, "share of queries under which the link is reset",
        0, 1, "nodes reset links under queries"},
-      {FaultKind::kSpoiltAnswers, "spoilt-answers", kNodes, true, "share of their answers that are spoilt", 0,
-       1, "answers cut short, garbled, or another query's"},
-      {FaultKind::kRudeClients, "rude-clients", kBalancers, true, "links a second", 0, 10000,
+      {FaultKind::kCorruptedAnswers, "spoilt-answers", kNodes, true, "share of their answers that are spoilt",
+       0, 1, "answers cut short, garbled, or another query's"},
+      {FaultKind::kMisbehavingClients, "rude-clients", kBalancers, true, "links a second", 0, 10000,
        "links that say nothing, half a query, or leave under one"},
       {FaultKind::kBalancersPaused, "balancers-paused", kBalancers, true, "", 0, 0,
        "stand still, and go on after for_s"},
@@ -200,20 +202,20 @@
 
 const FaultTraits& TraitsOf(FaultKind kind) { return AllFaults()[static_cast<size_t>(kind)]; }
 
-Script Draw(const Experiment& experiment, uint64_t seed) {
+Script GenerateScript(const Experiment& experiment, uint64_t seed) {
   const SiteSpec& site = experiment.site;
   Script script;
   script.seed = seed;
   script.length = FromSeconds(experiment.length_s);
   const int zones = static_cast<int>(site.Zones());
-  int in_turn = 0;
-  std::map<std::string, int> of_kind;  // groups of one kind count on
+  int next_zone = 0;
+  std::map<std::string, int> count_by_kind;  // groups of the same kind continue the numbering
   for (size_t g = 0; g < site.nodes.size(); ++g) {
     const NodeGroup& group = site.nodes[g];
     for (int i = 0; i < group.count; ++i) {
-      const int zone = group.zone.empty() ? in_turn++ % zones : ZoneOf(site, group.zone);
-      const std::string name = group.kind + "-" + std::to_string(++of_kind[group.kind]);
-      script.nodes.push_back(DrawNode(group, static_cast<int>(g), zone, name, seed));
+      const int zone = group.zone.empty() ? next_zone++ % zones : ZoneOf(site, group.zone);
+      const std::string name = group.kind + "-" + std::to_string(++count_by_kind[group.kind]);
+      script.nodes.push_back(GenerateNode(group, static_cast<int>(g), zone, name, seed));
     }
   }
   for (int i = 0; i < site.balancers.count; ++i) {
@@ -228,12 +230,12 @@
   for (const ClassSpec& c : experiment.classes) {
     script.mean_work_us.push_back(Stream64(seed, "class/" + c.name).Between(c.work_ms) * 1000);
   }
-  std::map<FaultKind, int> of_fault;
+  std::map<FaultKind, int> count_by_fault;
   for (size_t i = 0; i < experiment.faults.size(); ++i) {
     const FaultSpec& fault = experiment.faults[i];
     const FaultTraits& traits = TraitsOf(fault.kind);
-    const std::string number = std::to_string(of_fault[fault.kind]++);
-    Stream64 stream(seed, "fault/" + std::string(traits.word) + "/" + number);
+    const std::string number = std::to_string(count_by_fault[fault.kind]++);
+    Stream64 stream(seed, "fault/" + std::string(traits.name) + "/" + number);
     Action action;
     action.kind = fault.kind;
     action.fault = static_cast<int>(i);
@@ -243,41 +245,41 @@
     action.size = stream.Between(fault.size);
     if (fault.kind == FaultKind::kDiscoveryOlder) action.size = Rounded(action.size);  // whole versions
     action.folder = fault.folder;
-    action.targets = DrawTargets(script, site, fault, stream);
+    action.targets = ChooseTargets(script, site, fault, stream);
     script.actions.push_back(std::move(action));
   }
   std::stable_sort(script.actions.begin(), script.actions.end(),
                    [](const Action& a, const Action& b) { return a.at < b.at; });
-  DrawSpares(experiment, script);
+  GenerateSpares(experiment, script);
   return script;
 }
 
 std::string Describe(const Experiment& experiment, const Script& script) {
   std::string out;
-  Line(out, "script").Put("seed", script.seed).Put("length", script.length);
+  DescriptionLine(out, "script").Put("seed", script.seed).Put("length", script.length);
   for (const NodePlan& node : script.nodes) DescribeNode(out, "node", node);
   for (const NodePlan& node : script.spares) DescribeNode(out, "spare", node);
   for (const BalancerPlan& b : script.balancers) {
-    Line line(out, "balancer");
+    DescriptionLine line(out, "balancer");
     line.Put("name", b.name).Put("zone", b.zone);
     if (experiment.site.balancers.start_s) line.Put("start", b.start_at);
   }
   for (size_t i = 0; i < script.mean_work_us.size(); ++i) {
-    Line(out, "class").Put("name", experiment.classes[i].name).Put("mean", script.mean_work_us[i]);
+    DescriptionLine(out, "class").Put("name", experiment.classes[i].name).Put("mean", script.mean_work_us[i]);
   }
   for (const Action& a : script.actions) {
-    Line(out, "action")
+    DescriptionLine(out, "action")
         .Put("at", a.at)
         .Put("until", a.until)
-        .Put("kind", TraitsOf(a.kind).word)
+        .Put("kind", TraitsOf(a.kind).name)
         .Put("fault", a.fault)
         .Put("targets", a.targets)
         .Put("spares", a.spares)
         .Put("size", a.size);
   }
-  const std::unique_ptr<Arrivals> arrivals = DrawArrivals(experiment, script);
+  const std::unique_ptr<Arrivals> arrivals = GenerateArrivals(experiment, script);
   for (Arrival a; arrivals->Next(a);) {
-    Line(out, "arrival")
+    DescriptionLine(out, "arrival")
         .Put("at", a.at)
         .Put("trace", a.trace)
         .Put("class", a.cls)
@@ -286,8 +288,8 @@
         .Put("key", a.key)
         .Put("work", a.work_us)
         .Put("estimate", a.estimate)
-        .Put("patience", a.patience)
-        .Put("honours", a.honours)
+        .Put("patience", a.try_timeout)
+        .Put("honours", a.honours_retry_after)
         .Put("within", a.within_share);
   }
   return out;
--- a/src/lab/script/script.h
+++ b/src/lab/script/script.h
@@ -1,7 +1,7 @@
-// What a run is made of, once a seed has been drawn: the nodes as they are, the faults with their times and
-// targets, and the queries as they come. The same experiment and seed give the same script, byte for byte;
-// each actor draws from a stream of its own, so that one more draw here moves nothing there. No I/O, no
-// clock.
+// The script of a run, generated from an experiment and a seed: the nodes with their properties, the faults
+// with their times and targets, and the arrivals of queries. The same experiment and seed give the same
+// script, byte for byte. Each actor has its own random number stream, so that an additional random number for
+// one actor does not change the others. No I/O and no clock.
 #ifndef BURLFALL_LAB_SCRIPT_SCRIPT_H_
 #define BURLFALL_LAB_SCRIPT_SCRIPT_H_
 
@@ -17,9 +17,9 @@
 
 namespace burlfall::lab {
 
-// A stream of random numbers for one actor. PCG, and distributions whose draws are the same everywhere: by
-// inverse transform, one number of the stream for each draw (Below may take more), with no function of the C
-// library whose last bit could differ from machine to machine.
+// A random number stream for one actor: a PCG generator, and distributions that give the same values on every
+// machine. They use inverse transform sampling, with one number of the stream per value (Below may take
+// more), and no function of the C library whose last bit could differ between machines.
 class Stream64 {
  public:
   Stream64(uint64_t seed, std::string_view actor);
@@ -30,16 +30,17 @@
   bool Chance(double p) { return Uniform() < p; }
   double Exponential(double mean);
   double Normal(double mean, double deviation);
-  double LogNormal(double mean, double spread);  // spread: deviation over mean; 0: always the mean
+  double LogNormal(double mean, double spread);  // spread: deviation / mean; 0: always the mean
 
  private:
   pcg64 engine_;
 };
 
+// The properties of one node.
 struct NodePlan {
-  std::string name;  // its kind and its number among these, from 1: "std-3"
+  std::string name;  // kind and number within the kind, from 1: "std-3"
   int zone = 0;
-  int kind = 0;  // position of its group
+  int kind = 0;  // index of its NodeGroup
   double speed = 1;
   int slots = 2;
   int queue = 128;
@@ -47,85 +48,90 @@
   Micros handshake = 1500;  // work on a standard core
   double cold_share = 0.2;
   Micros cold_for = 20 * kSecond;
-  double weight = 2;  // what discovery tells of its size: cores times speed, roughly
+  double weight = 2;  // capacity that discovery announces: approximately cores * speed
 };
 
+// A fault with its times and targets.
 struct Action {
   Micros at = 0;     // from the start of the run
-  Micros until = 0;  // at the latest the run's end; equal to `at` where the fault has no length
+  Micros until = 0;  // at most the end of the run; equal to `at` if the fault has no duration
   FaultKind kind = FaultKind::kSilentNodes;
-  // Nodes or balancers, by their number; of kZoneCut, the zone; of kTrafficJump, the zone or none. A node's
-  // number is that of its place: once a spare has taken it, it means the spare.
+  // Indices of nodes or balancers; of kZoneCut, the zone; of kTrafficJump, the zone or none. The index of a
+  // node is that of its place: once a spare has taken the place, it means the spare.
   std::vector<int> targets;
   double size = 1;
-  int fault = 0;            // position of its fault in the experiment
-  std::vector<int> spares;  // of kNodesReplaced: who takes each target's place, positions in Script::spares
+  int fault = 0;            // index of its FaultSpec in the experiment
+  std::vector<int> spares;  // of kNodesReplaced: the replacement of each target, as indices in Script::spares
   FolderAfter folder = FolderAfter::kKept;  // of kBalancersKilled
 };
 
 struct BalancerPlan {
-  std::string name;  // "b1" and on
+  std::string name;  // "b1", "b2", ...
   int zone = 0;
-  Micros start_at = 0;  // from the start of the run, where the site's balancers start on its clock
+  Micros start_at = 0;  // from the start of the run; used only if BalancerSpec::start_s is given
 };
 
+// A query, as a client sends it for the first time.
 struct Arrival {
-  uint64_t trace = 0;  // of its first try; never 0
+  uint64_t trace = 0;  // trace ID of its first try; never 0
   Micros at = 0;       // from the start of the run
   int cls = 0;
   int tenant = 0;
   int zone = 0;
   uint64_t key = 0;
-  double work_us = 0;        // on a standard core
-  Micros estimate = 0;       // 0: none
-  Micros patience = 0;       // of one try
-  bool honours = false;      // Retry-After
-  bool within_share = true;  // of its tenant's quota for the whole site, of which it may save up a second's
+  double work_us = 0;      // on a standard core
+  Micros estimate = 0;     // of its work, sent with it; 0: none
+  Micros try_timeout = 0;  // how long the client waits for one try
+  bool honours_retry_after = false;
+  bool within_share = true;  // within its tenant's quota for the whole site (a token bucket of one second)
 };
 
-// The trace of a try, from that of the first; no two tries of a run share one. The first has number 0; the
-// last number is no try's, but marks the queries of rude clients (rude.h).
-constexpr int kMostTries = 16;
-constexpr int kMostRetries = kMostTries - 2;
+// Trace IDs of the tries of a query, derived from that of the first try, which has number 0. All tries of a
+// run have different trace IDs. The last number is never used for a try: it marks the queries of misbehaving
+// clients (rude.h).
+constexpr int kMaxTries = 16;
+constexpr int kMaxRetries = kMaxTries - 2;
 uint64_t TraceOfTry(uint64_t first, int number);
 uint64_t FirstTrace(uint64_t trace);
 int NumberOfTry(uint64_t trace);
 
+// The queries of a run, in order of time.
 class Arrivals {
  public:
   virtual ~Arrivals() = default;
-  // The next in order of time; false at the end of the run.
+  // Stores the next arrival in `into`; false at the end of the run.
   virtual bool Next(Arrival& into) = 0;
 };
 
 struct Script {
   uint64_t seed = 0;
   std::vector<NodePlan> nodes;
-  std::vector<NodePlan> spares;  // that take the place of replaced ones, in order; "std-3.2" that of std-3
+  std::vector<NodePlan> spares;  // replacements of nodes, in order of time; "std-3.2" replaces std-3
   std::vector<BalancerPlan> balancers;
-  std::vector<Action> actions;       // by time
-  std::vector<double> mean_work_us;  // by class
+  std::vector<Action> actions;       // ordered by time
+  std::vector<double> mean_work_us;  // indexed by class
   Micros length = 0;
 };
 
-Script Draw(const Experiment& experiment, uint64_t seed);
-std::unique_ptr<Arrivals> DrawArrivals(const Experiment& experiment, const Script& script);
-// A line for each node, action and arrival: what "byte for byte" is held against.
+Script GenerateScript(const Experiment& experiment, uint64_t seed);
+std::unique_ptr<Arrivals> GenerateArrivals(const Experiment& experiment, const Script& script);
+// Returns a text with one line for each node, action and arrival; equal scripts have equal texts.
 std::string Describe(const Experiment& experiment, const Script& script);
 
-// What is known of a kind of fault.
+// What a kind of fault affects.
 enum class FaultHits { kNodes, kBalancers, kZone, kZoneOrAll, kNothing };
+// The properties of a kind of fault.
 struct FaultTraits {
   FaultKind kind = FaultKind::kSilentNodes;
-  std::string_view word;  // "silent-nodes", as in the experiment's file
+  std::string_view name;  // as in the experiment's file, for example "silent-nodes"
   FaultHits hits = FaultHits::kNodes;
-  bool lasts = true;      // it has a length
-  std::string_view size;  // what `size` means; empty: nothing
-  double size_least = 0;  // its range, both ends in it
-  double size_most = 0;
-  std::string_view about;  // in a few words
+  bool lasts = true;      // whether it has a duration
+  std::string_view size;  // meaning of `size`; empty: not used
+  double size_min = 0;    // bounds of `size`, inclusive
+  double size_max = 0;
+  std::string_view about;  // short description
 };
-const std::vector<FaultTraits>& AllFaults();  // in the order of FaultKind
+const std::vector<FaultTraits>& AllFaults();  // ordered by FaultKind
 const FaultTraits& TraitsOf(FaultKind kind);
 
 }  // namespace burlfall::lab
--- a/src/lab/site/site.cpp
+++ b/src/lab/site/site.cpp
@@ -310,8 +310,8 @@
       break;
     case FaultHits::kBalancers:
       for (int b : action.targets) {
-        if (action.kind == FaultKind::kRudeClients) {
-          balancers_.SendRude(b, faults_.Worst(FaultKind::kRudeClients, b, 0));
+        if (action.kind == FaultKind::kMisbehavingClients) {
+          balancers_.SendRude(b, faults_.Worst(FaultKind::kMisbehavingClients, b, 0));
         } else if (action.kind == FaultKind::kBalancersPaused) {
           balancers_.Pause(b, faults_.On(FaultKind::kBalancersPaused, b));
         } else if (action.kind == FaultKind::kListCallsLost || action.kind == FaultKind::kListAnswersLost) {
@@ -334,7 +334,7 @@
   node.FailFast(faults_.Worst(FaultKind::kFastErrors, place, 0));
   node.Slow(faults_.Worst(FaultKind::kSlowNodes, place, 1, true));
   node.ResetUnder(faults_.Worst(FaultKind::kLinksReset, place, 0));
-  node.Spoil(faults_.Worst(FaultKind::kSpoiltAnswers, place, 0));
+  node.Spoil(faults_.Worst(FaultKind::kCorruptedAnswers, place, 0));
 }
 
 void Site::SettleDiscovery() {
--- a/tests/histories/random_site.h
+++ b/tests/histories/random_site.h
@@ -53,13 +53,13 @@
     if (fault.hits == FaultHits::kZone && !two_zones) continue;
     if (fault.kind == FaultKind::kBalancersPaused) continue;  // the virtual machines can't pause
     const double at = 0.6 + 2.2 * random.Uniform();
-    out << "[[faults]]\nkind = \"" << fault.word << "\"\nat_s = [" << at << ", " << at << "]\n";
+    out << "[[faults]]\nkind = \"" << fault.name << "\"\nat_s = [" << at << ", " << at << "]\n";
     if (fault.lasts) out << "for_s = [0.3, " << one_of(0.5, 1.5) << "]\n";
     const bool hits_some = fault.hits == FaultHits::kNodes || fault.hits == FaultHits::kBalancers;
     if (hits_some) out << "share = " << one_of(0.2, 0.5, 1.0) << "\n";
     if (!fault.size.empty()) {
-      const double max_size = std::min(fault.size_most, fault.kind == FaultKind::kTrafficJump ? 4.0 : 30.0);
-      const double size = std::max(fault.size_least, max_size * random.Uniform());
+      const double max_size = std::min(fault.size_max, fault.kind == FaultKind::kTrafficJump ? 4.0 : 30.0);
+      const double size = std::max(fault.size_min, max_size * random.Uniform());
       out << "size = [" << size << ", " << size << "]\n";
     }
   }
--- a/tests/lab/clients_test.cpp
+++ b/tests/lab/clients_test.cpp
@@ -80,8 +80,8 @@
                             .key = 0x1f,
                             .work_us = 700,
                             .estimate = 650,
-                            .patience = patience,
-                            .honours = true});
+                            .try_timeout = patience,
+                            .honours_retry_after = true});
   }
   // Starts the clients once the front has admitted the balancer.
   Task<> Begin() {
--- a/tests/lab/experiment_file_test.cpp
+++ b/tests/lab/experiment_file_test.cpp
@@ -167,7 +167,7 @@
     const double low = e.name == "overload" ? 1.2 : fleet ? 0.05 : 0.3;
     const double high = e.name == "overload" ? 1.6 : 0.7;
     EXPECT_TRUE(Utilisation(e) >= low && Utilisation(e) <= high) << Utilisation(e);
-    const Script script = Draw(e, e.seed);
+    const Script script = GenerateScript(e, e.seed);
     EXPECT_EQ(script.actions.size(), e.faults.size());
     for (const Action& action : script.actions) kinds.insert(action.kind);
   }
@@ -177,7 +177,7 @@
 
 TEST(PlatformJson, SettingsAreReadAsTheExperimentHasThem) {
   const Experiment e = Shipped("rolling-deploy");
-  const Script script = Draw(e, e.seed);
+  const Script script = GenerateScript(e, e.seed);
   const meadowslip::Settings s = meadowslip::ParseSettings(FlattenSettings(SettingsJson(e, script, 1)));
   EXPECT_EQ(s.nodes, 3);
   EXPECT_EQ(s.node_index, 1);
@@ -231,7 +231,7 @@
 
 TEST(PlatformJson, ConfigurationStartsABalancer) {
   const Experiment e = Shipped("rolling-deploy");
-  const Script script = Draw(e, e.seed);
+  const Script script = GenerateScript(e, e.seed);
   BalancerStart start{"127.0.0.1:8001", "127.0.0.1:8500", 0xab, {.version = 7, .nodes = {}}};
   using meadowslip::BackendState;
   start.known.nodes = {{0, "127.0.0.1:9001", BackendState::kReady, 0},
--- a/tests/lab/script_test.cpp
+++ b/tests/lab/script_test.cpp
@@ -33,8 +33,8 @@
 }
 
 std::vector<Arrival> All(const Experiment& e, uint64_t seed = 1) {
-  const Script script = Draw(e, seed);
-  const auto arrivals = DrawArrivals(e, script);
+  const Script script = GenerateScript(e, seed);
+  const auto arrivals = GenerateArrivals(e, script);
   std::vector<Arrival> all;
   for (Arrival a; arrivals->Next(a);) all.push_back(a);
   return all;
@@ -106,19 +106,19 @@
   e.length_s = 20;
   e.load.shape = {{0, 1}, {5, 0.5}, {15, 1.5}};
   for (const FaultTraits& kind : AllFaults()) {
-    if (kind.kind > FaultKind::kRudeClients) break;  // those that came later
+    if (kind.kind > FaultKind::kMisbehavingClients) break;  // those that came later
     e.faults.push_back({.kind = kind.kind, .at_s = {2, 18}, .for_s = {1, 10}, .share = 0.2});
   }
   e.faults[3].size = {1.5, 2};
-  const std::string once = Describe(e, Draw(e, 42));
-  EXPECT_EQ(once, Describe(e, Draw(e, 42)));
-  EXPECT_NE(once, Describe(e, Draw(e, 43)));
+  const std::string once = Describe(e, GenerateScript(e, 42));
+  EXPECT_EQ(once, Describe(e, GenerateScript(e, 42)));
+  EXPECT_NE(once, Describe(e, GenerateScript(e, 43)));
   // Any change of this is a change of what every seed means, and breaks the comparison with older runs.
   EXPECT_EQ(XXH3_64bits(once.data(), once.size()), 13120797521429408234u) << once.substr(0, 4000);
 }
 
 TEST(Script, DrawsNodesWithinTheirGroupsRanges) {
-  const Script script = Draw(Site(), 3);
+  const Script script = GenerateScript(Site(), 3);
   ASSERT_EQ(script.nodes.size(), 12u);
   EXPECT_EQ(script.nodes[6].name, "std-7");
   EXPECT_EQ(script.nodes[11].name, "slow-5");
@@ -147,7 +147,7 @@
   for (uint64_t seed = 1; seed < 30; ++seed) {
     std::map<int, Action> by_fault;
     Micros last = 0;
-    for (const Action& a : Draw(e, seed).actions) {
+    for (const Action& a : GenerateScript(e, seed).actions) {
       EXPECT_LE(last, a.at);
       last = a.at;
       by_fault[a.fault] = a;
@@ -156,7 +156,7 @@
     EXPECT_TRUE(by_fault[0].at >= 5 * kSecond && by_fault[0].at <= 9 * kSecond);
     EXPECT_EQ(by_fault[0].until, 100 * kSecond);  // not beyond the run
     ASSERT_EQ(by_fault[1].targets.size(), 1u);    // one at least
-    EXPECT_EQ(Draw(e, seed).nodes[static_cast<size_t>(by_fault[1].targets[0])].zone, 1);
+    EXPECT_EQ(GenerateScript(e, seed).nodes[static_cast<size_t>(by_fault[1].targets[0])].zone, 1);
     EXPECT_EQ(by_fault[2].targets, (std::vector<int>{0, 8}));
     EXPECT_EQ(by_fault[3].targets, std::vector<int>{1});
     EXPECT_EQ(by_fault[4].targets.size(), 2u);
@@ -169,7 +169,7 @@
   Experiment e = Site();
   e.faults = {{.kind = FaultKind::kNodesReplaced, .at_s = {20, 20}, .names = {"std-3", "slow-1"}},
               {.kind = FaultKind::kNodesReplaced, .at_s = {10, 10}, .names = {"std-3"}}};
-  const Script script = Draw(e, 1);
+  const Script script = GenerateScript(e, 1);
   ASSERT_EQ(script.spares.size(), 3u);
   EXPECT_EQ(script.spares[0].name, "std-3.2");
   EXPECT_EQ(script.spares[1].name, "std-3.3");
@@ -183,9 +183,9 @@
   Experiment e = Site();
   e.faults = {{.kind = FaultKind::kSilentNodes, .at_s = {5, 50}, .share = 0.3},
               {.kind = FaultKind::kFastErrors, .at_s = {5, 50}, .share = 0.3, .size = {0.2, 0.9}}};
-  const std::string before = Describe(e, Draw(e, 1));
+  const std::string before = Describe(e, GenerateScript(e, 1));
   e.faults.push_back({.kind = FaultKind::kNodesGone, .at_s = {30, 30}, .share = 0.2});
-  std::string after = Describe(e, Draw(e, 1));
+  std::string after = Describe(e, GenerateScript(e, 1));
   const size_t line = after.find("action at=30000000");
   ASSERT_NE(line, std::string::npos);
   after.erase(line, after.find('\n', line) + 1 - line);
@@ -219,7 +219,7 @@
 TEST(Arrivals, HaveTheirAttributesBySharesAndRanges) {
   const Experiment e = Site();
   const std::vector<Arrival> all = All(e);
-  const Script script = Draw(e, 1);
+  const Script script = GenerateScript(e, 1);
   const auto n = static_cast<double>(all.size());
   ExpectCount(static_cast<int>(all.size()), 200000);
   std::map<int, int> classes, tenants, zones, honour;
@@ -228,13 +228,13 @@
   std::set<uint64_t> traces;
   double error = 0;
   for (const Arrival& a : all) {
-    ++classes[a.cls], ++tenants[a.tenant], ++zones[a.zone], ++honour[a.honours], ++keys[a.key];
+    ++classes[a.cls], ++tenants[a.tenant], ++zones[a.zone], ++honour[a.honours_retry_after], ++keys[a.key];
     const auto cls = static_cast<size_t>(a.cls);
     const double part = a.work_us / script.mean_work_us[cls];
     work[cls] += part;
     square[cls] += part * part;
     error += std::pow(static_cast<double>(a.estimate) / a.work_us - 1, 2);
-    EXPECT_TRUE(a.patience >= 700 * kMs && a.patience <= 1000 * kMs);
+    EXPECT_TRUE(a.try_timeout >= 700 * kMs && a.try_timeout <= 1000 * kMs);
     EXPECT_NE(a.trace, 0u);
     traces.insert(a.trace);
   }
@@ -280,8 +280,8 @@
   skewed.load.key_skew = 0.9;
   skewed.load.keys = 600;
   using A = Arrival;
-  expect_same(skewed, &A::at, &A::cls, &A::tenant, &A::zone, &A::work_us, &A::estimate, &A::patience,
-              &A::honours, &A::within_share, &A::trace);
+  expect_same(skewed, &A::at, &A::cls, &A::tenant, &A::zone, &A::work_us, &A::estimate, &A::try_timeout,
+              &A::honours_retry_after, &A::within_share, &A::trace);
   Experiment other = e;
   other.load.hints = false;
   other.load.zone_shares = {1, 1};
@@ -329,13 +329,13 @@
   std::set<uint64_t> traces;
   for (size_t i = 0; i < 1000; ++i) {
     EXPECT_EQ(TraceOfTry(all[i].trace, 0), all[i].trace);
-    for (int number = 0; number < kMostTries; ++number) {
+    for (int number = 0; number < kMaxTries; ++number) {
       const uint64_t trace = TraceOfTry(all[i].trace, number);
       EXPECT_EQ(FirstTrace(trace), all[i].trace);
       traces.insert(trace);
     }
   }
-  EXPECT_EQ(traces.size(), 1000u * kMostTries);
+  EXPECT_EQ(traces.size(), 1000u * kMaxTries);
 }
 
 TEST(Faults, AreListedInTheirOrder) {
