--- a/src/lab/site/overlaps.h
+++ b/src/lab/site/active_faults.h
@@ -1,7 +1,7 @@
 // What faults come to where several are on at once: the same node may be hit by two of a kind, and must not
 // be well again when the first of them ends. No I/O, no clock.
-#ifndef BURLFALL_LAB_SITE_OVERLAPS_H_
-#define BURLFALL_LAB_SITE_OVERLAPS_H_
+#ifndef BURLFALL_LAB_SITE_ACTIVE_FAULTS_H_
+#define BURLFALL_LAB_SITE_ACTIVE_FAULTS_H_
 
 #include <map>
 #include <utility>
@@ -33,4 +33,4 @@
 
 }  // namespace burlfall::lab
 
-#endif  // BURLFALL_LAB_SITE_OVERLAPS_H_
+#endif  // BURLFALL_LAB_SITE_ACTIVE_FAULTS_H_
--- a/src/lab/site/site.h
+++ b/src/lab/site/site.h
@@ -13,9 +13,9 @@
 #include "lab/script/experiment.h"
 #include "lab/script/platform_json.h"
 #include "lab/script/script.h"
+#include "lab/site/active_faults.h"
 #include "lab/site/discovery.h"
 #include "lab/site/node.h"
-#include "lab/site/overlaps.h"
 #include "lab/witness/quiet_witness.h"
 #include "lab/witness/witnesses.h"
 
--- a/tests/lab/overlaps_test.cpp
+++ b/tests/lab/active_faults_test.cpp
@@ -1,4 +1,4 @@
-#include "lab/site/overlaps.h"
+#include "lab/site/active_faults.h"
 
 #include <gtest/gtest.h>
 
