--- a/src/lab/judge/facts.cpp
+++ b/src/lab/judge/facts.cpp
@@ -16,7 +16,7 @@
     facts.balancers.push_back({balancer.name, balancer.zone, 0});
   }
   for (const Action& action : script.actions) {
-    facts.faults.push_back({std::string(TraitsOf(action.kind).name), action.kind, action.targets});
+    facts.faults.push_back({std::string(TraitsOf(action.kind).kind_name), action.kind, action.targets});
   }
   facts.pushed = experiment.site.discovery.pushed;
   facts.begins_at = begins_at;
--- a/src/lab/judge/history_file.cpp
+++ b/src/lab/judge/history_file.cpp
@@ -113,7 +113,8 @@
 Json HeadOf(const Facts& facts) {
   Json faults = Json::array();
   for (const Facts::Fault& fault : facts.faults) {
-    faults.push_back({{"name", fault.name}, {"kind", TraitsOf(fault.kind).name}, {"targets", fault.targets}});
+    faults.push_back(
+        {{"name", fault.name}, {"kind", TraitsOf(fault.kind).kind_name}, {"targets", fault.targets}});
   }
   Json head = {{"history", kHistoryVersion},
                {"experiment", facts.experiment},
@@ -225,7 +226,7 @@
 
 std::optional<FaultKind> KindOf(const std::string& word) {
   for (int kind = 0; kind < static_cast<int>(AllFaults().size()); ++kind) {
-    if (TraitsOf(static_cast<FaultKind>(kind)).name == word) return static_cast<FaultKind>(kind);
+    if (TraitsOf(static_cast<FaultKind>(kind)).kind_name == word) return static_cast<FaultKind>(kind);
   }
   return {};
 }
--- a/src/lab/node_command.cpp
+++ b/src/lab/node_command.cpp
@@ -32,7 +32,7 @@
   ProcessSignals signals(machine.scheduler(), {SIGINT, SIGTERM});
   QuietWitness witness;
   const std::vector<ClassSpec> classes;
-  Deduper repeats(classes);
+  Deduplicator repeats(classes);
   NodeSite site{.machine = machine, .witness = witness, .repeats = repeats, .classes = classes};
   site.body_bytes = words.body_bytes;
   NodeGroup group;
--- a/src/lab/report/plots.cpp
+++ b/src/lab/report/plots.cpp
@@ -37,7 +37,7 @@
 // A result names a fault by its kind's word, maybe with more behind it. Null where the kind is not known.
 const FaultTraits* TraitsNamed(const std::string& name) {
   for (const FaultTraits& traits : AllFaults()) {
-    if (name.substr(0, traits.name.size()) == traits.name) return &traits;
+    if (name.substr(0, traits.kind_name.size()) == traits.kind_name) return &traits;
   }
   return nullptr;
 }
--- a/src/lab/run/run.cpp
+++ b/src/lab/run/run.cpp
@@ -81,7 +81,7 @@
   now.tries = clients_.counts().tries;
   for (int rule = 0; rule < kRules; ++rule) now.broken += judge_.Broken(static_cast<Rule>(rule));
   for (const Action& action : script_.actions) {
-    if (action.at <= now.since) now.fault = TraitsOf(action.kind).name;
+    if (action.at <= now.since) now.fault = TraitsOf(action.kind).kind_name;
   }
   return now;
 }
@@ -159,8 +159,8 @@
     notes_.push_back(std::to_string(clients_.open()) +
                      " queries were still open long after the last was due");
   }
-  if (site_.strange_queries() > 0) {
-    notes_.push_back(std::to_string(site_.strange_queries()) +
+  if (site_.all_unexpected_queries() > 0) {
+    notes_.push_back(std::to_string(site_.all_unexpected_queries()) +
                      " attempts came to nodes that no client had made");
   }
   if (clients_.counts().no_room > 0) {
@@ -206,7 +206,7 @@
 
 void Run::Pause(int balancer, bool on) { processes_.Pause(balancer, on); }
 
-void Run::SendRude(int balancer, double links_per_s) { clients_.BeRude(balancer, links_per_s); }
+void Run::SetMisbehavingLinkRate(int balancer, double links_per_s) { clients_.BeRude(balancer, links_per_s); }
 
 void Run::Up(int balancer) {
   Life& life = lives_[static_cast<size_t>(balancer)];
--- a/src/lab/run/run.h
+++ b/src/lab/run/run.h
@@ -87,7 +87,7 @@
   void Terminate(int balancer) override;
   void Reload(int balancer, const std::string& config) override;
   void Pause(int balancer, bool on) override;
-  void SendRude(int balancer, double links_per_s) override;
+  void SetMisbehavingLinkRate(int balancer, double links_per_s) override;
   bool AllUp() const;
   Task<> SleepUntil(Micros until);
   void HoldInTime();  // the fleet's goal
--- a/src/lab/script/experiment_file.cpp
+++ b/src/lab/script/experiment_file.cpp
@@ -276,7 +276,7 @@
 Schema<FaultSpec> FaultSchema() {
   Schema<FaultSpec> s("a fault; each may overlap with others, on the same nodes too");
   std::vector<std::pair<std::string, FaultKind>> kinds;
-  for (const FaultTraits& traits : AllFaults()) kinds.emplace_back(traits.name, traits.kind);
+  for (const FaultTraits& traits : AllFaults()) kinds.emplace_back(traits.kind_name, traits.kind);
   s.Words("kind", &FaultSpec::kind, kinds, "what goes wrong").Required();
   s.Key("at_s", &FaultSpec::at_s, "when it begins, from the start of the run")
       .Unit("s")
@@ -299,7 +299,7 @@
           "balancers-killed: what they find in their folders; old: as these were at the start before");
   s.Check([](const FaultSpec& fault, Findings& findings) {
     const FaultTraits& traits = TraitsOf(fault.kind);
-    const std::string kind_name(traits.name);
+    const std::string kind_name(traits.kind_name);
     const bool some = traits.hits == FaultHits::kNodes || traits.hits == FaultHits::kBalancers;
     auto refuse = [&](const char* key, const std::string& why) {
       if (findings.Given(key)) findings.Add(key, std::string("no ") + key + ", for " + why, "one");
@@ -439,7 +439,7 @@
     if (hits == FaultHits::kBalancers) CheckNames(fault, at, script.balancers, "a balancer", findings);
     if (hits == FaultHits::kZone && e.site.zones.size() < 2) {
       findings.Add(at + ".kind", "a fault that a site of one zone can have",
-                   Quoted(TraitsOf(fault.kind).name));
+                   Quoted(TraitsOf(fault.kind).kind_name));
     }
     if (fault.zone.empty()) continue;
     const auto zone = std::find(e.site.zones.begin(), e.site.zones.end(), fault.zone);
--- a/src/lab/script/script.cpp
+++ b/src/lab/script/script.cpp
@@ -235,7 +235,7 @@
     const FaultSpec& fault = experiment.faults[i];
     const FaultTraits& traits = TraitsOf(fault.kind);
     const std::string number = std::to_string(count_by_fault[fault.kind]++);
-    Stream64 stream(seed, "fault/" + std::string(traits.name) + "/" + number);
+    Stream64 stream(seed, "fault/" + std::string(traits.kind_name) + "/" + number);
     Action action;
     action.kind = fault.kind;
     action.fault = static_cast<int>(i);
@@ -271,7 +271,7 @@
     DescriptionLine(out, "action")
         .Put("at", a.at)
         .Put("until", a.until)
-        .Put("kind", TraitsOf(a.kind).name)
+        .Put("kind", TraitsOf(a.kind).kind_name)
         .Put("fault", a.fault)
         .Put("targets", a.targets)
         .Put("spares", a.spares)
--- a/src/lab/script/script.h
+++ b/src/lab/script/script.h
@@ -123,7 +123,7 @@
 // The properties of a kind of fault.
 struct FaultTraits {
   FaultKind kind = FaultKind::kSilentNodes;
-  std::string_view name;  // as in the experiment's file, for example "silent-nodes"
+  std::string_view kind_name;  // as in the experiment's file, for example "silent-nodes"
   FaultHits hits = FaultHits::kNodes;
   bool lasts = true;      // whether it has a duration
   std::string_view size;  // meaning of `size`; empty: not used
--- a/src/lab/site/active_faults.h
+++ b/src/lab/site/active_faults.h
@@ -1,5 +1,5 @@
-// What faults come to where several are on at once: the same node may be hit by two of a kind, and must not
-// be well again when the first of them ends. No I/O, no clock.
+// The set of active faults per target. Several faults of one kind may overlap on the same node, which must
+// not recover when the first of them ends. No I/O and no clock.
 #ifndef BURLFALL_LAB_SITE_ACTIVE_FAULTS_H_
 #define BURLFALL_LAB_SITE_ACTIVE_FAULTS_H_
 
@@ -11,25 +11,25 @@
 
 namespace burlfall::lab {
 
-// The actions that are on, by what they hit. A target is a number that the caller gives a meaning to.
-class Overlaps {
+// The active actions, by fault kind and target. The caller defines the meaning of a target's number.
+class ActiveFaults {
  public:
   void Begin(FaultKind kind, int target, int action, double size);
   void End(FaultKind kind, int target, int action);
 
-  bool On(FaultKind kind, int target) const;
-  // The worst of those that are on: the largest size, or the smallest where `least`; `none` where there is
-  // none.
-  double Worst(FaultKind kind, int target, double none, bool least = false) const;
-  std::vector<int> All(FaultKind kind) const;  // the targets that are hit
+  bool IsActive(FaultKind kind, int target) const;
+  // Returns the largest size of the active faults, or the smallest one if `smallest` is set; `none` if no
+  // fault is active.
+  double Worst(FaultKind kind, int target, double none, bool smallest = false) const;
+  std::vector<int> Targets(FaultKind kind) const;  // the targets with an active fault
 
  private:
-  std::map<std::pair<FaultKind, int>, std::map<int, double>> on_;  // sizes by action
+  std::map<std::pair<FaultKind, int>, std::map<int, double>> sizes_;  // by kind and target: size by action
 };
 
-// Which pairs of a node and a balancer a cut parts: the ends stand in different zones, one of them in a zone
-// that is cut off.
-bool Parted(const std::vector<int>& zones_cut_off, int node_zone, int balancer_zone);
+// Whether zone cuts separate a node from a balancer: they are in different zones, and at least one of these
+// zones is cut off.
+bool SeparatedByCut(const std::vector<int>& zones_cut_off, int node_zone, int balancer_zone);
 
 }  // namespace burlfall::lab
 
--- a/src/lab/site/discovery.h
+++ b/src/lab/site/discovery.h
@@ -1,4 +1,5 @@
-// The stand-in for discovery: a model of what it knows and when it answers, and that model on connections.
+// Stand-in for the discovery service: a model of what the service knows and when it answers, and an HTTP
+// server that runs this model.
 #ifndef BURLFALL_LAB_SITE_DISCOVERY_H_
 #define BURLFALL_LAB_SITE_DISCOVERY_H_
 
@@ -20,63 +21,64 @@
 
 namespace burlfall::lab {
 
-// A node as discovery knows it.
+// The state of a node, as discovery knows it.
 struct HostState {
   int node = 0;
   meadowslip::BackendState state = meadowslip::BackendState::kReady;
-  Micros started_at = 0;  // 0: long ago
+  Micros started_at = 0;  // 0: unknown, long ago
   bool operator==(const HostState&) const = default;
 };
 
-// No I/O and no clock. It learns of each change some time after it; calls are handled in turn, at so many a
-// second, and a watch is held until there is news.
+// The model: no I/O and no clock. It learns of each change with a delay. Calls are queued and handled at a
+// limited rate. A watch (a call with an index) is held until the list changes or its wait time is over.
 class DiscoveryModel {
  public:
-  enum class Did {
-    kAnswered,   // the list, or what has changed
-    kFailed,     // 503
-    kReset,      // the link
-    kListed,     // it has come to list this of these hosts
-    kDeemed,     // between two calls of a watch: `balancer` counts as told of these hosts
-    kUnwatched,  // the watch of `balancer` has ended, and no call of it failed
+  enum class EffectType {
+    kAnswered,            // the call gets the list, or the changes
+    kFailed,              // the call gets 503
+    kReset,               // the call's connection is reset
+    kListChanged,         // the list now has these states of these hosts
+    kConsideredInformed,  // between two calls of a watch: `balancer` counts as informed of these hosts
+    kWatchEnded,          // the watch of `balancer` has ended without a failed call
   };
   struct Effect {
-    Did did = Did::kAnswered;
+    EffectType type = EffectType::kAnswered;
     uint64_t call = 0;
     int balancer = 0;
     uint64_t version = 0;
     bool full = false;
-    std::vector<HostState> hosts;  // of a whole list too with those that are gone, which are not written
+    std::vector<HostState> hosts;  // also contains hosts that are gone, which a full list leaves out
   };
 
   DiscoveryModel(const DiscoverySpec& spec, int balancers, std::vector<HostState> known, uint64_t seed);
 
-  // A node is now in this state, or has started anew. `silent`: it gave no sign of that.
-  void Happened(Micros now, const HostState& host, bool silent);
+  // A node has changed its state or has restarted. `silent`: it gave no sign of the change.
+  void ReportChange(Micros now, const HostState& host, bool silent);
 
-  // Without `index` a call for the whole list, with it one that waits for what is newer. Its answer comes as
-  // an effect, to the number that is returned.
+  // A call for the full list, or, with `index`, one that waits for a version other than `index`. Returns the
+  // number of the call, which the effect with the answer carries.
   uint64_t Call(Micros now, int balancer, std::optional<uint64_t> index, Micros wait,
                 std::vector<Effect>& effects);
-  void Left(Micros now, uint64_t call, std::vector<Effect>& effects);  // the caller has ended its link
+  void CallerDisconnected(Micros now, uint64_t call, std::vector<Effect>& effects);
   void GoDown(Micros now, std::vector<Effect>& effects);
-  void Slow(double part) { speed_ = part; }  // of its calls a second is left
-  // With the list as it was so many versions ago; what it has forgotten it learns anew, late again.
+  void SetSpeed(double share) { speed_ = share; }  // remaining share of its calls per second
+  // Recovers with the list as it was `versions_before` versions ago; it learns the lost changes again, with
+  // the usual delay.
   void ComeBack(Micros now, int versions_before, std::vector<Effect>& effects);
-  Micros NextAt() const;  // when Tick() is due; kNever: not
+  Micros NextAt() const;  // time at which Tick() is due; kNever: no event is pending
   void Tick(Micros now, std::vector<Effect>& effects);
 
-  bool watching(int balancer) const;
+  bool watching(int balancer) const;  // a watch is held, or the time between two of its calls has not expired
   uint64_t version() const { return version_; }
-  std::vector<HostState> List() const;  // by node; those that are gone too
+  std::vector<HostState> List() const;  // ordered by node; includes those that are gone
 
  private:
-  enum class Phase { kInTurn, kTooLate, kWatching };
+  enum class Phase { kQueued, kTimingOut, kWatching };
   struct Pending {
     int balancer = 0;
     std::optional<uint64_t> index;
-    Micros until = 0;  // of its wait
-    Phase phase = Phase::kInTurn;
+    Micros until = 0;  // end of its wait time
+    Phase phase = Phase::kQueued;
     std::multimap<Micros, uint64_t>::iterator due;
   };
   struct Change {
@@ -85,84 +87,87 @@
     std::optional<HostState> before;
   };
   struct Watcher {
-    int calls = 0;         // of watches, under way
-    Micros gap_until = 0;  // the watch goes on if the next call comes by then; 0: it is not between two calls
-    // What it knows may be newer than the list: versions are used a second time, so it gets the whole.
-    bool stranger = false;
+    int calls = 0;         // watch calls in progress
+    Micros gap_until = 0;  // the watch continues if the next call arrives by then; 0: not between two calls
+    // The balancer may know a newer list than the service does. Versions are reused after the service has
+    // lost some, so the next answer must be a full list.
+    bool needs_full_list = false;
   };
 
-  void LearnAt(Micros at, const HostState& host);
-  void Learn(Micros at, const HostState& host, std::vector<Effect>& effects);
+  void ScheduleUpdate(Micros at, const HostState& host);
+  void ApplyUpdate(Micros at, const HostState& host, std::vector<Effect>& effects);
   void Due(Micros at, uint64_t call, std::vector<Effect>& effects);
-  void Park(uint64_t call, Pending& one, Phase phase, Micros due);
-  Pending Forget(uint64_t call);
-  void Conclude(Micros at, uint64_t call, Did how, std::vector<Effect>& effects);
+  void Schedule(uint64_t call, Pending& one, Phase phase, Micros due);
+  Pending RemoveCall(uint64_t call);
+  void Conclude(Micros at, uint64_t call, EffectType how, std::vector<Effect>& effects);
   void Fail(Micros at, uint64_t call, std::vector<Effect>& effects);
 
   const DiscoverySpec spec_;
-  Stream64 draws_;
+  Stream64 random_;
   bool down_ = false;
   uint64_t version_ = 1;
   uint64_t calls_ = 0;
   double speed_ = 1;
-  Micros free_at_ = 0;  // when it is done with the calls before
+  Micros free_at_ = 0;  // when all earlier calls are done
   std::map<int, HostState> known_;
-  std::map<int, HostState> truth_;
-  std::map<int, Micros> last_word_;  // of each node: words of it are learned in their order
-  std::multimap<Micros, HostState> words_;
-  std::deque<Change> changes_;  // the latest; what they leave of the past can be asked for and gone back to
+  std::map<int, HostState> actual_;
+  std::map<int, Micros> last_update_at_;  // by node: the updates of a node are applied in order
+  std::multimap<Micros, HostState> pending_updates_;
+  std::deque<Change>
+      changes_;  // the latest changes: used for partial answers and to return to older versions
   std::unordered_map<uint64_t, Pending> pending_;
   std::multimap<Micros, uint64_t> due_;
   std::vector<Watcher> watchers_;
 };
 
+// HTTP server that runs the model and can misbehave in further ways.
 class Discovery final : public StandIn {
  public:
-  // Where a node listens for a balancer, and a list as the platform writes it.
+  // The address at which a node listens for a balancer, and the JSON text of a list.
   using AddressOf = std::function<std::string(int node, int balancer)>;
   using TextOf = std::function<std::string(const NodeList& list)>;
-  // Listens at once; throws std::system_error where an address can't be had.
+  // Starts to listen; throws std::system_error if an address is not available.
   Discovery(Machine& machine, Witness& witness, const DiscoverySpec& spec, const std::vector<Address>& at,
             std::vector<HostState> known, AddressOf address_of, TextOf text_of, uint64_t seed);
   ~Discovery() override;
 
-  void Happened(int node, meadowslip::BackendState state, Micros started_at, bool silent = false);
+  void ReportChange(int node, meadowslip::BackendState state, Micros started_at, bool silent = false);
   void GoDown();
   void ComeBack(int versions_before = 0);
-  // What is wrong with it, short of being down; from now on, of calls that come then.
-  struct Troubles {
-    bool busy = false;         // says 503 at once
-    double retry_after_s = 0;  // and when to come back; 0: nothing
-    double breaks = 0;         // share of the answers that break in the middle
-    double odd = 0;            // share of the answers that are 200 with nothing usable
-    double speed = 1;          // part of its calls a second that is left
+  // Impairments other than being down; they affect calls that arrive after they are set.
+  struct Impairments {
+    bool busy = false;         // answers 503 at once
+    double retry_after_s = 0;  // Retry-After of these answers; 0: none
+    double truncated = 0;      // share of the answers that break off in the middle
+    double unusable = 0;       // share of the answers that are 200 with an unusable body
+    double speed = 1;          // remaining share of its calls per second
   };
-  void Trouble(const Troubles& troubles);
-  NodeList ListFor(int balancer) const;  // the whole, as it would answer now
+  void SetImpairments(const Impairments& impairments);
+  NodeList ListFor(int balancer) const;  // the full list that it would answer now
 
  private:
   struct CallLink;
 
   std::unique_ptr<Link> NewLink() override;
   Task<bool> Handle(Link& link, HttpMessage query) override;
-  void Written(Link& link) override;
-  void Lost(Link& link) override;
-  Task<> Tend();
+  void OnAnswerWritten(Link& link) override;
+  void OnClosed(Link& link) override;
+  Task<> RunModel();
   void Apply();
   void Conclude(DiscoveryModel::Effect effect);
-  NodeList Listed(int balancer, uint64_t version, bool full, const std::vector<HostState>& hosts) const;
+  NodeList BuildList(int balancer, uint64_t version, bool full, const std::vector<HostState>& hosts) const;
 
   Witness& witness_;
   DiscoveryModel model_;
-  Troubles troubles_;
-  Stream64 draws_;
+  Impairments impairments_;
+  Stream64 random_;
   AddressOf address_of_;
   TextOf text_of_;
   std::unordered_map<uint64_t, CallLink*> calls_;
   std::vector<DiscoveryModel::Effect> effects_;
-  Event model_moves_;
-  Micros tended_at_ = kNever;
-  Task<> tending_;
+  Event model_changed_;
+  Micros next_tick_at_ = kNever;
+  Task<> model_task_;
 };
 
 }  // namespace burlfall::lab
--- a/src/lab/site/discovery_model.cpp
+++ b/src/lab/site/discovery_model.cpp
@@ -1,3 +1,4 @@
+// DiscoveryModel of discovery.h.
 #include <algorithm>
 #include <utility>
 
@@ -8,52 +9,53 @@
 
 using meadowslip::BackendState;
 
-constexpr Micros kWatchGap = 200 * kMs;
-constexpr size_t kMostChanges = 64;  // that it remembers; who has missed more gets the whole list
+constexpr Micros kWatchGap = 200 * kMs;  // max. time between two calls of a watch
+constexpr size_t kMaxChanges = 64;  // retained changes; a balancer that has missed more gets the full list
 
-Micros Drawn(Stream64& draws, const Range& ms) {
-  return std::max<Micros>(0, static_cast<Micros>(draws.Between(ms) * kMs));
+Micros RandomDelay(Stream64& random, const Range& ms) {
+  return std::max<Micros>(0, static_cast<Micros>(random.Between(ms) * kMs));
 }
 
 }  // namespace
 
 DiscoveryModel::DiscoveryModel(const DiscoverySpec& spec, int balancers, std::vector<HostState> known,
                                uint64_t seed)
-    : spec_(spec), draws_(seed, "discovery"), watchers_(static_cast<size_t>(std::max(1, balancers))) {
+    : spec_(spec), random_(seed, "discovery"), watchers_(static_cast<size_t>(std::max(1, balancers))) {
   for (const HostState& host : known) known_[host.node] = host;
-  truth_ = known_;
+  actual_ = known_;
 }
 
-void DiscoveryModel::Happened(Micros now, const HostState& host, bool silent) {
-  truth_[host.node] = host;
-  LearnAt(now + Drawn(draws_, silent ? spec_.silent_late_ms : spec_.late_ms), host);
+void DiscoveryModel::ReportChange(Micros now, const HostState& host, bool silent) {
+  actual_[host.node] = host;
+  ScheduleUpdate(now + RandomDelay(random_, silent ? spec_.silent_late_ms : spec_.late_ms), host);
 }
 
-void DiscoveryModel::LearnAt(Micros at, const HostState& host) {
-  Micros& last = last_word_[host.node];
+void DiscoveryModel::ScheduleUpdate(Micros at, const HostState& host) {
+  Micros& last = last_update_at_[host.node];
   last = std::max(last, at);
-  words_.emplace(last, host);
+  pending_updates_.emplace(last, host);
 }
 
-void DiscoveryModel::Learn(Micros at, const HostState& host, std::vector<Effect>& effects) {
-  if (down_ && spec_.pushed) return;  // what is pushed is pushed by nobody meanwhile: it learns at its return
+void DiscoveryModel::ApplyUpdate(Micros at, const HostState& host, std::vector<Effect>& effects) {
+  if (down_ && spec_.pushed)
+    return;  // nothing is pushed while it is down; ComeBack() schedules the update again
   auto known = known_.find(host.node);
   if (known != known_.end() && known->second == host) return;
   changes_.push_back({++version_, host.node, {}});
   if (known != known_.end()) changes_.back().before = known->second;
-  if (changes_.size() > kMostChanges) changes_.pop_front();
+  if (changes_.size() > kMaxChanges) changes_.pop_front();
   known_[host.node] = host;
-  effects.push_back({Did::kListed, 0, 0, version_, false, {host}});
+  effects.push_back({EffectType::kListChanged, 0, 0, version_, false, {host}});
   for (size_t i = 0; i < watchers_.size(); ++i) {
     if (watchers_[i].gap_until < at) continue;
-    effects.push_back({Did::kDeemed, 0, static_cast<int>(i), version_, false, {host}});
+    effects.push_back({EffectType::kConsideredInformed, 0, static_cast<int>(i), version_, false, {host}});
   }
   std::vector<uint64_t> watches;
   for (const auto& [call, one] : pending_) {
     if (one.phase == Phase::kWatching) watches.push_back(call);
   }
-  std::sort(watches.begin(), watches.end());  // a hash table's order says nothing
-  for (uint64_t call : watches) Conclude(at, call, Did::kAnswered, effects);
+  std::sort(watches.begin(), watches.end());  // the order of the hash table is not deterministic
+  for (uint64_t call : watches) Conclude(at, call, EffectType::kAnswered, effects);
 }
 
 uint64_t DiscoveryModel::Call(Micros now, int balancer, std::optional<uint64_t> index, Micros wait,
@@ -71,21 +73,21 @@
     watcher.gap_until = 0;
   }
   const Micros begins = std::max(now, free_at_);
-  const Micros patience = static_cast<Micros>(spec_.patience_ms * kMs);
+  const Micros timeout = static_cast<Micros>(spec_.patience_ms * kMs);
   if (down_) {
     Fail(now, call, effects);
-  } else if (begins - now > patience) {
-    Park(call, one, Phase::kTooLate, now + patience);
+  } else if (begins - now > timeout) {
+    Schedule(call, one, Phase::kTimingOut, now + timeout);
   } else {
     const bool in_turn = spec_.calls_per_s > 0 && !spec_.pushed;
     const double each = in_turn ? kSecond / (spec_.calls_per_s * speed_) : 0;
     free_at_ = begins + static_cast<Micros>(each);
-    Park(call, one, Phase::kInTurn, free_at_);
+    Schedule(call, one, Phase::kQueued, free_at_);
   }
   return call;
 }
 
-void DiscoveryModel::Park(uint64_t call, Pending& one, Phase phase, Micros due) {
+void DiscoveryModel::Schedule(uint64_t call, Pending& one, Phase phase, Micros due) {
   one.phase = phase;
   one.due = due_.emplace(due, call);
 }
@@ -94,18 +96,18 @@
   Pending& one = pending_.find(call)->second;
   due_.erase(one.due);
   one.due = due_.end();
-  if (one.phase == Phase::kTooLate) return Fail(at, call, effects);
-  const bool news =
-      !one.index || *one.index != version_ || watchers_[static_cast<size_t>(one.balancer)].stranger;
-  if (one.phase == Phase::kWatching || news) return Conclude(at, call, Did::kAnswered, effects);
-  Park(call, one, Phase::kWatching, std::max(at, one.until));
+  if (one.phase == Phase::kTimingOut) return Fail(at, call, effects);
+  const bool has_update =
+      !one.index || *one.index != version_ || watchers_[static_cast<size_t>(one.balancer)].needs_full_list;
+  if (one.phase == Phase::kWatching || has_update) return Conclude(at, call, EffectType::kAnswered, effects);
+  Schedule(call, one, Phase::kWatching, std::max(at, one.until));
 }
 
 void DiscoveryModel::Fail(Micros at, uint64_t call, std::vector<Effect>& effects) {
-  Conclude(at, call, draws_.Chance(0.5) ? Did::kFailed : Did::kReset, effects);
+  Conclude(at, call, random_.Chance(0.5) ? EffectType::kFailed : EffectType::kReset, effects);
 }
 
-DiscoveryModel::Pending DiscoveryModel::Forget(uint64_t call) {
+DiscoveryModel::Pending DiscoveryModel::RemoveCall(uint64_t call) {
   const auto it = pending_.find(call);
   const Pending one = it->second;
   if (one.due != due_.end()) due_.erase(one.due);
@@ -114,14 +116,14 @@
   return one;
 }
 
-void DiscoveryModel::Conclude(Micros at, uint64_t call, Did how, std::vector<Effect>& effects) {
-  const Pending one = Forget(call);
+void DiscoveryModel::Conclude(Micros at, uint64_t call, EffectType how, std::vector<Effect>& effects) {
+  const Pending one = RemoveCall(call);
   Watcher& watcher = watchers_[static_cast<size_t>(one.balancer)];
   Effect effect{how, call, one.balancer, version_, false, {}};
-  if (how == Did::kAnswered) {
+  if (how == EffectType::kAnswered) {
     const uint64_t oldest = changes_.empty() ? version_ : changes_.front().version - 1;
-    const bool stranger = std::exchange(watcher.stranger, false);
-    effect.full = stranger || !one.index || *one.index > version_ || *one.index < oldest;
+    const bool needs_full_list = std::exchange(watcher.needs_full_list, false);
+    effect.full = needs_full_list || !one.index || *one.index > version_ || *one.index < oldest;
     for (const HostState& host : List()) {
       const bool changed = std::any_of(changes_.begin(), changes_.end(), [&](const Change& change) {
         return change.node == host.node && one.index && change.version > *one.index;
@@ -133,12 +135,12 @@
   effects.push_back(std::move(effect));
 }
 
-void DiscoveryModel::Left(Micros now, uint64_t call, std::vector<Effect>& effects) {
+void DiscoveryModel::CallerDisconnected(Micros now, uint64_t call, std::vector<Effect>& effects) {
   Tick(now, effects);
   if (!pending_.contains(call)) return;
-  const Pending one = Forget(call);
+  const Pending one = RemoveCall(call);
   if (!one.index || watching(one.balancer)) return;
-  effects.push_back({Did::kUnwatched, 0, one.balancer, version_, false, {}});
+  effects.push_back({EffectType::kWatchEnded, 0, one.balancer, version_, false, {}});
 }
 
 void DiscoveryModel::GoDown(Micros now, std::vector<Effect>& effects) {
@@ -150,7 +152,7 @@
   for (uint64_t call : calls) Fail(now, call, effects);
   for (size_t i = 0; i < watchers_.size(); ++i) {
     if (std::exchange(watchers_[i].gap_until, 0) == 0) continue;
-    effects.push_back({Did::kUnwatched, 0, static_cast<int>(i), version_, false, {}});
+    effects.push_back({EffectType::kWatchEnded, 0, static_cast<int>(i), version_, false, {}});
   }
 }
 
@@ -158,27 +160,27 @@
   Tick(now, effects);
   down_ = false;
   free_at_ = now;
-  for (Watcher& watcher : watchers_) watcher.stranger = watcher.stranger || versions_before > 0;
+  for (Watcher& watcher : watchers_) watcher.needs_full_list = watcher.needs_full_list || versions_before > 0;
   for (; versions_before > 0 && !changes_.empty(); --versions_before) {
     const Change& last = changes_.back();
     --version_;
     const HostState older = last.before.value_or(HostState{last.node, BackendState::kGone, 0});
     known_[last.node] = older;
-    effects.push_back({Did::kListed, 0, 0, version_, false, {older}});
+    effects.push_back({EffectType::kListChanged, 0, 0, version_, false, {older}});
     changes_.pop_back();
   }
-  for (const auto& [node, host] : truth_) {
+  for (const auto& [node, host] : actual_) {
     const auto known = known_.find(node);
     const bool right = known != known_.end() && known->second == host;
-    const bool coming =
-        std::any_of(words_.begin(), words_.end(), [&](const auto& word) { return word.second == host; });
-    if (!right && !coming) LearnAt(now + Drawn(draws_, spec_.late_ms), host);
+    const bool coming = std::any_of(pending_updates_.begin(), pending_updates_.end(),
+                                    [&](const auto& update) { return update.second == host; });
+    if (!right && !coming) ScheduleUpdate(now + RandomDelay(random_, spec_.late_ms), host);
   }
 }
 
 Micros DiscoveryModel::NextAt() const {
   Micros next = kNever;
-  if (!words_.empty()) next = std::min(next, words_.begin()->first);
+  if (!pending_updates_.empty()) next = std::min(next, pending_updates_.begin()->first);
   if (!due_.empty()) next = std::min(next, due_.begin()->first);
   for (const Watcher& watcher : watchers_) {
     if (watcher.gap_until > 0) next = std::min(next, watcher.gap_until + 1);
@@ -188,17 +190,17 @@
 
 void DiscoveryModel::Tick(Micros now, std::vector<Effect>& effects) {
   for (Micros at = NextAt(); at <= now; at = NextAt()) {
-    if (!words_.empty() && words_.begin()->first == at) {
-      const HostState host = words_.begin()->second;
-      words_.erase(words_.begin());
-      Learn(at, host, effects);
+    if (!pending_updates_.empty() && pending_updates_.begin()->first == at) {
+      const HostState host = pending_updates_.begin()->second;
+      pending_updates_.erase(pending_updates_.begin());
+      ApplyUpdate(at, host, effects);
     } else if (!due_.empty() && due_.begin()->first == at) {
       Due(at, due_.begin()->second, effects);
     } else {
       for (size_t i = 0; i < watchers_.size(); ++i) {
         if (watchers_[i].gap_until == 0 || watchers_[i].gap_until >= at) continue;
         watchers_[i].gap_until = 0;
-        effects.push_back({Did::kUnwatched, 0, static_cast<int>(i), version_, false, {}});
+        effects.push_back({EffectType::kWatchEnded, 0, static_cast<int>(i), version_, false, {}});
       }
     }
   }
--- a/src/lab/site/mark.h
+++ b/src/lab/site/mark.h
@@ -1,4 +1,4 @@
-// The line that a node writes at the front of an answer's body, and reading it back.
+// The line with which the body of a node's answer begins, so that an answer can be attributed to its query.
 #ifndef BURLFALL_LAB_SITE_MARK_H_
 #define BURLFALL_LAB_SITE_MARK_H_
 
@@ -10,12 +10,12 @@
 
 namespace burlfall::lab {
 
-// "burl trace=00000000000000ff node=3 attempt=17\n", and padding up to `size`.
+// Appends "burl trace=00000000000000ff node=3 attempt=17\n", and padding up to `size`.
 void AppendMark(std::string& body, const Mark& mark, size_t size = 0);
-// Of a body that AppendMark() made, to its last byte; else a mark with no trace.
+// Parses a body. Returns a mark without a trace unless the complete body is one that AppendMark() writes.
 Mark ReadMark(std::string_view body);
 
-// A trace as it stands in a header: 16 hexadecimal digits. 0: it is no such text.
+// Parses a trace ID as in a header: 16 hexadecimal digits. 0: the text is malformed.
 TraceId ReadTrace(std::string_view text);
 void AppendTrace(std::string& to, TraceId trace);
 std::string TraceText(TraceId trace);
--- a/src/lab/site/node_model.h
+++ b/src/lab/site/node_model.h
@@ -1,10 +1,10 @@
-// What a node does with the queries that reach it: slots, waiting room, speed, cold start, warm keys, repeats
-// dropped, and falling over. No I/O and no clock: events come in with their time, effects come out. One model
-// a node; the stand-in in node.h puts it on connections.
+// Model of a node that processes queries: slots, queue, speed, cold start, cached (warm) keys, deduplication
+// of repeats, and a crash on overload. No I/O and no clock: events come in with their time, effects come out.
+// There is one model per node; the stand-in in node.h connects it to the network.
 //
-// The cores are shared evenly by what is in work, a handshake as much as a query, none getting more than one;
-// a slot is leave to be in work. However late an event comes in, what was to end before it ends at its own
-// time, so a clock that ticks coarsely costs no capacity.
+// All jobs in progress, handshakes as well as queries, share the cores evenly, and no job uses more than one
+// core. A query needs a slot to be processed. An event may come in late: jobs that were due to end before it
+// end at their own time, so a coarse clock costs no capacity.
 #ifndef BURLFALL_LAB_SITE_NODE_MODEL_H_
 #define BURLFALL_LAB_SITE_NODE_MODEL_H_
 
@@ -24,23 +24,23 @@
 struct NodeQuery {
   uint64_t attempt = 0;
   int balancer = 0;
-  int cls = -1;                      // -1: none that the experiment names
-  uint64_t key = 0;                  // what it concerns; 0: nothing
+  int cls = -1;                      // -1: no class of the experiment
+  uint64_t key = 0;                  // 0: none
   std::string idempotency_key = {};  // of a keyed query
   double work_us = 0;                // on a standard core
-  Micros over_at = kNever;           // when the balancer stops waiting
-  uint64_t link = 0;                 // it waits for the handshake of this one, where that is not done
-  bool no_room = false;              // it came by a link that is one too many: turned away
+  Micros expires_at = kNever;        // when the balancer's timeout expires
+  uint64_t link = 0;                 // if its handshake is not done, the query waits for it
+  bool link_over_limit = false;      // its link exceeds the limit of connections: rejected
 };
 
-// The site's memory of idempotency keys: a repeat has no effect, whichever node it comes to.
-class Deduper {
+// The idempotency keys of all nodes of a site: a repeat has no effect, whichever node receives it.
+class Deduplicator {
  public:
-  explicit Deduper(const std::vector<ClassSpec>& classes);
-  // Whether a query that begins now is a repeat: one that came by the end of its class's window, which runs
-  // from the effect of its key. However long it has waited since: the balancers' rule goes by when it was
-  // sent. If it is none, the key has its effect now.
-  bool Repeat(Micros now, Micros came_at, int cls, const std::string& key);
+  explicit Deduplicator(const std::vector<ClassSpec>& classes);
+  // Whether a query whose processing starts now is a repeat: it arrived within the window of its class, which
+  // starts with the effect of its key. The time that it has been queued since does not matter, because the
+  // rule for balancers depends on when a query was sent. If it is not a repeat, the key takes effect now.
+  bool IsRepeat(Micros now, Micros arrived_at, int cls, const std::string& key);
 
  private:
   struct Memory {
@@ -54,19 +54,19 @@
 
 class NodeModel {
  public:
-  enum class Did {
-    kBegan,       // in work now; `repeat`: its effect was dropped, only an answer is made
+  enum class EffectType {
+    kProcessing,  // processing has started; `repeat`: without the effect, only to produce an answer
     kServed,      // answer 200
     kError,       // answer 500
-    kTurnedAway,  // 503 and X-Never-Ran: 1
-    kOver,        // 504 and X-Never-Ran: 1: its time was over before it began
-    kFell,        // the process died of what it was sent; all it held is dropped
+    kRejected,    // 503 and X-Never-Ran: 1
+    kExpired,     // 504 and X-Never-Ran: 1: its timeout expired before processing started
+    kCrashed,     // the process crashed from overload; all its queries are dropped
   };
   struct Effect {
-    Did did = Did::kBegan;
+    EffectType type = EffectType::kProcessing;
     uint64_t attempt = 0;
     bool repeat = false;
-    std::vector<double> pushed_by;  // of kFell: the work in the window, by balancer
+    std::vector<double> work_by_balancer;  // of kCrashed: the work received in the window
   };
   struct Rules {
     double overload_factor = 4;
@@ -74,32 +74,32 @@
     int balancers = 1;
   };
 
-  // `repeats` is the site's, and outlives it.
-  NodeModel(const NodePlan& plan, const NodeGroup& group, Deduper& repeats, Rules rules, uint64_t seed);
+  // `repeats` belongs to the site and must outlive the model.
+  NodeModel(const NodePlan& plan, const NodeGroup& group, Deduplicator& repeats, Rules rules, uint64_t seed);
   ~NodeModel();
 
-  // What came of an event is in the effects, in order; they are appended.
-  void Start(Micros now, bool cold);  // from nothing, whatever it was before, and with no fault
-  void Stop();                        // holds nothing and takes nothing
-  // Turns away what is new, completes what it holds.
+  // Each event appends its effects, in order, to `effects`.
+  void Start(Micros now, bool cold);  // starts with a clean state and without faults
+  void Stop();                        // drops all queries and ignores further ones
+  // Rejects new queries, completes those it holds.
   void Drain(Micros now, std::vector<Effect>& effects);
-  // Takes queries and answers none: nothing moves. What it held goes on with its end, and what came meanwhile
-  // and doesn't fit is turned away.
+  // While silent, it accepts queries, processes nothing and answers none. Afterwards it resumes its queries
+  // and rejects those that arrived meanwhile and exceed its queue.
   void Silence(Micros now, bool on, std::vector<Effect>& effects);
-  void FailFast(Micros now, double share, std::vector<Effect>& effects);  // 0: no more
-  void Slow(Micros now, double part, std::vector<Effect>& effects);       // 1: no more
+  void FailFast(Micros now, double share, std::vector<Effect>& effects);  // 0: off
+  void SetSpeed(Micros now, double part, std::vector<Effect>& effects);   // 1: full speed
 
-  // The work of a new link; what comes by it first waits for the end of that.
+  // The handshake of a new link; the first query on the link waits for its completion.
   void Handshake(Micros now, int balancer, uint64_t link, std::vector<Effect>& effects);
-  void Take(Micros now, NodeQuery query, std::vector<Effect>& effects);
-  // Nobody waits for it any more. True where it is dropped: no effect of it follows.
-  bool GivenUp(Micros now, uint64_t attempt, std::vector<Effect>& effects);
-  Micros NextAt() const;  // when Tick() is due; kNever: not
+  void Submit(Micros now, NodeQuery query, std::vector<Effect>& effects);
+  // The balancer no longer waits for the attempt. True if it is dropped, so that no effect of it follows.
+  bool Cancel(Micros now, uint64_t attempt, std::vector<Effect>& effects);
+  Micros NextAt() const;  // time at which Tick() is due; kNever: no event is pending
   void Tick(Micros now, std::vector<Effect>& effects);
 
   bool draining() const;
-  int in_hand() const;                // queries that it holds
-  double Capacity(Micros now) const;  // share of the full
+  int pending_queries() const;        // queries being queued or processed
+  double Capacity(Micros now) const;  // share of the full capacity
 
  private:
   struct State;
--- a/src/lab/site/site.h
+++ b/src/lab/site/site.h
@@ -1,5 +1,5 @@
-// A site: the nodes and discovery of a script, and its faults on a timeline. The balancers are somebody
-// else's, processes or not: the site tells them when to start and end, and hears when they have.
+// A site: runs the nodes, discovery and the timeline of faults of a script. The balancers are run by the
+// caller, as processes or simulated: the site requests their start and end and is notified of both.
 #ifndef BURLFALL_LAB_SITE_SITE_H_
 #define BURLFALL_LAB_SITE_SITE_H_
 
@@ -21,83 +21,85 @@
 
 namespace burlfall::lab {
 
-// The balancers as a site needs them. None of these comes back to the site from inside.
+// Interface through which a site controls the balancers. No method may call the site back.
 class Balancers {
  public:
   virtual ~Balancers() = default;
-  virtual void Start(int balancer, const std::string& config, FolderAfter folder) = 0;  // its config.json
-  virtual void Kill(int balancer) = 0;                                                  // SIGKILL
-  virtual void Terminate(int balancer) = 0;                          // SIGTERM, and SIGKILL in the end
-  virtual void Reload(int balancer, const std::string& config) = 0;  // SIGHUP with this file
-  virtual void Pause(int balancer, bool on) = 0;                     // SIGSTOP, SIGCONT
-  virtual void SendRude(int balancer, double links_per_s) = 0;       // from now on; 0: no more
+  // `config`: the content of its config.json.
+  virtual void Start(int balancer, const std::string& config, FolderAfter folder) = 0;
+  virtual void Kill(int balancer) = 0;                                        // SIGKILL
+  virtual void Terminate(int balancer) = 0;                                   // SIGTERM, then SIGKILL
+  virtual void Reload(int balancer, const std::string& config) = 0;           // SIGHUP with this config.json
+  virtual void Pause(int balancer, bool on) = 0;                              // SIGSTOP, SIGCONT
+  virtual void SetMisbehavingLinkRate(int balancer, double links_per_s) = 0;  // 0: none
 };
 
 class Site {
  public:
   struct Places {
-    std::string node_host;  // where nodes and discovery listen: ports are theirs to find
-    // Each node at a host of its own instead, in 127.65.0.0/16, where there are more listeners than ports.
+    std::string node_host;  // host at which nodes and discovery listen; they choose the ports
+    // Each node has a host of its own, in 127.65.0.0/16; needed if there are more listeners than ports.
     bool host_each = false;
-    std::vector<std::string> listen;  // of the balancers, with ports
+    std::vector<std::string> listen;  // the balancers' addresses, with ports
   };
   using WorkOf = std::function<bool(TraceId, WorkInfo&)>;
 
-  // All of these must outlive it. It adds itself to the witnesses.
+  // All references must remain valid for the lifetime of the site, which adds an observer to the witnesses.
   Site(Machine& machine, const Experiment& experiment, const Script& script, Witnesses& witnesses,
        Balancers& balancers, WorkOf work_of, Places places);
   ~Site();
   Site(const Site&) = delete;
 
-  void Open();            // nodes and discovery; throws std::system_error where they can't be
-  void StartBalancers();  // all of them, for the first time; those that start on the run's clock not yet
-  void Begin(Micros at);  // the run: its faults count from here
-  void End();             // no further fault; those that are on stay
+  void Open();            // starts nodes and discovery; throws std::system_error if they cannot listen
+  void StartBalancers();  // first start of all balancers, except those that have a start time in the run
+  void Begin(Micros at);  // starts the run; the times of faults are relative to `at`
+  void End();             // stops the timeline; active faults remain
 
-  // From whoever runs the balancers; not from inside a call of theirs.
+  // Notifications from the caller that runs the balancers; not allowed from within a method of Balancers.
   void BalancerUp(int balancer);
   void BalancerDown(int balancer, bool planned);
 
-  uint64_t strange_queries() const;  // at nodes, that nobody sent in this form
-  int links() const;                 // at nodes
+  uint64_t all_unexpected_queries() const;  // at nodes; no client sent them in this form
+  int links() const;                        // open links at nodes
 
  private:
-  struct Moment {
+  struct TimelineEvent {
     Micros at = 0;
     int action = 0;
     bool begins = true;
-    bool at_once = false;  // of a fault without length
-    bool operator<(const Moment& other) const;
+    bool instantaneous = false;  // the fault has no duration
+    bool operator<(const TimelineEvent& other) const;
   };
-  // Hears of nodes that fell, to act on it once the witnesses are done.
-  class FallTap final : public QuietWitness {
+  // Collects nodes that crashed; HandleCrashes() acts on them after all witnesses have been called.
+  class CrashObserver final : public QuietWitness {
    public:
-    explicit FallTap(Site& site) : site_(site) {}
-    void NodeChanged(int node, NodeChange change, Micros at, const std::vector<double>& pushed_by) override;
+    explicit CrashObserver(Site& site) : site_(site) {}
+    void NodeChanged(int node, NodeChange change, Micros at,
+                     const std::vector<double>& work_by_balancer) override;
 
    private:
     Site& site_;
   };
 
-  Task<> Play();
-  Task<> StartInTurn();
-  void SettleDiscovery();
-  void SettleListPath(int balancer);
+  Task<> RunTimeline();
+  Task<> StartBalancersOnSchedule();
+  void UpdateDiscovery();
+  void UpdateListPath(int balancer);
   Address DiscoveryFor(int balancer) const;
-  Task<> Emptied(int place, Micros until);
-  Task<> SeeFalls();
-  void Begins(int action);
-  void Ends(int action);
-  void Settle(int place);  // the node there as its faults now are
-  void SettleCuts();
-  void SettleAll(const Action& action);
+  Task<> EndWhenEmpty(int place, Micros until);
+  Task<> HandleCrashes();
+  void BeginFault(int action);
+  void EndFault(int action);
+  void UpdateNode(int place);  // applies the active faults to the node at this place
+  void UpdateCuts();
+  void UpdateTargets(const Action& action);
   void TakeDown(int place);
   void BringUp(int place);
-  void GoOn(int balancer,
-            FolderAfter folder = FolderAfter::kKept);  // starts it, with the list it was first given
+  // Starts it with the list of nodes of its first start.
+  void StartBalancer(int balancer, FolderAfter folder = FolderAfter::kKept);
   std::unique_ptr<Node> MakeNode(int number);
-  // The node at a place. One that takes another's is made when it is first asked for, which may be while a
-  // fault of another kind still keeps the place down.
+  // The node at a place. A spare is created on the first access, which may happen while a fault of another
+  // kind still keeps the place down.
   Node& At(int place);
   const NodePlan& PlanOf(int number) const;
   std::string Config(int balancer);
@@ -108,28 +110,28 @@
   Witnesses& witnesses_;
   Balancers& balancers_;
   const Places places_;
-  FallTap tap_;
-  Deduper repeats_;
+  CrashObserver crash_observer_;
+  Deduplicator repeats_;
   NodeSite shared_;
-  Overlaps faults_;
-  std::vector<std::unique_ptr<Node>> nodes_;  // by number; a spare is nullptr until it is needed
-  std::vector<int> at_;                       // the number of the node that stands at each place
+  ActiveFaults faults_;
+  std::vector<std::unique_ptr<Node>> nodes_;  // by number; a spare is nullptr until it is created
+  std::vector<int> at_;                       // by place: the number of its current node
   std::unique_ptr<Discovery> discovery_;
-  std::unique_ptr<Paths> paths_;       // between balancers and discovery, where a fault concerns these
-  std::vector<Address> discovery_at_;  // by balancer, through the paths
+  std::unique_ptr<Paths> paths_;       // between balancers and discovery; only if a fault affects them
+  std::vector<Address> discovery_at_;  // by balancer: its address of discovery on the paths
   std::vector<NodeList> first_known_;  // by balancer
-  std::vector<bool> wanted_;           // by balancer: to run
+  std::vector<bool> should_run_;       // by balancer
   std::vector<bool> running_;
-  std::vector<uint64_t> starts_;  // by balancer
+  std::vector<uint64_t> starts_;  // number of starts, by balancer
   Micros begins_at_ = 0;
-  std::vector<Moment> moments_;
-  std::vector<int> fallen_;  // numbers of nodes
-  Event moved_;
-  Event fell_;
+  std::vector<TimelineEvent> timeline_;
+  std::vector<int> crashed_nodes_;  // numbers of nodes
+  Event due_;
+  Event crashed_;
   std::vector<Task<>> drains_;
-  Task<> playing_;
-  Task<> starting_;
-  Task<> falling_;
+  Task<> timeline_task_;
+  Task<> start_task_;
+  Task<> crash_task_;
 };
 
 }  // namespace burlfall::lab
--- a/src/lab/site/stand_in.cpp
+++ b/src/lab/site/stand_in.cpp
@@ -7,14 +7,14 @@
 namespace burlfall::lab {
 namespace {
 
-constexpr Micros kWritePatience = 10 * kSecond;
+constexpr Micros kWriteTimeout = 10 * kSecond;
 constexpr Micros kNoRoomPause = 50 * kMs;
 constexpr uint64_t kFirstPort = 12000;
 constexpr uint64_t kPorts = 20000;
-constexpr int kMostTries = 100;
+constexpr int kMaxPortTries = 100;
 constexpr int kBacklog = 4096;
-// Above its own limit a machine still answers some, and resets the others.
-constexpr int kMostSurplus = 64;
+// Number of links above the limit that still get an answer; further ones are reset.
+constexpr int kMaxOverLimit = 64;
 
 }  // namespace
 
@@ -30,65 +30,65 @@
 }
 
 StandIn::StandIn(Machine& machine, Limits limits, std::vector<Address> at)
-    : machine_(machine), limits_(limits), sweeps_(machine.scheduler()) {
+    : machine_(machine), limits_(limits), link_ended_(machine.scheduler()) {
   for (size_t i = 0; i < at.size(); ++i) {
-    gates_.push_back(std::make_unique<Gate>());
-    gates_.back()->balancer = static_cast<int>(i);
+    endpoints_.push_back(std::make_unique<Endpoint>());
+    endpoints_.back()->balancer = static_cast<int>(i);
   }
-  MoveTo(std::move(at));
-  sweeping_ = Sweep();
-  sweeping_.Start();
+  SetAddresses(std::move(at));
+  destroy_task_ = DestroyEndedLinks();
+  destroy_task_.Start();
 }
 
 StandIn::~StandIn() = default;
 
-void StandIn::MoveTo(std::vector<Address> at) {
-  for (size_t i = 0; i < gates_.size(); ++i) gates_[i]->at = std::move(at[i]);
+void StandIn::SetAddresses(std::vector<Address> at) {
+  for (size_t i = 0; i < endpoints_.size(); ++i) endpoints_[i]->at = std::move(at[i]);
 }
 
 void StandIn::Open() {
   open_ = true;
-  for (auto& gate : gates_) Settle(*gate);
+  for (auto& endpoint : endpoints_) UpdateListener(*endpoint);
 }
 
-void StandIn::Shut() {
+void StandIn::CloseAll() {
   open_ = false;
   for (auto it = links_.begin(); it != links_.end();) {
     Link& link = **it;
     ++it;
-    if (link.silent) continue;  // nobody hears of this reset either
+    if (link.silent) continue;  // a reset would not reach the balancer either
     link.stream->Reset();
     links_.erase(link.place);
   }
-  for (auto& gate : gates_) Settle(*gate);
+  for (auto& endpoint : endpoints_) UpdateListener(*endpoint);
 }
 
 void StandIn::Cut(int balancer, bool on) {
-  Gate& gate = *gates_[static_cast<size_t>(balancer)];
-  if (gate.cut == on) return;
-  gate.cut = on;
-  if (!on) Heal(gate);
-  Settle(gate);
-  if (on) CutOff(gate);
+  Endpoint& endpoint = *endpoints_[static_cast<size_t>(balancer)];
+  if (endpoint.cut == on) return;
+  endpoint.cut = on;
+  if (!on) EndCut(endpoint);
+  UpdateListener(endpoint);
+  if (on) BeginCut(endpoint);
 }
 
-// Brings the listener to what it should be. A cut one is there though the process may be dead: without it new
-// connections would be refused, and that is a sign.
-void StandIn::Settle(Gate& gate) {
-  if (!open_ || gate.cut) gate.task = Task<>();
-  if (!open_ && !gate.cut) gate.listener.reset();
-  if (gate.listener == nullptr && (open_ || gate.cut)) {
-    gate.listener = Claim(gate.at);
-    gate.at = gate.listener->Local();
+// Opens or closes the listener according to `open_` and `cut`. A cut endpoint has a listener even if the
+// process is dead: without it, new connections would be refused, which the balancer would notice.
+void StandIn::UpdateListener(Endpoint& endpoint) {
+  if (!open_ || endpoint.cut) endpoint.task = Task<>();
+  if (!open_ && !endpoint.cut) endpoint.listener.reset();
+  if (endpoint.listener == nullptr && (open_ || endpoint.cut)) {
+    endpoint.listener = Bind(endpoint.at);
+    endpoint.at = endpoint.listener->Local();
   }
-  if (!open_ || gate.cut || !gate.task.Done()) return;
-  gate.task = Accept(gate);
-  gate.task.Start();
+  if (!open_ || endpoint.cut || !endpoint.task.Done()) return;
+  endpoint.task = Accept(endpoint);
+  endpoint.task.Start();
 }
 
-// Port 0: one below those that the system gives to connections. Guards a process that comes back to its
-// address: a connection that had got its port meanwhile would keep it out.
-std::unique_ptr<Listener> StandIn::Claim(const Address& at) {
+// For port 0, chooses a port below the range of ephemeral ports. Otherwise an outgoing connection could
+// occupy the port while the stand-in is down and prevent it from listening again at its address.
+std::unique_ptr<Listener> StandIn::Bind(const Address& at) {
   if (!at.text.ends_with(":0")) return machine_.network().Listen(at);
   for (int tries = 1;; ++tries) {
     const uint64_t port = kFirstPort + machine_.Entropy() % kPorts;
@@ -96,89 +96,89 @@
     try {
       return machine_.network().Listen(*one);
     } catch (const std::system_error&) {
-      if (tries == kMostTries) throw;
+      if (tries == kMaxPortTries) throw;
     }
   }
 }
 
-void StandIn::CutOff(Gate& gate) {
-  gate.listener->Backlog(0);
+void StandIn::BeginCut(Endpoint& endpoint) {
+  endpoint.listener->Backlog(0);
   NoConnection why = NoConnection::kRefused;
-  gate.filler = machine_.network().Connect(gate.at, why);
+  endpoint.backlog_filler = machine_.network().Connect(endpoint.at, why);
   for (auto& link : links_) {
-    if (link->gate != &gate) continue;
+    if (link->endpoint != &endpoint) continue;
     link->silent = true;
-    link->task = Overhear(*link);
+    link->task = DrainSilentLink(*link);
     link->task.Start();
   }
 }
 
-void StandIn::Heal(Gate& gate) {
+void StandIn::EndCut(Endpoint& endpoint) {
   for (auto it = links_.begin(); it != links_.end();) {
     Link& link = **it;
     ++it;
-    if (link.gate != &gate || !link.silent) continue;
-    Lost(link);
+    if (link.endpoint != &endpoint || !link.silent) continue;
+    OnClosed(link);
     link.stream->Reset();
     links_.erase(link.place);
   }
-  gate.filler.reset();
-  // What came up in the machine's line meanwhile was as silent as the rest.
+  endpoint.backlog_filler.reset();
+  // Connections that came up in the backlog meanwhile are reset like the other silent links.
   std::unique_ptr<Stream> stream;
-  while (gate.listener->Accept(stream) == Listener::Accepted::kOne) stream->Reset();
-  gate.listener->Backlog(kBacklog);
+  while (endpoint.listener->Accept(stream) == Listener::Accepted::kOne) stream->Reset();
+  endpoint.listener->Backlog(kBacklog);
 }
 
-Task<> StandIn::Accept(Gate& gate) {
+Task<> StandIn::Accept(Endpoint& endpoint) {
   while (true) {
     std::unique_ptr<Stream> stream;
-    const Listener::Accepted accepted = gate.listener->Accept(stream);
-    if (accepted == Listener::Accepted::kNone) co_await gate.listener->Wait();
-    if (accepted == Listener::Accepted::kNoRoom) co_await Rest(machine_.Now() + kNoRoomPause);
+    const Listener::Accepted accepted = endpoint.listener->Accept(stream);
+    if (accepted == Listener::Accepted::kNone) co_await endpoint.listener->Wait();
+    if (accepted == Listener::Accepted::kNoRoom) co_await SleepUntil(machine_.Now() + kNoRoomPause);
     if (accepted != Listener::Accepted::kOne) continue;
-    if (links() >= limits_.most_links + kMostSurplus) {
+    if (links() >= limits_.max_links + kMaxOverLimit) {
       stream->Reset();
       continue;
     }
     std::unique_ptr<Link> link = NewLink();
     link->stream = std::move(stream);
-    link->gate = &gate;
+    link->endpoint = &endpoint;
     link->number = ++links_made_;
-    link->came_up_at = machine_.Now();
-    link->surplus = links() >= limits_.most_links;
+    link->connected_at = machine_.Now();
+    link->over_limit = links() >= limits_.max_links;
     Link& here = *link;
     here.place = links_.insert(links_.end(), std::move(link));
-    CameUp(here);
-    here.task = Run(here);
+    OnConnected(here);
+    here.task = Serve(here);
     here.task.Start();
   }
 }
 
-Task<> StandIn::Run(Link& link) {
-  const Micros one_way = link.gate->one_way;
-  // The way there and back, which the balancer's connect would have taken.
-  if (one_way > 0) co_await Rest(link.came_up_at + 2 * one_way);
+Task<> StandIn::Serve(Link& link) {
+  const Micros one_way = link.endpoint->one_way;
+  // The round trip that the balancer's connect would have taken.
+  if (one_way > 0) co_await SleepUntil(link.connected_at + 2 * one_way);
   while (true) {
-    const bool whole = co_await Read(link);
-    if (!whole) break;
-    if (link.gate->one_way > 0) co_await Rest(machine_.Now() + link.gate->one_way);
+    const bool complete = co_await Read(link);
+    if (!complete) break;
+    if (link.endpoint->one_way > 0) co_await SleepUntil(machine_.Now() + link.endpoint->one_way);
     HttpMessage query = link.parser.Take();
-    link.last = !query.keep_alive || link.surplus;
+    link.last = !query.keep_alive || link.over_limit;
     link.out.clear();
     const bool answered = co_await Handle(link, std::move(query));
     if (!answered) break;
-    if (link.gate->one_way > 0) co_await Rest(machine_.Now() + link.gate->one_way);
+    if (link.endpoint->one_way > 0) co_await SleepUntil(machine_.Now() + link.endpoint->one_way);
     const bool written = co_await Write(link);
-    if (written) Written(link);
+    if (written) OnAnswerWritten(link);
     if (!written || link.last) break;
   }
-  Lost(link);
+  OnClosed(link);
   link.stream->Close();
-  over_.splice(over_.end(), links_, link.place);
-  sweeps_.Notify();
+  ended_.splice(ended_.end(), links_, link.place);
+  link_ended_.Notify();
 }
 
-// False where there is no further query, or none that can be answered.
+// Reads the next query; false if there is none or it cannot be answered.
 Task<bool> StandIn::Read(Link& link) {
   const Micros idle_until = machine_.Now() + limits_.idle_close;
   link.first_byte_at = 0;
@@ -193,13 +193,13 @@
       co_return false;
     }
     if (link.parser.ExpectsContinue()) {
-      std::string_view leave = "HTTP/1.1 100 Continue\r\n\r\n";
-      if (link.stream->Write(leave) != Io::kSome) co_return false;
+      std::string_view response = "HTTP/1.1 100 Continue\r\n\r\n";
+      if (link.stream->Write(response) != Io::kSome) co_return false;
     }
     const Io io = link.stream->Read(link.in);
     if (io == Io::kSome) continue;
     if (io != Io::kLater) co_return false;
-    const Micros until = link.first_byte_at == 0 ? idle_until : link.first_byte_at + limits_.read_patience;
+    const Micros until = link.first_byte_at == 0 ? idle_until : link.first_byte_at + limits_.read_timeout;
     const bool notified = co_await link.stream->Wait(until);
     if (!notified && machine_.Now() >= until) co_return false;
   }
@@ -208,32 +208,33 @@
 Task<bool> StandIn::Write(Link& link) {
   std::string_view rest = link.out;
   Io io = link.stream->Write(rest);
-  // Nearly always it fits at once, and there is nothing to wait for.
+  // The answer nearly always fits into the socket buffer, so that no wait is needed.
   bool written = io == Io::kSome;
-  if (io == Io::kLater) written = co_await WriteAll(*link.stream, rest, machine_.Now() + kWritePatience);
+  if (io == Io::kLater) written = co_await WriteAll(*link.stream, rest, machine_.Now() + kWriteTimeout);
   co_return written;
 }
 
 Task<bool> StandIn::AwaitAnswer(Link& link) {
   while (link.out.empty()) {
-    link.waiting = true;
+    link.awaiting_answer = true;
     co_await link.stream->Wait();
-    link.waiting = false;
-    if (!link.out.empty() || Listen(link)) continue;
-    LeftBy(link);
-    if (link.gate->one_way > 0) co_await Rest(machine_.Now() + link.gate->one_way);
+    link.awaiting_answer = false;
+    if (!link.out.empty() || ReadAhead(link)) continue;
+    OnPeerClosed(link);
+    if (link.endpoint->one_way > 0) co_await SleepUntil(machine_.Now() + link.endpoint->one_way);
     co_return false;
   }
   co_return true;
 }
 
 void StandIn::Wake(Link& link) {
-  if (std::exchange(link.waiting, false)) link.stream->Notify();
+  if (std::exchange(link.awaiting_answer, false)) link.stream->Notify();
 }
 
-// What comes while a query is at hand belongs to the next one; false where the balancer has ended the link.
-bool StandIn::Listen(Link& link) {
-  while (link.in.size() < kMaxHead + kMaxHeldBody) {  // beyond that the balancer waits
+// Reads what arrives during the current query and belongs to the next one; false if the balancer has closed
+// the link.
+bool StandIn::ReadAhead(Link& link) {
+  while (link.in.size() < kMaxHead + kMaxHeldBody) {  // the rest stays in the socket
     const Io io = link.stream->Read(link.in);
     if (io == Io::kLater) return true;
     if (io != Io::kSome) return false;
@@ -241,9 +242,10 @@
   return true;
 }
 
-// Takes what comes by a link that is cut off, and drops it. Only to see when its balancer ends it: for the
-// witness the attempt is out no more from then on, though this machine knows nothing of it.
-Task<> StandIn::Overhear(Link& link) {
+// Reads and discards what arrives on a link that is cut, only to notice when the balancer closes it. From
+// then on the attempt is no longer outstanding for the witness, although the simulated node does not learn of
+// it.
+Task<> StandIn::DrainSilentLink(Link& link) {
   std::string dropped;
   while (true) {
     dropped.clear();
@@ -251,17 +253,17 @@
     if (io == Io::kLater) co_await link.stream->Wait();
     if (io == Io::kClosed || io == Io::kBroken) break;
   }
-  LeftBy(link);
+  OnPeerClosed(link);
 }
 
-Task<> StandIn::Sweep() {
+Task<> StandIn::DestroyEndedLinks() {
   while (true) {
-    co_await sweeps_.Wait();
-    over_.clear();
+    co_await link_ended_.Wait();
+    ended_.clear();
   }
 }
 
-Task<> StandIn::Rest(Micros until) {
+Task<> StandIn::SleepUntil(Micros until) {
   Event nothing(machine_.scheduler());
   co_await nothing.Wait(until);
 }
--- a/src/lab/site/stand_in.h
+++ b/src/lab/site/stand_in.h
@@ -1,7 +1,7 @@
-// The socket side that the site's stand-ins share: HTTP/1.1 on one listener for each balancer. So it is known
-// who connects, and what lies between a balancer and this machine can be slow, or cut.
+// HTTP/1.1 server that the site's stand-ins share. It has one listener for each balancer, so that it knows
+// which balancer connects, and can delay or cut the network between this balancer and the stand-in.
 //
-// Nothing here may be called from inside a Witness's call.
+// No method may be called from within a call of a Witness.
 #ifndef BURLFALL_LAB_SITE_STAND_IN_H_
 #define BURLFALL_LAB_SITE_STAND_IN_H_
 
@@ -17,7 +17,7 @@
 
 namespace burlfall::lab {
 
-// A parameter of a target's query string, as it stands there; empty where there is none of that name.
+// Returns a parameter of a target's query string, not unescaped; empty if there is none of that name.
 std::string_view ParameterOf(std::string_view target, std::string_view name);
 
 class StandIn {
@@ -25,67 +25,67 @@
   virtual ~StandIn();
   StandIn(const StandIn&) = delete;
 
-  // Listens from the next opening on at these, one for each balancer. Port 0: any, and the same ever after.
-  void MoveTo(std::vector<Address> at);
-  const Address& At(int balancer) const { return gates_[static_cast<size_t>(balancer)]->at; }
-  // Between a balancer and this machine: nothing is read or written, there is no sign of it, and new
-  // connections don't come up, whether the process lives or not. Off: the silent links are reset.
+  // Sets the addresses for the next Open(), one for each balancer. For port 0 a free port is chosen once.
+  void SetAddresses(std::vector<Address> at);
+  const Address& At(int balancer) const { return endpoints_[static_cast<size_t>(balancer)]->at; }
+  // Cuts the network to a balancer: nothing is read or written, without any sign of it, and new connections
+  // do not come up, whether or not the stand-in's process is alive. Off: the links that were cut are reset.
   void Cut(int balancer, bool on);
-  void Delay(int balancer, Micros one_way) { gates_[static_cast<size_t>(balancer)]->one_way = one_way; }
+  void Delay(int balancer, Micros one_way) { endpoints_[static_cast<size_t>(balancer)]->one_way = one_way; }
   int links() const { return static_cast<int>(links_.size()); }
 
  protected:
-  struct Gate;
+  struct Endpoint;
   struct Link {
     std::unique_ptr<Stream> stream;
-    Gate* gate = nullptr;
+    Endpoint* endpoint = nullptr;
     uint64_t number = 0;
     HttpParser parser{HttpParser::Kind::kRequest};
     std::string in;
-    std::string out;  // the answer
-    Micros came_up_at = 0;
-    Micros first_byte_at = 0;  // of the query at hand: as it came, before any delay
-    bool surplus = false;      // one more than `most_links`
+    std::string out;  // the answer to be written
+    Micros connected_at = 0;
+    Micros first_byte_at = 0;  // of the current query, before any delay is added
+    bool over_limit = false;   // exceeds `max_links`
     bool silent = false;       // cut off
-    bool waiting = false;      // for the answer
-    bool last = false;         // closes after this answer
+    bool awaiting_answer = false;
+    bool last = false;  // close after this answer
     std::list<std::unique_ptr<Link>>::iterator place;
-    Task<> task;  // last: what it uses must outlive it
+    Task<> task;  // declared last, so that it is destroyed before the members it uses
 
     virtual ~Link() = default;
   };
-  struct Gate {
+  struct Endpoint {
     int balancer = 0;
     Address at;
     Micros one_way = 0;
     bool cut = false;
     std::unique_ptr<Listener> listener;
-    std::unique_ptr<Stream> filler;  // takes the one place that is left in the line of a cut listener
+    std::unique_ptr<Stream> backlog_filler;  // fills the one remaining backlog entry of a cut listener
     Task<> task;
   };
   struct Limits {
     Micros idle_close = 10 * kSecond;
-    Micros read_patience = 5 * kSecond;  // from a query's first byte to its last
-    int most_links = 1000;
+    Micros read_timeout = 5 * kSecond;  // max. time from a query's first byte to its last
+    int max_links = 1000;
   };
 
   StandIn(Machine& machine, Limits limits, std::vector<Address> at);
 
   bool open() const { return open_; }
-  void Open();  // throws std::system_error where an address can't be had
-  void Shut();  // as when a process dies: its links are reset and new ones refused
+  void Open();      // throws std::system_error if an address is not available
+  void CloseAll();  // as if the process died: links are reset and new connections refused
 
   virtual std::unique_ptr<Link> NewLink() { return std::make_unique<Link>(); }
-  virtual void CameUp(Link&) {}
-  // Puts the answer into `out`; false where the link is to be closed without one.
+  virtual void OnConnected(Link&) {}
+  // Stores the answer in `out`; false if the link is to be closed without one.
   virtual Task<bool> Handle(Link& link, HttpMessage query) = 0;
-  virtual void Written(Link&) {}  // the answer, whole
-  // The balancer has ended the link, though this machine may not hear of it yet, or ever.
-  virtual void LeftBy(Link&) {}
-  // The link is no more; whatever hangs on it is given up.
-  virtual void Lost(Link&) {}
+  virtual void OnAnswerWritten(Link&) {}  // the answer has been written completely
+  // The balancer has closed the link, although the node may learn of it later (delay) or never (cut).
+  virtual void OnPeerClosed(Link&) {}
+  // The link has ended; what depends on it must be cancelled.
+  virtual void OnClosed(Link&) {}
 
-  // Waits for Wake(), or for the balancer's end; false at that.
+  // Waits for Wake() or until the balancer closes the link; false in the latter case.
   Task<bool> AwaitAnswer(Link& link);
   void Wake(Link& link);
   static void Answer(Link& link, int status, std::string_view headers, std::string_view body);
@@ -93,27 +93,27 @@
   Machine& machine_;
 
  private:
-  Task<> Accept(Gate& gate);
-  Task<> Run(Link& link);
+  Task<> Accept(Endpoint& endpoint);
+  Task<> Serve(Link& link);
   Task<bool> Read(Link& link);
   Task<bool> Write(Link& link);
-  Task<> Overhear(Link& link);
-  Task<> Sweep();
-  Task<> Rest(Micros until);
-  void Settle(Gate& gate);
-  std::unique_ptr<Listener> Claim(const Address& at);
-  void CutOff(Gate& gate);
-  void Heal(Gate& gate);
-  bool Listen(Link& link);
+  Task<> DrainSilentLink(Link& link);
+  Task<> DestroyEndedLinks();
+  Task<> SleepUntil(Micros until);
+  void UpdateListener(Endpoint& endpoint);
+  std::unique_ptr<Listener> Bind(const Address& at);
+  void BeginCut(Endpoint& endpoint);
+  void EndCut(Endpoint& endpoint);
+  bool ReadAhead(Link& link);
 
   const Limits limits_;
   bool open_ = false;
   uint64_t links_made_ = 0;
-  std::vector<std::unique_ptr<Gate>> gates_;
+  std::vector<std::unique_ptr<Endpoint>> endpoints_;
   std::list<std::unique_ptr<Link>> links_;
-  std::list<std::unique_ptr<Link>> over_;  // ended, and not yet swept up
-  Event sweeps_;
-  Task<> sweeping_;
+  std::list<std::unique_ptr<Link>> ended_;  // ended links, not yet destroyed
+  Event link_ended_;
+  Task<> destroy_task_;
 };
 
 }  // namespace burlfall::lab
--- a/tests/histories/random_site.h
+++ b/tests/histories/random_site.h
@@ -53,7 +53,7 @@
     if (fault.hits == FaultHits::kZone && !two_zones) continue;
     if (fault.kind == FaultKind::kBalancersPaused) continue;  // the virtual machines can't pause
     const double at = 0.6 + 2.2 * random.Uniform();
-    out << "[[faults]]\nkind = \"" << fault.name << "\"\nat_s = [" << at << ", " << at << "]\n";
+    out << "[[faults]]\nkind = \"" << fault.kind_name << "\"\nat_s = [" << at << ", " << at << "]\n";
     if (fault.lasts) out << "for_s = [0.3, " << one_of(0.5, 1.5) << "]\n";
     const bool hits_some = fault.hits == FaultHits::kNodes || fault.hits == FaultHits::kBalancers;
     if (hits_some) out << "share = " << one_of(0.2, 0.5, 1.0) << "\n";
--- a/tests/lab/active_faults_test.cpp
+++ b/tests/lab/active_faults_test.cpp
@@ -8,20 +8,20 @@
 using enum FaultKind;
 
 TEST(Overlaps, ANodeIsWellOnceTheLastOfItsFaultsHasEnded) {
-  Overlaps faults;
+  ActiveFaults faults;
   faults.Begin(kSilentNodes, 3, 0, 1);
   faults.Begin(kSilentNodes, 3, 1, 1);
   faults.End(kSilentNodes, 3, 0);
   faults.End(kSilentNodes, 3, 0);  // a second time, as where two faults name a node twice
-  EXPECT_TRUE(faults.On(kSilentNodes, 3));
-  EXPECT_FALSE(faults.On(kSilentNodes, 2));
-  EXPECT_FALSE(faults.On(kFastErrors, 3));
+  EXPECT_TRUE(faults.IsActive(kSilentNodes, 3));
+  EXPECT_FALSE(faults.IsActive(kSilentNodes, 2));
+  EXPECT_FALSE(faults.IsActive(kFastErrors, 3));
   faults.End(kSilentNodes, 3, 1);
-  EXPECT_FALSE(faults.On(kSilentNodes, 3));
+  EXPECT_FALSE(faults.IsActive(kSilentNodes, 3));
 }
 
 TEST(Overlaps, TheWorstCountsAndWhatEndsUnbegunIsNothing) {
-  Overlaps faults;
+  ActiveFaults faults;
   faults.End(kSlowNodes, 1, 9);
   EXPECT_EQ(faults.Worst(kSlowNodes, 1, 1, true), 1);
   faults.Begin(kSlowNodes, 1, 0, 0.5);
@@ -31,16 +31,16 @@
   EXPECT_EQ(faults.Worst(kSlowNodes, 1, 1), 0.5);
   faults.End(kSlowNodes, 1, 1);
   EXPECT_EQ(faults.Worst(kSlowNodes, 1, 1, true), 0.5);
-  EXPECT_EQ(faults.All(kSlowNodes), (std::vector<int>{1, 2}));
+  EXPECT_EQ(faults.Targets(kSlowNodes), (std::vector<int>{1, 2}));
 }
 
 TEST(Overlaps, ACutPartsAZoneFromAllOthersAndNoneFromItself) {
-  EXPECT_TRUE(Parted({1}, 0, 1));
-  EXPECT_TRUE(Parted({1}, 1, 0));
-  EXPECT_FALSE(Parted({1}, 1, 1));
-  EXPECT_FALSE(Parted({1}, 0, 2));
-  EXPECT_TRUE(Parted({1, 2}, 2, 0));
-  EXPECT_FALSE(Parted({}, 0, 1));
+  EXPECT_TRUE(SeparatedByCut({1}, 0, 1));
+  EXPECT_TRUE(SeparatedByCut({1}, 1, 0));
+  EXPECT_FALSE(SeparatedByCut({1}, 1, 1));
+  EXPECT_FALSE(SeparatedByCut({1}, 0, 2));
+  EXPECT_TRUE(SeparatedByCut({1, 2}, 2, 0));
+  EXPECT_FALSE(SeparatedByCut({}, 0, 1));
 }
 
 }  // namespace
--- a/tests/lab/discovery_model_test.cpp
+++ b/tests/lab/discovery_model_test.cpp
@@ -8,7 +8,7 @@
 namespace burlfall::lab {
 namespace {
 
-using Did = DiscoveryModel::Did;
+using EffectType = DiscoveryModel::EffectType;
 using meadowslip::BackendState;
 
 // Two nodes; it learns of a change after 100 ms, and answers a call in 20 ms.
@@ -24,7 +24,7 @@
     return model.Call(now, balancer, index, wait, effects);
   }
   void Happens(int node, BackendState state, bool silent = false) {
-    model.Happened(now, {node, state, 0}, silent);
+    model.ReportChange(now, {node, state, 0}, silent);
   }
   void Pass(Micros span) { model.Tick(now += span, effects); }
   // Of the call; nothing where it has not ended.
@@ -32,9 +32,9 @@
     auto it = std::find_if(effects.begin(), effects.end(), [&](const auto& one) { return one.call == call; });
     return it == effects.end() ? nullptr : &*it;
   }
-  long Times(Did did, int balancer) const {
+  long Times(EffectType did, int balancer) const {
     return std::count_if(effects.begin(), effects.end(),
-                         [&](const auto& one) { return one.did == did && one.balancer == balancer; });
+                         [&](const auto& one) { return one.type == did && one.balancer == balancer; });
   }
   std::vector<int> Nodes(uint64_t call) const {
     std::vector<int> nodes;
@@ -114,12 +114,12 @@
   EXPECT_EQ(b.Of(calls[3]), nullptr);
   b.Pass(kMs);
   ASSERT_NE(b.Of(calls[3]), nullptr);
-  EXPECT_NE(b.Of(calls[3])->did, Did::kAnswered);
+  EXPECT_NE(b.Of(calls[3])->did, EffectType::kAnswered);
   b.Pass(10 * kMs);
-  EXPECT_EQ(b.Of(calls[2])->did, Did::kAnswered);
+  EXPECT_EQ(b.Of(calls[2])->did, EffectType::kAnswered);
   const uint64_t next = b.List();  // those that failed cost it nothing
   b.Pass(20 * kMs);
-  EXPECT_EQ(b.Of(next)->did, Did::kAnswered);
+  EXPECT_EQ(b.Of(next)->did, EffectType::kAnswered);
 }
 
 TEST(Discovery, AWatchGoesOnOverAShortGapAndWhatChangesInItCountsAsTold) {
@@ -130,21 +130,21 @@
   EXPECT_TRUE(b.model.watching(0));
   b.Watch(1, kSecond);
   b.Pass(kSecond);
-  EXPECT_EQ(b.Times(Did::kUnwatched, 0), 0);
+  EXPECT_EQ(b.Times(EffectType::kWatchEnded, 0), 0);
   b.Happens(0, BackendState::kDraining);
   b.Pass(100 * kMs);
-  EXPECT_EQ(b.Times(Did::kDeemed, 0), 1);
-  EXPECT_EQ(b.Times(Did::kDeemed, 1), 0);
+  EXPECT_EQ(b.Times(EffectType::kConsideredInformed, 0), 1);
+  EXPECT_EQ(b.Times(EffectType::kConsideredInformed, 1), 0);
   b.Pass(101 * kMs);
-  EXPECT_EQ(b.Times(Did::kUnwatched, 0), 1);
+  EXPECT_EQ(b.Times(EffectType::kWatchEnded, 0), 1);
   EXPECT_FALSE(b.model.watching(0));
   b.Happens(1, BackendState::kDraining);
   b.Pass(100 * kMs);
-  EXPECT_EQ(b.Times(Did::kDeemed, 0), 1);
+  EXPECT_EQ(b.Times(EffectType::kConsideredInformed, 0), 1);
   const uint64_t left = b.Watch(3);
   b.Pass(20 * kMs);
-  b.model.Left(b.now, left, b.effects);
-  EXPECT_EQ(b.Times(Did::kUnwatched, 0), 2);
+  b.model.CallerDisconnected(b.now, left, b.effects);
+  EXPECT_EQ(b.Times(EffectType::kWatchEnded, 0), 2);
 }
 
 TEST(Discovery, DownItEndsItsWatchesAndFailsItsCalls) {
@@ -154,13 +154,13 @@
   const uint64_t waits = b.List(1);
   b.model.GoDown(b.now, b.effects);
   ASSERT_NE(b.Of(watch), nullptr);
-  EXPECT_NE(b.Of(watch)->did, Did::kAnswered);
-  EXPECT_NE(b.Of(waits)->did, Did::kAnswered);
-  EXPECT_EQ(b.Times(Did::kUnwatched, 0), 0) << "it failed, and that says it";
+  EXPECT_NE(b.Of(watch)->did, EffectType::kAnswered);
+  EXPECT_NE(b.Of(waits)->did, EffectType::kAnswered);
+  EXPECT_EQ(b.Times(EffectType::kWatchEnded, 0), 0) << "it failed, and that says it";
   for (int i = 0; i < 40; ++i) b.List();
-  EXPECT_GT(b.Times(Did::kFailed, 0), 5);
-  EXPECT_GT(b.Times(Did::kReset, 0), 5);
-  EXPECT_EQ(b.Times(Did::kAnswered, 0), 0);
+  EXPECT_GT(b.Times(EffectType::kFailed, 0), 5);
+  EXPECT_GT(b.Times(EffectType::kReset, 0), 5);
+  EXPECT_EQ(b.Times(EffectType::kAnswered, 0), 0);
   b.Happens(0, BackendState::kDraining);
   b.Pass(kSecond);
   b.model.ComeBack(b.now, 0, b.effects);
@@ -180,7 +180,7 @@
   ASSERT_EQ(b.model.version(), 4u);
   b.model.GoDown(b.now, b.effects);
   b.model.ComeBack(b.now, 2, b.effects);
-  EXPECT_EQ(b.Times(Did::kListed, 0), 5) << "three changes, and two of them taken back";
+  EXPECT_EQ(b.Times(EffectType::kListChanged, 0), 5) << "three changes, and two of them taken back";
   EXPECT_EQ(b.model.version(), 2u);
   EXPECT_EQ(b.model.List()[2].state, BackendState::kGone) << "not heard of yet";
   EXPECT_EQ(b.model.List()[0].state, BackendState::kDraining);
--- a/tests/lab/judge_test.cpp
+++ b/tests/lab/judge_test.cpp
@@ -200,7 +200,7 @@
   script.actions[0].kind = FaultKind::kBalancersKilled;
   const Facts facts = FactsOf(experiment, script, StageFacts().settings, 5 * kSecond);
   EXPECT_EQ(facts.nodes.at(1).name, "std-1.2");
-  EXPECT_EQ(facts.faults.at(0).name, TraitsOf(FaultKind::kBalancersKilled).name);
+  EXPECT_EQ(facts.faults.at(0).name, TraitsOf(FaultKind::kBalancersKilled).kind_name);
   EXPECT_EQ(facts.settle, 1500 * kMs);
   EXPECT_EQ(facts.judge_after,
             5080 * kMs);  // a client may come back after all of Retry-After and its own wait
--- a/tests/lab/node_model_test.cpp
+++ b/tests/lab/node_model_test.cpp
@@ -8,14 +8,14 @@
 namespace burlfall::lab {
 namespace {
 
-using Did = NodeModel::Did;
+using EffectType = NodeModel::EffectType;
 using meadowslip::Idempotency;
 
 // One node of one core, warm, at the speed of a standard one, unless a test says otherwise.
 struct Bench {
   std::vector<ClassSpec> classes = {{.name = "look", .effect = Idempotency::kSafe},
                                     {.name = "pay", .effect = Idempotency::kKeyed, .window_ms = 1000}};
-  Deduper repeats{classes};
+  Deduplicator repeats{classes};
   NodePlan plan;
   NodeGroup group;
   NodeModel::Rules rules{.overload_factor = 4, .overload_window = 1500 * kMs, .balancers = 2};
@@ -40,7 +40,7 @@
   void Take(uint64_t attempt, double work_us, NodeQuery more = {}) {
     more.attempt = attempt;
     more.work_us = work_us;
-    model().Take(now, more, effects);
+    model().Submit(now, more, effects);
   }
   // Lets time pass, ticking when the model wants it.
   void Pass(Micros span) {
@@ -51,14 +51,15 @@
   // Until the attempt has ended; how long that took.
   Micros Ends(uint64_t attempt) {
     const Micros from = now;
-    while (Times(Did::kServed, attempt) + Times(Did::kError, attempt) == 0 && model().NextAt() != kNever) {
+    while (Times(EffectType::kServed, attempt) + Times(EffectType::kError, attempt) == 0 &&
+           model().NextAt() != kNever) {
       model().Tick(now = model().NextAt(), effects);
     }
     return now - from;
   }
-  long Times(Did did, uint64_t attempt = 0) const {
+  long Times(EffectType did, uint64_t attempt = 0) const {
     return std::count_if(effects.begin(), effects.end(), [&](const NodeModel::Effect& effect) {
-      return effect.did == did && (attempt == 0 || effect.attempt == attempt);
+      return effect.type == did && (attempt == 0 || effect.attempt == attempt);
     });
   }
 };
@@ -67,12 +68,12 @@
   Bench b;
   b.plan.speed = 2;
   b.Take(1, 40 * kMs);
-  EXPECT_EQ(b.Times(Did::kBegan, 1), 1);
+  EXPECT_EQ(b.Times(EffectType::kProcessing, 1), 1);
   EXPECT_EQ(b.Ends(1), 20 * kMs);
   b.Take(2, 0);
-  EXPECT_EQ(b.Times(Did::kServed, 2), 1) << "no work, no wait";
+  EXPECT_EQ(b.Times(EffectType::kServed, 2), 1) << "no work, no wait";
   EXPECT_EQ(b.model().NextAt(), kNever);
-  EXPECT_EQ(b.model().in_hand(), 0);
+  EXPECT_EQ(b.model().pending_queries(), 0);
 
   Bench shared;  // two slots on one core
   shared.plan.slots = 2;
@@ -85,26 +86,26 @@
 TEST(NodeModel, WhatFindsNoSlotWaitsInTurnAndWhatFindsNoPlaceIsTurnedAway) {
   Bench b;
   for (uint64_t i = 1; i <= 4; ++i) b.Take(i, 10 * kMs);
-  EXPECT_EQ(b.Times(Did::kTurnedAway), 1);
-  EXPECT_EQ(b.Times(Did::kTurnedAway, 4), 1);
-  EXPECT_EQ(b.model().in_hand(), 3);
+  EXPECT_EQ(b.Times(EffectType::kRejected), 1);
+  EXPECT_EQ(b.Times(EffectType::kRejected, 4), 1);
+  EXPECT_EQ(b.model().pending_queries(), 3);
   b.Pass(10 * kMs);
-  EXPECT_EQ(b.Times(Did::kBegan, 2), 1);
-  EXPECT_EQ(b.Times(Did::kBegan, 3), 0);
+  EXPECT_EQ(b.Times(EffectType::kProcessing, 2), 1);
+  EXPECT_EQ(b.Times(EffectType::kProcessing, 3), 0);
   EXPECT_EQ(b.Ends(3), 20 * kMs);
-  b.Take(5, kMs, {.no_room = true});
-  EXPECT_EQ(b.Times(Did::kTurnedAway, 5), 1);
+  b.Take(5, kMs, {.link_over_limit = true});
+  EXPECT_EQ(b.Times(EffectType::kRejected, 5), 1);
 }
 
 TEST(NodeModel, WhatIsOverBeforeItBeginsNeverRuns) {
   Bench b;
   b.Take(1, 10 * kMs);
-  b.Take(2, 10 * kMs, {.over_at = b.now + 10 * kMs});
-  b.Take(3, 10 * kMs, {.over_at = b.now + 10 * kMs + 1});
+  b.Take(2, 10 * kMs, {.expires_at = b.now + 10 * kMs});
+  b.Take(3, 10 * kMs, {.expires_at = b.now + 10 * kMs + 1});
   b.Pass(20 * kMs);
-  EXPECT_EQ(b.Times(Did::kOver, 2), 1);
-  EXPECT_EQ(b.Times(Did::kBegan, 2), 0);
-  EXPECT_EQ(b.Times(Did::kServed, 3), 1) << "its time is over while it runs: it goes on";
+  EXPECT_EQ(b.Times(EffectType::kExpired, 2), 1);
+  EXPECT_EQ(b.Times(EffectType::kProcessing, 2), 0);
+  EXPECT_EQ(b.Times(EffectType::kServed, 3), 1) << "its time is over while it runs: it goes on";
 }
 
 TEST(NodeModel, AHandshakeCostsWorkAndDelaysTheFirstQueryOfItsLink) {
@@ -116,8 +117,8 @@
   EXPECT_EQ(b.Ends(2), 10 * kMs);
   b.model().Handshake(b.now, 0, 3, b.effects);
   b.Take(3, 10 * kMs, {.link = 3});
-  EXPECT_EQ(b.Times(Did::kBegan, 3), 0);
-  EXPECT_TRUE(b.model().GivenUp(b.now, 3, b.effects));
+  EXPECT_EQ(b.Times(EffectType::kProcessing, 3), 0);
+  EXPECT_TRUE(b.model().Cancel(b.now, 3, b.effects));
   b.Take(4, 10 * kMs, {.link = 3});
   EXPECT_EQ(b.Ends(4), 12 * kMs);
 }
@@ -147,8 +148,8 @@
   }
   punctual.Pass(100 * kMs);
   late.model().Tick(late.now + 100 * kMs, late.effects);
-  EXPECT_GT(late.Times(Did::kServed), 3);
-  EXPECT_EQ(late.Times(Did::kServed), punctual.Times(Did::kServed));
+  EXPECT_GT(late.Times(EffectType::kServed), 3);
+  EXPECT_EQ(late.Times(EffectType::kServed), punctual.Times(EffectType::kServed));
   EXPECT_EQ(late.model().NextAt(), punctual.model().NextAt());
 }
 
@@ -165,23 +166,23 @@
   b.Take(1, 700 * kMs, {.balancer = 0});
   b.Pass(kSecond);
   for (uint64_t i = 2; i <= 6; ++i) b.Take(i, 100 * kMs, {.balancer = 1});  // two of them turned away
-  EXPECT_EQ(b.Times(Did::kFell), 0);
+  EXPECT_EQ(b.Times(EffectType::kCrashed), 0);
   b.model().Handshake(b.now, 1, 1, b.effects);
-  ASSERT_EQ(b.Times(Did::kFell), 1);
-  EXPECT_EQ(b.effects.back().pushed_by, (std::vector<double>{700.0 * kMs, 502.0 * kMs}));
-  EXPECT_EQ(b.model().in_hand(), 0);
+  ASSERT_EQ(b.Times(EffectType::kCrashed), 1);
+  EXPECT_EQ(b.effects.back().work_by_balancer, (std::vector<double>{700.0 * kMs, 502.0 * kMs}));
+  EXPECT_EQ(b.model().pending_queries(), 0);
   b.Take(7, kMs);
-  EXPECT_EQ(b.model().in_hand(), 0) << "it is dead";
+  EXPECT_EQ(b.model().pending_queries(), 0) << "it is dead";
 
   Bench spread = cold();
   spread.Take(1, 1200 * kMs);
   spread.Pass(1500 * kMs);
   spread.Take(2, 1200 * kMs);
-  EXPECT_EQ(spread.Times(Did::kFell), 0) << "the first is out of the window";
+  EXPECT_EQ(spread.Times(EffectType::kCrashed), 0) << "the first is out of the window";
 
   Bench warm;
   warm.Take(1, 100.0 * kSecond);
-  EXPECT_EQ(warm.Times(Did::kFell), 0);
+  EXPECT_EQ(warm.Times(EffectType::kCrashed), 0);
 }
 
 TEST(NodeModel, AKeyMetLatelySavesWork) {
@@ -212,8 +213,8 @@
   other.Start(b.now, false);
   b.Take(1, 100 * kMs, {.cls = 1, .idempotency_key = "k"});
   b.Ends(1);
-  other.Take(b.now, {.attempt = 2, .cls = 1, .idempotency_key = "k", .work_us = 100 * kMs}, b.effects);
-  ASSERT_EQ(b.Times(Did::kBegan, 2), 1);
+  other.Submit(b.now, {.attempt = 2, .cls = 1, .idempotency_key = "k", .work_us = 100 * kMs}, b.effects);
+  ASSERT_EQ(b.Times(EffectType::kProcessing, 2), 1);
   EXPECT_TRUE(b.effects.back().repeat);
   EXPECT_LE(other.NextAt() - b.now, 10 * kMs);
   b.Take(3, 0, {.cls = 1, .idempotency_key = "l"});
@@ -240,12 +241,12 @@
     b.Take(i, 10 * kMs);
     EXPECT_EQ(b.Ends(i), 10 * kMs);
   }
-  EXPECT_NEAR(static_cast<double>(b.Times(Did::kError)), 100, 40);
+  EXPECT_NEAR(static_cast<double>(b.Times(EffectType::kError)), 100, 40);
   for (uint64_t i = 501; i <= 503; ++i) b.Take(i, 10 * kMs);
   b.model().FailFast(b.now, 1, b.effects);
   b.Take(504, 10 * kMs);
   EXPECT_LE(b.Ends(504), kMs) << "neither the slot nor the waiting room held it up";
-  EXPECT_EQ(b.Times(Did::kError, 504), 1);
+  EXPECT_EQ(b.Times(EffectType::kError, 504), 1);
 }
 
 TEST(NodeModel, WhatStopsWhenItIsGivenUpIsTheKindsMatter) {
@@ -255,15 +256,15 @@
     b.Take(1, 10 * kMs);
     b.Take(2, 10 * kMs);
     b.Take(3, 10 * kMs);
-    EXPECT_EQ(b.model().GivenUp(b.now, 2, b.effects), stops != CancelStops::kNothing);
-    EXPECT_EQ(b.model().GivenUp(b.now, 1, b.effects), stops == CancelStops::kAll);
-    EXPECT_FALSE(b.model().GivenUp(b.now, 9, b.effects));
+    EXPECT_EQ(b.model().Cancel(b.now, 2, b.effects), stops != CancelStops::kNothing);
+    EXPECT_EQ(b.model().Cancel(b.now, 1, b.effects), stops == CancelStops::kAll);
+    EXPECT_FALSE(b.model().Cancel(b.now, 9, b.effects));
     const Micros ends = b.Ends(3);
     EXPECT_EQ(ends, stops == CancelStops::kNothing  ? 30 * kMs
                     : stops == CancelStops::kQueued ? 20 * kMs
                                                     : 10 * kMs);
-    EXPECT_EQ(b.Times(Did::kServed, 1), stops != CancelStops::kAll);
-    EXPECT_EQ(b.Times(Did::kBegan, 2), stops == CancelStops::kNothing);
+    EXPECT_EQ(b.Times(EffectType::kServed, 1), stops != CancelStops::kAll);
+    EXPECT_EQ(b.Times(EffectType::kProcessing, 2), stops == CancelStops::kNothing);
   }
 }
 
@@ -275,11 +276,11 @@
   for (uint64_t i = 2; i <= 6; ++i) b.Take(i, 10 * kMs);
   b.Pass(kSecond);
   EXPECT_EQ(b.effects.size(), 1u);  // that the first began
-  EXPECT_EQ(b.model().in_hand(), 6);
+  EXPECT_EQ(b.model().pending_queries(), 6);
   EXPECT_EQ(b.model().NextAt(), kNever);
   b.model().Silence(b.now, false, b.effects);
-  EXPECT_EQ(b.Times(Did::kTurnedAway), 3) << "the latest find no place";
-  EXPECT_EQ(b.Times(Did::kTurnedAway, 6), 1);
+  EXPECT_EQ(b.Times(EffectType::kRejected), 3) << "the latest find no place";
+  EXPECT_EQ(b.Times(EffectType::kRejected, 6), 1);
   EXPECT_EQ(b.Ends(1), 5 * kMs);
   EXPECT_EQ(b.Ends(3), 20 * kMs);
 }
@@ -288,7 +289,7 @@
   Bench b;
   b.Take(1, 10 * kMs);
   b.Pass(5 * kMs);
-  b.model().Slow(b.now, 0.1, b.effects);
+  b.model().SetSpeed(b.now, 0.1, b.effects);
   EXPECT_EQ(b.Ends(1), 50 * kMs);
   b.model().Start(b.now, false);
   b.Take(2, 10 * kMs);
@@ -301,10 +302,10 @@
   b.Take(2, 10 * kMs);
   b.model().Drain(b.now, b.effects);
   b.Take(3, 10 * kMs);
-  EXPECT_EQ(b.Times(Did::kTurnedAway, 3), 1);
+  EXPECT_EQ(b.Times(EffectType::kRejected, 3), 1);
   b.Pass(20 * kMs);
-  EXPECT_EQ(b.Times(Did::kServed), 2);
-  EXPECT_EQ(b.model().in_hand(), 0);
+  EXPECT_EQ(b.Times(EffectType::kServed), 2);
+  EXPECT_EQ(b.model().pending_queries(), 0);
   b.model().Start(b.now, true);
   EXPECT_FALSE(b.model().draining());
 }
--- a/tests/lab/standin_test.cpp
+++ b/tests/lab/standin_test.cpp
@@ -35,10 +35,10 @@
   }
   void LinkEnded(uint64_t, Micros) override { Note("link-ended"); }
   void HandshakeAt(int, int, Micros) override { ++handshakes; }
-  void NodeChanged(int, NodeChange change, Micros, const std::vector<double>& pushed_by) override {
+  void NodeChanged(int, NodeChange change, Micros, const std::vector<double>& work_by_balancer) override {
     constexpr const char* kWords[] = {"started", "draining", "died", "fell"};
     Note(kWords[static_cast<int>(change)]);
-    pushed = pushed_by;
+    pushed = work_by_balancer;
   }
   void Told(int balancer, int node, BackendState state, Micros, Micros) override {
     constexpr const char* kWords[] = {"-gone", "-ready", "-draining"};
@@ -109,7 +109,7 @@
   Recorder witness;
   std::vector<ClassSpec> classes = {{.name = "look", .effect = Idempotency::kSafe},
                                     {.name = "pay", .effect = Idempotency::kKeyed}};
-  Deduper repeats{classes};
+  Deduplicator repeats{classes};
   NodePlan plan;
   NodeGroup group;
   NodeSite site{machine, witness, repeats, classes};
@@ -228,7 +228,7 @@
     co_await client.Gets(400, "GET /look HTTP/1.1\r\nX-Trace-Id: 0000000000000006\r\n\r\n");
     co_await client.Gets(400, "GET /pay HTTP/1.1\r\nX-Trace-Id: 0000000000000005\r\n\r\n");
     co_await client.Gets(404, "GET /look HTTP/1.1\r\n\r\n");
-    CHECK(node->strange() == 3);
+    CHECK(node->unexpected_queries() == 3);
     CHECK(s.site.attempts == 2);
   });
 }
@@ -298,7 +298,7 @@
     co_await s.Hears("link-ended dropped");
     a.stream().Close();
     co_await s.Hears("dropped link-ended");
-    CHECK(node->in_hand() == 1);
+    CHECK(node->pending_queries() == 1);
     co_await c.Gets(200, Query(3));
     CHECK(s.witness.Heard() ==
           "arrived ran arrived link-ended dropped link-ended arrived dropped ran answered");
@@ -308,7 +308,7 @@
 TEST_CASE("links that idle, stop in the middle or talk nonsense are ended") {
   Site s;
   s.site.idle_close = 500 * kMs;
-  s.site.read_patience = 700 * kMs;
+  s.site.read_timeout = 700 * kMs;
   auto node = s.Up();
   s.Play([&]() -> Task<> {
     Client idle(s, node->At(0)), half(s, node->At(0)), nonsense(s, node->At(0)), large(s, node->At(0));
@@ -364,7 +364,7 @@
     co_await s.Hears("dropped");
     gives_up.stream().Close();
     co_await s.Hears("dropped link-ended");
-    CHECK(node->in_hand() == 1);
+    CHECK(node->pending_queries() == 1);
     co_await waits.HearsNothing();
     co_await other.Gets(200, Query(5));
 
@@ -403,7 +403,7 @@
     CHECK(node->At(0).text == at);
     Client again(s, node->At(0));
     co_await again.Gets(200, Query(3));
-    node->MoveTo(s.Anywhere());
+    node->SetAddresses(s.Anywhere());
     node->Start(false);
     CHECK(node->At(0).text != at);
     CHECK(s.witness.Heard() == "started arrived ran answered died started");
@@ -425,7 +425,7 @@
 TEST_CASE("links are reset under queries that have arrived") {
   Site s;
   auto node = s.Up();
-  node->ResetUnder(0.5);
+  node->SetResetShare(0.5);
   s.Play([&]() -> Task<> {
     int reset = 0;
     for (TraceId trace = 1; trace <= 40; ++trace) {
@@ -450,7 +450,7 @@
   s.Play([&]() -> Task<> {
     Client first(s, node->At(0));
     co_await first.Gets(200, Query(1));
-    node->Spoil(1);
+    node->SetCorruptedShare(1);
     int cut = 0, garbled = 0, another = 0;
     for (TraceId trace = 2; trace <= 60; ++trace) {
       Client client(s, node->At(0));
@@ -495,8 +495,9 @@
 
     co_await zero.Says("GET /discovery/hosts?index=1&wait=20000 HTTP/1.1\r\n\r\n");
     co_await s.Hears("watches-0");
-    discovery.Happened(1, BackendState::kGone, 0);
-    discovery.Happened(0, BackendState::kDraining, 0, true);  // learned in the gap after that watch's answer
+    discovery.ReportChange(1, BackendState::kGone, 0);
+    discovery.ReportChange(0, BackendState::kDraining, 0,
+                           true);  // learned in the gap after that watch's answer
     co_await zero.Hears(200);
     CHECK(zero.last.body == "2 0:1=0");
     for (const char* word : {"told-0-1-gone", "told-0-0-draining", "listed-1", "listed-0"}) {
@@ -517,7 +518,7 @@
     co_await cut.Says("GET /discovery/hosts?index=3&wait=20000 HTTP/1.1\r\n\r\n");
     co_await s.Hears("watches-0 asked-0 watches-0");
     discovery.Cut(0, true);
-    discovery.Happened(0, BackendState::kReady, kSecond);
+    discovery.ReportChange(0, BackendState::kReady, kSecond);
     co_await cut.HearsNothing();
     CHECK_FALSE(s.witness.Has("told-0"));
     discovery.Cut(0, false);
--- a/tests/start/callers.h
+++ b/tests/start/callers.h
@@ -149,7 +149,7 @@
       if (it == by_call.end()) continue;
       const size_t i = it->second;
       Caller& one = callers[i];
-      if (effect.did == DiscoveryModel::Did::kAnswered) {
+      if (effect.type == DiscoveryModel::EffectType::kAnswered) {
         const bool is_change = !one.watch || effect.version != one.version;
         one.version = effect.version;
         end(i, now, is_change ? CallOutcome::kChanged : CallOutcome::kUnchanged, 0);
@@ -178,7 +178,7 @@
     }
     for (; changed < service.changes.size() && now >= t0 + service.changes[changed]; ++changed) {
       const bool even = changed % 2 == 0;
-      model.Happened(
+      model.ReportChange(
           now, {0, even ? meadowslip::BackendState::kDraining : meadowslip::BackendState::kReady, 0}, false);
     }
     model.Tick(now, effects);
@@ -192,7 +192,7 @@
       if (!one.begun) continue;
       if (one.call != 0) {
         if (now < one.until) continue;
-        model.Left(now, one.call, effects);
+        model.CallerDisconnected(now, one.call, effects);
         end(i, now, CallOutcome::kNoAnswer, 0);
       } else if (now >= strategies[i]->NextAt()) {
         ++result.calls[static_cast<size_t>((now - t0) / kSecond)];
