--- a/tests/lab/active_faults_test.cpp
+++ b/tests/lab/active_faults_test.cpp
@@ -1,3 +1,4 @@
+// Tests of ActiveFaults and SeparatedByCut().
 #include "lab/site/active_faults.h"
 
 #include <gtest/gtest.h>
@@ -7,12 +8,12 @@
 
 using enum FaultKind;
 
-TEST(Overlaps, ANodeIsWellOnceTheLastOfItsFaultsHasEnded) {
+TEST(Overlaps, ANodeRecoversWhenTheLastOfItsFaultsEnds) {
   ActiveFaults faults;
   faults.Begin(kSilentNodes, 3, 0, 1);
   faults.Begin(kSilentNodes, 3, 1, 1);
   faults.End(kSilentNodes, 3, 0);
-  faults.End(kSilentNodes, 3, 0);  // a second time, as where two faults name a node twice
+  faults.End(kSilentNodes, 3, 0);  // ending it again has no effect
   EXPECT_TRUE(faults.IsActive(kSilentNodes, 3));
   EXPECT_FALSE(faults.IsActive(kSilentNodes, 2));
   EXPECT_FALSE(faults.IsActive(kFastErrors, 3));
@@ -20,7 +21,7 @@
   EXPECT_FALSE(faults.IsActive(kSilentNodes, 3));
 }
 
-TEST(Overlaps, TheWorstCountsAndWhatEndsUnbegunIsNothing) {
+TEST(Overlaps, TheWorstSizeCountsAndTheEndOfAnInactiveFaultIsIgnored) {
   ActiveFaults faults;
   faults.End(kSlowNodes, 1, 9);
   EXPECT_EQ(faults.Worst(kSlowNodes, 1, 1, true), 1);
@@ -34,7 +35,7 @@
   EXPECT_EQ(faults.Targets(kSlowNodes), (std::vector<int>{1, 2}));
 }
 
-TEST(Overlaps, ACutPartsAZoneFromAllOthersAndNoneFromItself) {
+TEST(Overlaps, ACutSeparatesAZoneFromAllOthersButNotFromItself) {
   EXPECT_TRUE(SeparatedByCut({1}, 0, 1));
   EXPECT_TRUE(SeparatedByCut({1}, 1, 0));
   EXPECT_FALSE(SeparatedByCut({1}, 1, 1));
--- a/tests/lab/discovery_model_test.cpp
+++ b/tests/lab/discovery_model_test.cpp
@@ -1,4 +1,4 @@
-// What discovery knows and when, and whom it answers when.
+// Tests of DiscoveryModel: what the service knows at which time, and when it answers a call.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 using EffectType = DiscoveryModel::EffectType;
 using meadowslip::BackendState;
 
-// Two nodes; it learns of a change after 100 ms, and answers a call in 20 ms.
+// A service with two nodes that learns of a change after 100 ms and answers a call in 20 ms.
 struct Bench {
   DiscoverySpec spec{
       .late_ms = {100, 100}, .silent_late_ms = {900, 900}, .calls_per_s = 50, .patience_ms = 50};
@@ -27,14 +27,14 @@
     model.ReportChange(now, {node, state, 0}, silent);
   }
   void Pass(Micros span) { model.Tick(now += span, effects); }
-  // Of the call; nothing where it has not ended.
+  // Returns the effect that ended the call; nullptr if it has not ended.
   const DiscoveryModel::Effect* Of(uint64_t call) const {
     auto it = std::find_if(effects.begin(), effects.end(), [&](const auto& one) { return one.call == call; });
     return it == effects.end() ? nullptr : &*it;
   }
-  long Times(EffectType did, int balancer) const {
+  long Times(EffectType type, int balancer) const {
     return std::count_if(effects.begin(), effects.end(),
-                         [&](const auto& one) { return one.type == did && one.balancer == balancer; });
+                         [&](const auto& one) { return one.type == type && one.balancer == balancer; });
   }
   std::vector<int> Nodes(uint64_t call) const {
     std::vector<int> nodes;
@@ -44,7 +44,7 @@
   }
 };
 
-TEST(Discovery, ItLearnsOfAChangeLateAndOfASilentDeathLater) {
+TEST(Discovery, ItLearnsOfAChangeAfterADelayAndOfASilentDeathAfterALongerOne) {
   Bench b;
   b.Happens(0, BackendState::kDraining);
   b.Happens(1, BackendState::kGone, true);
@@ -54,7 +54,7 @@
   EXPECT_EQ(b.model.version(), 2u);
   EXPECT_EQ(b.model.List()[0].state, BackendState::kDraining);
   EXPECT_EQ(b.model.List()[1].state, BackendState::kReady);
-  b.Happens(1, BackendState::kReady);  // its own next word waits for the one before
+  b.Happens(1, BackendState::kReady);  // a node's updates are applied in order
   b.Pass(700 * kMs);
   EXPECT_EQ(b.model.version(), 2u);
   b.Pass(200 * kMs);
@@ -62,7 +62,7 @@
   EXPECT_EQ(b.model.List()[1].state, BackendState::kReady);
 }
 
-TEST(Discovery, AWatchIsHeldUntilThereIsNewsOrItsWaitIsOver) {
+TEST(Discovery, AWatchIsHeldUntilTheListChangesOrItsWaitTimeIsOver) {
   Bench b;
   const uint64_t watch = b.Watch(1);
   const uint64_t brief = b.Watch(1, kSecond, 1);
@@ -85,7 +85,7 @@
   EXPECT_EQ(b.Nodes(behind), std::vector<int>{0});
 }
 
-TEST(Discovery, WhoHasMissedTooMuchOrKnowsMoreGetsTheWholeList) {
+TEST(Discovery, ABalancerTooFarBehindOrAheadGetsTheFullList) {
   Bench b;
   for (int i = 0; i < 70; ++i) {
     b.Happens(0, i % 2 == 0 ? BackendState::kDraining : BackendState::kReady);
@@ -103,7 +103,7 @@
   EXPECT_EQ(b.Nodes(ahead), (std::vector<int>{0, 1}));
 }
 
-TEST(Discovery, CallsAreHandledInTurnAndFailWhenTheyHaveWaitedTooLong) {
+TEST(Discovery, CallsAreQueuedAndFailAfterATimeout) {
   Bench b;
   std::vector<uint64_t> calls;
   for (int i = 0; i < 5; ++i) calls.push_back(b.List());
@@ -117,12 +117,12 @@
   EXPECT_NE(b.Of(calls[3])->did, EffectType::kAnswered);
   b.Pass(10 * kMs);
   EXPECT_EQ(b.Of(calls[2])->did, EffectType::kAnswered);
-  const uint64_t next = b.List();  // those that failed cost it nothing
+  const uint64_t next = b.List();  // the failed calls used no capacity
   b.Pass(20 * kMs);
   EXPECT_EQ(b.Of(next)->did, EffectType::kAnswered);
 }
 
-TEST(Discovery, AWatchGoesOnOverAShortGapAndWhatChangesInItCountsAsTold) {
+TEST(Discovery, AWatchContinuesOverAShortGapAndChangesDuringItCountAsKnown) {
   Bench b;
   b.Watch(1, 0);
   b.Pass(20 * kMs);
@@ -147,7 +147,7 @@
   EXPECT_EQ(b.Times(EffectType::kWatchEnded, 0), 2);
 }
 
-TEST(Discovery, DownItEndsItsWatchesAndFailsItsCalls) {
+TEST(Discovery, WhenItGoesDownItsWatchesEndAndItsCallsFail) {
   Bench b;
   const uint64_t watch = b.Watch(1);
   b.Pass(20 * kMs);
@@ -169,11 +169,11 @@
   EXPECT_EQ(b.Nodes(call), std::vector<int>{0});
 }
 
-TEST(Discovery, BackWithAnOlderListItLearnsAnewAndTellsTheWholeFirst) {
+TEST(Discovery, AfterItReturnsWithAnOlderListItSendsTheFullListFirstAndLearnsTheChangesAgain) {
   Bench b;
   b.Happens(0, BackendState::kDraining);
   b.Pass(200 * kMs);
-  b.Happens(2, BackendState::kReady);  // a new one
+  b.Happens(2, BackendState::kReady);  // a new node
   b.Pass(200 * kMs);
   b.Happens(0, BackendState::kGone);
   b.Pass(200 * kMs);
@@ -187,7 +187,7 @@
   b.Pass(100 * kMs);
   EXPECT_EQ(b.model.version(), 4u);
   EXPECT_EQ(b.model.List()[0].state, BackendState::kGone);
-  // The same number as before, but not for the same list.
+  // The same version as before, but of another list.
   const uint64_t call = b.Watch(4);
   b.Pass(20 * kMs);
   ASSERT_NE(b.Of(call), nullptr);
--- a/tests/lab/experiment_file_test.cpp
+++ b/tests/lab/experiment_file_test.cpp
@@ -1,3 +1,4 @@
+// Tests of experiment files, of the shipped experiments, and of the JSON given to balancers.
 #include "lab/script/experiment_file.h"
 
 #include <gtest/gtest.h>
@@ -34,7 +35,7 @@
   return loaded.value.value_or(Experiment{});
 }
 
-// What follows is said of this by line.
+// Valid file; the cases below replace one of its lines, by number.
 const std::vector<std::string> kBase = {
     "title = \"t\"",       // 1
     "length_s = 20",       // 2
@@ -54,7 +55,7 @@
     "name = 'one'",        // 16
 };
 
-// With another text in place of a line, or after all (17).
+// Parses the base file with `text` in place of a line, or at the end (line 17).
 Loaded<Experiment> ParseWith(size_t line, const std::string& text) {
   std::string file;
   for (size_t i = 1; i <= kBase.size() + 1; ++i) {
@@ -68,7 +69,7 @@
   for (const std::string& fault : SchemaFaults(schema.Spec())) ADD_FAILURE() << fault;
 }
 
-TEST(ExperimentFile, ReadsWhatIsWritten) {
+TEST(ExperimentFile, ParsesAFile) {
   const Loaded<Experiment> loaded = ParseWith(
       17,
       "[[faults]]\nkind = 'slow-nodes'\nat_s = [1, 3]\nfor_s = [2, 4]\nshare = 0.5\nsize = [0.2, 0.4]\n"
@@ -77,7 +78,7 @@
   const Experiment& e = *loaded.value;
   EXPECT_EQ(e.name, "x");
   EXPECT_EQ(e.site.nodes[0].count, 4);
-  EXPECT_EQ(e.site.nodes[0].cold_s, NodeGroup().cold_s);  // as the struct has it
+  EXPECT_EQ(e.site.nodes[0].cold_s, NodeGroup().cold_s);  // the default of the struct
   EXPECT_EQ(e.clients.most_retries, 3);
   ASSERT_EQ(e.faults.size(), 2u);
   EXPECT_EQ(e.faults[0].kind, FaultKind::kSlowNodes);
@@ -85,11 +86,11 @@
   EXPECT_EQ(e.faults[1].zone, "b");
 }
 
-TEST(ExperimentFile, SaysWhatIsWrongAndWhere) {
+TEST(ExperimentFile, ReportsErrorsWithTheirLines) {
   struct Case {
     size_t line;
     std::string text;
-    std::string error;  // begins with this
+    std::string error;  // expected beginning
   };
   const auto fault = [](const std::string& kind, const std::string& more) {
     return "[[faults]]\nkind = '" + kind + "'\nat_s = [1, 2]\n" + more;
@@ -150,12 +151,12 @@
   }
 }
 
-TEST(Experiments, AreCleanAndOfSensibleSize) {
+TEST(Experiments, ParseWithoutErrorsAndHaveSensibleSizes) {
   std::set<uint64_t> seeds;
   std::set<FaultKind> kinds;
   for (const auto& entry : std::filesystem::recursive_directory_iterator(EXPERIMENTS)) {
     if (entry.is_directory()) continue;
-    if (entry.path().parent_path().filename() == "members") continue;  // tests/cluster holds those
+    if (entry.path().parent_path().filename() == "members") continue;  // checked in tests/cluster
     const bool fleet = entry.path().parent_path().filename() == "fleets";
     SCOPED_TRACE(entry.path().filename());
     const Experiment e = Shipped(entry.path().stem());
@@ -163,7 +164,8 @@
     EXPECT_FALSE(e.about.empty());
     EXPECT_TRUE(seeds.insert(e.seed).second);
     EXPECT_LE(e.length_s, fleet ? 120 : 60);
-    if (e.name == "twenty-thousand") continue;  // the lab's own measure: its nodes must not be what limits
+    if (e.name == "twenty-thousand")
+      continue;  // measures the lab itself, so the nodes must not be the bottleneck
     const double low = e.name == "overload" ? 1.2 : fleet ? 0.05 : 0.3;
     const double high = e.name == "overload" ? 1.6 : 0.7;
     EXPECT_TRUE(Utilisation(e) >= low && Utilisation(e) <= high) << Utilisation(e);
@@ -172,10 +174,10 @@
     for (const Action& action : script.actions) kinds.insert(action.kind);
   }
   EXPECT_GE(seeds.size(), 9u);
-  EXPECT_EQ(kinds.size(), AllFaults().size());  // each kind is played somewhere
+  EXPECT_EQ(kinds.size(), AllFaults().size());  // each kind occurs in an experiment
 }
 
-TEST(PlatformJson, SettingsAreReadAsTheExperimentHasThem) {
+TEST(PlatformJson, SettingsMatchTheExperiment) {
   const Experiment e = Shipped("rolling-deploy");
   const Script script = GenerateScript(e, e.seed);
   const meadowslip::Settings s = meadowslip::ParseSettings(FlattenSettings(SettingsJson(e, script, 1)));
--- a/tests/lab/script_test.cpp
+++ b/tests/lab/script_test.cpp
@@ -1,3 +1,4 @@
+// Tests of the generation of scripts and arrivals, and of their random number streams.
 #include "lab/script/script.h"
 
 #include <gtest/gtest.h>
@@ -49,10 +50,10 @@
   }));
 }
 
-// Within four standard deviations of a Poisson count.
+// Expects a Poisson count within four standard deviations of its mean.
 void ExpectCount(int count, double expected) { EXPECT_NEAR(count, expected, 4 * std::sqrt(expected)); }
 
-// Within four standard deviations of a share of n draws.
+// Expects a share of n samples within four standard deviations.
 void ExpectShare(double count, double n, double share) {
   EXPECT_NEAR(count, n * share, 4 * std::sqrt(n * share * (1 - share)));
 }
@@ -67,13 +68,13 @@
   }
 }
 
-TEST(Stream64, GoesBySeedAndActor) {
+TEST(Stream64, DependsOnSeedAndActor) {
   EXPECT_EQ(Stream64(1, "a").Next(), Stream64(1, "a").Next());
   EXPECT_NE(Stream64(1, "a").Next(), Stream64(1, "b").Next());
   EXPECT_NE(Stream64(1, "a").Next(), Stream64(2, "a").Next());
 }
 
-TEST(Stream64, DrawsAsItSays) {
+TEST(Stream64, DistributionsHaveTheirMeansAndDeviations) {
   Stream64 stream(7, "test");
   constexpr int kDraws = 200000;
   std::map<int, int> below;
@@ -106,18 +107,19 @@
   e.length_s = 20;
   e.load.shape = {{0, 1}, {5, 0.5}, {15, 1.5}};
   for (const FaultTraits& kind : AllFaults()) {
-    if (kind.kind > FaultKind::kMisbehavingClients) break;  // those that came later
+    if (kind.kind > FaultKind::kMisbehavingClients)
+      break;  // kinds added later: they would change the checksum below
     e.faults.push_back({.kind = kind.kind, .at_s = {2, 18}, .for_s = {1, 10}, .share = 0.2});
   }
   e.faults[3].size = {1.5, 2};
   const std::string once = Describe(e, GenerateScript(e, 42));
   EXPECT_EQ(once, Describe(e, GenerateScript(e, 42)));
   EXPECT_NE(once, Describe(e, GenerateScript(e, 43)));
-  // Any change of this is a change of what every seed means, and breaks the comparison with older runs.
+  // A different checksum means that seeds give other scripts, so runs cannot be compared with older ones.
   EXPECT_EQ(XXH3_64bits(once.data(), once.size()), 13120797521429408234u) << once.substr(0, 4000);
 }
 
-TEST(Script, DrawsNodesWithinTheirGroupsRanges) {
+TEST(Script, GeneratesNodesWithinTheirGroupsRanges) {
   const Script script = GenerateScript(Site(), 3);
   ASSERT_EQ(script.nodes.size(), 12u);
   EXPECT_EQ(script.nodes[6].name, "std-7");
@@ -135,7 +137,7 @@
   EXPECT_TRUE(script.mean_work_us[1] >= 40000 && script.mean_work_us[1] <= 70000);
 }
 
-TEST(Script, HitsTheShareTheZoneOrTheNames) {
+TEST(Script, FaultsAffectTheShareTheZoneOrTheNames) {
   Experiment e = Site();
   e.faults = {
       {.kind = FaultKind::kSilentNodes, .at_s = {5, 9}, .for_s = {200, 200}, .share = 0.16},
@@ -154,18 +156,18 @@
     }
     EXPECT_EQ(by_fault[0].targets.size(), 2u);  // 1.92
     EXPECT_TRUE(by_fault[0].at >= 5 * kSecond && by_fault[0].at <= 9 * kSecond);
-    EXPECT_EQ(by_fault[0].until, 100 * kSecond);  // not beyond the run
-    ASSERT_EQ(by_fault[1].targets.size(), 1u);    // one at least
+    EXPECT_EQ(by_fault[0].until, 100 * kSecond);  // limited by the end of the run
+    ASSERT_EQ(by_fault[1].targets.size(), 1u);    // at least one
     EXPECT_EQ(GenerateScript(e, seed).nodes[static_cast<size_t>(by_fault[1].targets[0])].zone, 1);
     EXPECT_EQ(by_fault[2].targets, (std::vector<int>{0, 8}));
     EXPECT_EQ(by_fault[3].targets, std::vector<int>{1});
     EXPECT_EQ(by_fault[4].targets.size(), 2u);
     EXPECT_EQ(by_fault[5].targets, (std::vector<int>{0, 1, 2}));
-    EXPECT_EQ(by_fault[5].until, by_fault[5].at);  // has no length
+    EXPECT_EQ(by_fault[5].until, by_fault[5].at);  // no duration
   }
 }
 
-TEST(Script, SparesTakePlacesInTurn) {
+TEST(Script, SparesReplaceNodesInOrderOfTime) {
   Experiment e = Site();
   e.faults = {{.kind = FaultKind::kNodesReplaced, .at_s = {20, 20}, .names = {"std-3", "slow-1"}},
               {.kind = FaultKind::kNodesReplaced, .at_s = {10, 10}, .names = {"std-3"}}};
@@ -179,7 +181,7 @@
   EXPECT_EQ(script.actions[1].spares, (std::vector<int>{1, 2}));
 }
 
-TEST(Script, OneMoreFaultMovesNothingElse) {
+TEST(Script, AnAdditionalFaultChangesNothingElse) {
   Experiment e = Site();
   e.faults = {{.kind = FaultKind::kSilentNodes, .at_s = {5, 50}, .share = 0.3},
               {.kind = FaultKind::kFastErrors, .at_s = {5, 50}, .share = 0.3, .size = {0.2, 0.9}}};
@@ -192,7 +194,7 @@
   EXPECT_EQ(before, after);
 }
 
-TEST(Arrivals, ComeAtTheRateOfTheShape) {
+TEST(Arrivals, FollowTheRateOfTheShape) {
   Experiment e = Site();
   e.load.shape = {{10, 1}, {30, 1}, {50, 3}, {50, 0.5}, {60, 0}, {70, 0}, {80, 1}};
   const std::vector<Arrival> all = All(e);
@@ -206,7 +208,7 @@
   EXPECT_EQ(Between(all, 60, 70), 0);
   ExpectCount(Between(all, 70, 80), 2000 * 10 * 0.5);
   ExpectCount(Between(all, 80, 100), 40000);
-  double waits = 0;  // of a Poisson process the deviation of the waits is their mean
+  double waits = 0;  // in a Poisson process, the standard deviation of the intervals is their mean
   double squares = 0;
   for (size_t i = 1; i < 18000; ++i) {
     const auto wait = static_cast<double>(all[i].at - all[i - 1].at);
@@ -216,7 +218,7 @@
   EXPECT_NEAR(std::sqrt(squares - waits * waits) / waits, 1, 0.03);
 }
 
-TEST(Arrivals, HaveTheirAttributesBySharesAndRanges) {
+TEST(Arrivals, HaveAttributesAccordingToSharesAndRanges) {
   const Experiment e = Site();
   const std::vector<Arrival> all = All(e);
   const Script script = GenerateScript(e, 1);
@@ -257,17 +259,19 @@
   double sum = 0;
   for (int rank = 1; rank <= 500; ++rank) sum += std::pow(rank, -0.7);
   ExpectShare(counts[0], n, 1 / sum);
-  ExpectShare(counts[99], n, std::pow(100, -0.7) / sum);  // near enough in rank
+  ExpectShare(counts[99], n,
+              std::pow(100, -0.7) / sum);  // approximately: neighbouring ranks have similar shares
 }
 
-TEST(Arrivals, BeyondTheQuotaAreToldApart) {
+TEST(Arrivals, AreMarkedIfBeyondTheQuota) {
   const std::vector<Arrival> all = All(Site());
   auto within = [](const Arrival& a) { return a.tenant == 0 && a.within_share; };
-  EXPECT_NEAR(Between(all, 0, 100, within), 1000 * 101, 2);  // the quota, and a second's saved up
+  EXPECT_NEAR(Between(all, 0, 100, within), 1000 * 101,
+              2);  // the quota, plus the initial burst of one second
   EXPECT_EQ(Between(all, 0, 100, [](const Arrival& a) { return a.tenant == 1 && !a.within_share; }), 0);
 }
 
-// All but when and whether they come.
+// A change of one attribute's settings affects neither the other attributes nor the times.
 TEST(Arrivals, EachAttributeHasAStreamOfItsOwn) {
   const Experiment e = Site();
   const std::vector<Arrival> all = All(e);
@@ -291,7 +295,7 @@
   expect_same(other, &A::at, &A::cls, &A::key, &A::work_us, &A::trace);
 }
 
-TEST(Arrivals, AJumpAddsAndLeavesTheRest) {
+TEST(Arrivals, AJumpAddsArrivalsAndLeavesTheOthersUnchanged) {
   Experiment e = Site();
   const std::vector<Arrival> before = All(e);
   e.faults = {{.kind = FaultKind::kTrafficJump, .at_s = {10, 10}, .for_s = {20, 20}, .size = {2, 2}},
@@ -312,7 +316,7 @@
   ExpectCount(Between(after, 30, 100), 140000);
 }
 
-TEST(Arrivals, AJumpDownwardsOnlyTakesAway) {
+TEST(Arrivals, AJumpBelowOneOnlyRemovesArrivals) {
   Experiment e = Site();
   const std::vector<Arrival> before = All(e);
   e.faults = {{.kind = FaultKind::kTrafficJump, .at_s = {10, 10}, .zone = "bern", .size = {0.4, 0.4}}};
@@ -338,7 +342,7 @@
   EXPECT_EQ(traces.size(), 1000u * kMaxTries);
 }
 
-TEST(Faults, AreListedInTheirOrder) {
+TEST(Faults, AreListedInTheOrderOfFaultKind) {
   for (size_t i = 0; i < AllFaults().size(); ++i) EXPECT_EQ(static_cast<size_t>(AllFaults()[i].kind), i);
   EXPECT_EQ(AllFaults().back().kind, FaultKind::kListAnswersLost);
 }
--- a/tests/lab/scripted.h
+++ b/tests/lab/scripted.h
@@ -1,6 +1,6 @@
-// A server whose every move a story makes, and the stage that stories are played on: one machine for both
-// ends, each story a coroutine on it. Every wait ends after kPatience, which is long: it is only there for
-// code that is broken. No co_await stands in a CHECK, which names its expression a second time.
+// A server that a test scenario controls step by step, and the runner of scenarios: one machine for both
+// ends, with each scenario as a coroutine on it. Every wait ends after kPatience, which is long because it
+// only expires if the code is broken. CHECK never contains co_await, because the macro repeats it.
 #ifndef BURLFALL_TESTS_LAB_SCRIPTED_H_
 #define BURLFALL_TESTS_LAB_SCRIPTED_H_
 
@@ -19,12 +19,12 @@
 struct Stage {
   RealMachine machine;
 
-  // Runs the story to its end.
-  template <typename Story>
-  void Play(Story story) {
+  // Runs the scenario to its end.
+  template <typename Scenario>
+  void Play(Scenario scenario) {
     bool done = false;
     const auto play = [&]() -> Task<> {
-      co_await story();
+      co_await scenario();
       done = true;
       machine.scheduler().Stop();
     };
@@ -55,11 +55,11 @@
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// The server's end of a link.
+// The server's end of a connection.
 class Served {
  public:
   explicit Served(std::unique_ptr<Stream> stream) : stream_(std::move(stream)) {}
-  // The next query; its method is empty where the link ended first, or none came.
+  // Returns the next query; its method is empty if the connection ended first or no query arrived in time.
   Task<HttpMessage> Query() {
     const Micros until = stream_->scheduler().Now() + kPatience;
     while (true) {
@@ -101,11 +101,11 @@
     }
     co_return Served(std::move(stream));
   }
-  bool Called() {  // a connection waits; it is dropped
+  bool Called() {  // whether a connection is pending; it is dropped
     std::unique_ptr<Stream> stream;
     return listener_->Accept(stream) == Listener::Accepted::kOne;
   }
-  // From now on no connection comes up, while the one that is returned lives.
+  // No further connection comes up as long as the returned one exists.
   std::unique_ptr<Stream> Stall() {
     listener_->Backlog(0);
     NoConnection why = NoConnection::kRefused;
--- a/tests/lab/stage.h
+++ b/tests/lab/stage.h
@@ -1,4 +1,4 @@
-// A scripted balancer on a stage: tests say what happens at both ends of a query, and the judge watches.
+// Scenario helper for tests of the judge: a test reports the events at both ends of each query to a Judge.
 #ifndef BURLFALL_TESTS_LAB_STAGE_H_
 #define BURLFALL_TESTS_LAB_STAGE_H_
 
@@ -16,8 +16,8 @@
 
 enum { kRead, kRelease, kCharge };  // safe, unsafe, keyed
 
-// Three nodes, of which the last stands in another zone, and two balancers. Limits: an answer by 70 ms after
-// the deadline, keyed repeats by 550 ms, sends by 800 ms after word of a drain.
+// Three nodes, the last one in another zone, and two balancers. Limits: answers up to 70 ms after the
+// deadline, keyed repeats up to 550 ms, and sends up to 800 ms after the notification of a drain.
 inline Facts StageFacts() {
   Facts facts;
   meadowslip::Settings& settings = facts.settings;
@@ -52,7 +52,7 @@
 
   Micros At(double ms) const { return facts.begins_at + static_cast<Micros>(ms * kMs); }
 
-  // Due and taken at once; gives up a second later.
+  // A client sends a query, which is written at once, and gives up a second later.
   TraceId Ask(int cls, double ms, TraceId first = 0, int balancer = 0) {
     Try one;
     one.trace = ++last_trace;
@@ -91,7 +91,7 @@
   void Serve(TraceId trace, uint64_t attempt, double ms) {
     End(trace, ms, End::kServed, 200, marks.at(attempt));
   }
-  // A query as it should be: one attempt, run and answered.
+  // A query without violations: one attempt, run and answered.
   TraceId Good(int cls, double ms, double took_ms = 20, int balancer = 0) {
     const TraceId trace = Ask(cls, ms, 0, balancer);
     const uint64_t attempt = Send(trace, 0, ms + 1, balancer);
@@ -105,7 +105,7 @@
     verdict = judge.Finish(At(ms));
     return verdict;
   }
-  // "rule trace" of all findings, by rule; ends the run.
+  // Ends the run; returns "rule trace" for each finding, ordered by rule.
   std::vector<std::string> Found() {
     std::vector<std::string> found;
     for (const RuleResult& rule : Finish().rules) {
--- a/tests/lab/standin_test.cpp
+++ b/tests/lab/standin_test.cpp
@@ -1,7 +1,7 @@
-// Stories of the stand-ins over loopback sockets, one for each thing that they must be able to do. Clients
-// and stand-ins share one machine; a story is a coroutine on it. What must not happen is given kMoment, what
-// must happen kPatience, which is long: it is only there for code that is broken. No co_await stands in a
-// CHECK, which names its expression a second time.
+// Tests of the stand-ins over loopback sockets, one for each of their abilities. Clients and stand-ins share
+// one machine, and each scenario is a coroutine on it. An event that must not happen is awaited for
+// kQuietPeriod, an event that must happen for kTestTimeout, which is long because it only expires if the code
+// is broken. CHECK never contains co_await, because the macro expands its expression twice.
 #define CATCH_CONFIG_MAIN
 #include <catch2/catch.hpp>
 #include <utility>
@@ -18,10 +18,10 @@
 using meadowslip::BackendState;
 using meadowslip::Idempotency;
 
-constexpr Micros kPatience = 15 * kSecond;
-constexpr Micros kMoment = 150 * kMs;
+constexpr Micros kTestTimeout = 15 * kSecond;
+constexpr Micros kQuietPeriod = 150 * kMs;
 
-// Takes down what it hears, a word for each.
+// Records each notification as one word.
 class Recorder final : public QuietWitness {
  public:
   void Arrived(const AttemptSeen& attempt) override {
@@ -35,10 +35,10 @@
   }
   void LinkEnded(uint64_t, Micros) override { Note("link-ended"); }
   void HandshakeAt(int, int, Micros) override { ++handshakes; }
-  void NodeChanged(int, NodeChange change, Micros, const std::vector<double>& work_by_balancer) override {
+  void NodeChanged(int, NodeChange change, Micros, const std::vector<double>& by_balancer) override {
     constexpr const char* kWords[] = {"started", "draining", "died", "fell"};
     Note(kWords[static_cast<int>(change)]);
-    pushed = work_by_balancer;
+    work_by_balancer = by_balancer;
   }
   void Told(int balancer, int node, BackendState state, Micros, Micros) override {
     constexpr const char* kWords[] = {"-gone", "-ready", "-draining"};
@@ -50,13 +50,13 @@
     Note((watching ? "watches-" : "asked-") + std::to_string(balancer));
   }
 
-  // What it has heard since the last time.
+  // Returns and clears the notifications since the last call.
   const std::string& words() const { return words_; }
   std::string Heard() { return std::exchange(words_, ""); }
   bool Has(const std::string& word) const { return words_.find(word) != std::string::npos; }
 
   AttemptSeen seen;
-  std::vector<double> pushed;
+  std::vector<double> work_by_balancer;
   int handshakes = 0;
 
  private:
@@ -67,17 +67,17 @@
 
 struct Site {
   Site() { plan.handshake = 0; }
-  // Runs the story to its end.
-  template <typename Story>
-  void Play(Story story) {
+  // Runs the scenario to its end.
+  template <typename Scenario>
+  void RunScenario(Scenario scenario) {
     bool done = false;
     auto playing = [&]() -> Task<> {
-      co_await story();
+      co_await scenario();
       done = true;
       machine.scheduler().Stop();
     };
     auto guarding = [&]() -> Task<> {
-      co_await Rest(3 * kPatience);
+      co_await Rest(3 * kTestTimeout);
       machine.scheduler().Stop();
     };
     Task<> play = playing();
@@ -87,9 +87,9 @@
     machine.scheduler().Run();
     REQUIRE(done);
   }
-  std::vector<Address> Anywhere() const { return {2, *ReadAddress("127.0.0.1:0")}; }
+  std::vector<Address> AnyPort() const { return {2, *ReadAddress("127.0.0.1:0")}; }
   std::unique_ptr<Node> Up(bool cold = false) {
-    auto node = std::make_unique<Node>(site, 7, plan, group, Anywhere(), 1);
+    auto node = std::make_unique<Node>(site, 7, plan, group, AnyPort(), 1);
     node->Start(cold);
     witness.Heard();
     return node;
@@ -99,7 +99,7 @@
     co_await nothing.Wait(machine.Now() + span);
   }
   Task<> Hears(std::string words) {
-    const Micros until = machine.Now() + kPatience;
+    const Micros until = machine.Now() + kTestTimeout;
     while (!witness.Has(words) && machine.Now() < until) co_await Rest(kMs);
     INFO(witness.words());
     CHECK(witness.Has(words));
@@ -115,31 +115,31 @@
   NodeSite site{machine, witness, repeats, classes};
 };
 
-// One end of a connection.
+// The client's end of a connection.
 class Client {
  public:
   Client(Site& site, const Address& to) : machine_(site.machine) {
     NoConnection why = NoConnection::kRefused;
     stream_ = machine_.network().Connect(to, why);
   }
-  Task<> StaysDown(bool refused) {  // else with no sign
-    const Micros until = machine_.Now() + (refused ? kPatience : kMoment);
+  Task<> StaysDown(bool refused) {  // false: no reaction at all
+    const Micros until = machine_.Now() + (refused ? kTestTimeout : kQuietPeriod);
     const bool up = co_await Up(until);
     CHECK_FALSE(up);
     CHECK((machine_.Now() < until) == refused);
   }
   Task<> Says(std::string text) {
-    const bool up = co_await Up(machine_.Now() + kPatience);
+    const bool up = co_await Up(machine_.Now() + kTestTimeout);
     CHECK(up);
     std::string_view rest = text;
     CHECK(stream_->Write(rest) == Io::kSome);
   }
   Task<> Hears(int status) {
-    last = co_await Answer(kPatience);
+    last = co_await Answer(kTestTimeout);
     CHECK(last.status == status);
   }
   Task<> HearsNothing() {
-    last = co_await Answer(kMoment);
+    last = co_await Answer(kQuietPeriod);
     CHECK(last.status == 0);
     CHECK(ended == Io::kLater);
   }
@@ -148,13 +148,13 @@
     co_await Hears(status);
   }
   Task<> Ends(Io how) {
-    last = co_await Answer(kPatience);
+    last = co_await Answer(kTestTimeout);
     CHECK(ended == how);
   }
-  // The next answer; its status is 0 where none came whole. `ended` then tells why: kLater where the time was
-  // over, kSome where it was nonsense.
-  Task<HttpMessage> Answer(Micros patience) {
-    const Micros until = machine_.Now() + patience;
+  // Returns the next answer; its status is 0 if no complete answer arrived. `ended` then gives the reason:
+  // kLater for a timeout, kSome for a malformed answer.
+  Task<HttpMessage> Answer(Micros timeout) {
+    const Micros until = machine_.Now() + timeout;
     HttpParser parser(HttpParser::Kind::kResponse);
     Parsed parsed = Parsed::kMore;
     for (ended = Io::kSome; parsed == Parsed::kMore && ended == Io::kSome;) {
@@ -187,11 +187,11 @@
          "\r\nX-Size-Hint: " + std::to_string(work) + "\r\n" + more + "\r\n";
 }
 
-TEST_CASE("a query is run and answered with its mark, and the witness hears of it in order") {
+TEST_CASE("a query is run and answered with its mark, and the witness is notified in order") {
   Site s;
   s.site.body_bytes = 300;
   auto node = s.Up();
-  s.Play([&]() -> Task<> {
+  s.RunScenario([&]() -> Task<> {
     Client client(s, node->At(1));
     co_await client.Gets(200, Query(0xabc));
     CHECK(client.last.body.size() == 300);
@@ -211,7 +211,7 @@
   });
 }
 
-TEST_CASE("the work of a query is what its maker knows, and a query that nobody made is not served") {
+TEST_CASE("the work of a query is that of its generator, and an unknown query is not served") {
   Site s;
   s.site.work_of = [](TraceId trace, WorkInfo& info) {
     info = {0, 300.0 * kMs};
@@ -219,12 +219,12 @@
   };
   s.plan.handshake = 200 * kMs;
   auto node = s.Up();
-  s.Play([&]() -> Task<> {
+  s.RunScenario([&]() -> Task<> {
     Client client(s, node->At(0));
     const Micros from = s.machine.Now();
     co_await client.Gets(200, Query(5));
     CHECK(s.machine.Now() - from >= 500 * kMs);  // after the handshake
-    co_await client.Gets(200, Query(6));         // by its hint
+    co_await client.Gets(200, Query(6));         // the work of its hint
     co_await client.Gets(400, "GET /look HTTP/1.1\r\nX-Trace-Id: 0000000000000006\r\n\r\n");
     co_await client.Gets(400, "GET /pay HTTP/1.1\r\nX-Trace-Id: 0000000000000005\r\n\r\n");
     co_await client.Gets(404, "GET /look HTTP/1.1\r\n\r\n");
@@ -233,12 +233,12 @@
   });
 }
 
-TEST_CASE("what never ran is said so, an error is a 500, and a silent node says nothing") {
+TEST_CASE("a query that never ran is marked so, an error is a 500, and a silent node does not answer") {
   Site s;
   s.plan.slots = s.group.cores = 1;
   s.plan.queue = 1;
   auto node = s.Up();
-  s.Play([&]() -> Task<> {
+  s.RunScenario([&]() -> Task<> {
     Client a(s, node->At(0)), b(s, node->At(0)), c(s, node->At(0));
     co_await a.Says(Query(1, 500 * kMs));
     co_await s.Hears("ran");
@@ -264,11 +264,11 @@
   });
 }
 
-TEST_CASE("a link too many is turned away, and one far too many is reset") {
+TEST_CASE("a link above the limit is rejected, and one far above it is reset") {
   Site s;
   s.plan.links = 1;
   auto node = s.Up();
-  s.Play([&]() -> Task<> {
+  s.RunScenario([&]() -> Task<> {
     std::vector<std::unique_ptr<Client>> all;
     for (int i = 1; i <= 65; ++i) {
       all.push_back(std::make_unique<Client>(s, node->At(0)));
@@ -284,17 +284,17 @@
   });
 }
 
-TEST_CASE("who gives up is noticed, and what runs on is answered to nobody") {
+TEST_CASE("a client that gives up is noticed, and an attempt that still runs is not answered") {
   Site s;
   s.plan.slots = s.group.cores = 1;
   auto node = s.Up();
-  s.Play([&]() -> Task<> {
+  s.RunScenario([&]() -> Task<> {
     Client a(s, node->At(0)), b(s, node->At(0)), c(s, node->At(0));
     co_await a.Says(Query(1, kSecond));
     co_await s.Hears("ran");
     co_await b.Says(Query(2, 300 * kMs));
     co_await s.Hears("arrived ran arrived");
-    b.stream().Finish();  // ends its sending: that is giving up, too
+    b.stream().Finish();  // half-closing the connection also counts as giving up
     co_await s.Hears("link-ended dropped");
     a.stream().Close();
     co_await s.Hears("dropped link-ended");
@@ -305,12 +305,12 @@
   });
 }
 
-TEST_CASE("links that idle, stop in the middle or talk nonsense are ended") {
+TEST_CASE("idle, incomplete and malformed links are closed") {
   Site s;
   s.site.idle_close = 500 * kMs;
   s.site.read_timeout = 700 * kMs;
   auto node = s.Up();
-  s.Play([&]() -> Task<> {
+  s.RunScenario([&]() -> Task<> {
     Client idle(s, node->At(0)), half(s, node->At(0)), nonsense(s, node->At(0)), large(s, node->At(0));
     const Micros from = s.machine.Now();
     co_await half.Says("GET /look HTT");
@@ -327,15 +327,15 @@
   CHECK(s.site.attempts == 0);
 }
 
-TEST_CASE("the way between a balancer and a node takes its time, each way") {
+TEST_CASE("the delay between a balancer and a node applies in each direction") {
   Site s;
   auto node = s.Up();
   node->Delay(1, 40 * kMs);
-  s.Play([&]() -> Task<> {
+  s.RunScenario([&]() -> Task<> {
     Client far(s, node->At(1));
     Micros from = s.machine.Now();
     co_await far.Gets(200, Query(1));
-    CHECK(s.machine.Now() - from >= 160 * kMs);  // the two ways of its connecting, too
+    CHECK(s.machine.Now() - from >= 160 * kMs);  // includes the connect's round trip
     CHECK(s.witness.seen.at - s.witness.seen.first_byte_at >= 40 * kMs);
     from = s.machine.Now();
     co_await far.Gets(200, Query(2));
@@ -343,10 +343,10 @@
   });
 }
 
-TEST_CASE("a cut between a balancer and a node gives no sign, and ends with a reset") {
+TEST_CASE("a cut between a balancer and a node is silent, and its end resets the links") {
   Site s;
   auto node = s.Up();
-  s.Play([&]() -> Task<> {
+  s.RunScenario([&]() -> Task<> {
     Client cut(s, node->At(0)), waits(s, node->At(0)), gives_up(s, node->At(0)), other(s, node->At(1));
     co_await cut.Gets(200, Query(1));
     co_await waits.Says(Query(2, kSecond / 2));
@@ -360,7 +360,7 @@
     co_await late.StaysDown(false);
     co_await cut.HearsNothing();
     CHECK(s.witness.Heard() == "");
-    // The witness hears of both, though node and balancer don't hear of each other.
+    // The witness is notified of both, although node and balancer do not see each other.
     co_await s.Hears("dropped");
     gives_up.stream().Close();
     co_await s.Hears("dropped link-ended");
@@ -381,11 +381,12 @@
   });
 }
 
-TEST_CASE("a node that dies, or is pushed over, resets its links and refuses, and can come back") {
+TEST_CASE(
+    "a node that dies or crashes from overload resets its links, refuses connections, and can restart") {
   Site s;
   s.plan.cold_share = 0.1;
   auto node = s.Up();
-  s.Play([&]() -> Task<> {
+  s.RunScenario([&]() -> Task<> {
     const std::string at = node->At(0).text;
     Client idle(s, node->At(0)), waits(s, node->At(1));
     co_await idle.Gets(200, Query(1));
@@ -397,41 +398,41 @@
     co_await waits.Ends(Io::kBroken);
     Client refused(s, node->At(0));
     co_await refused.StaysDown(true);
-    // No connection gets the port that it has to come back to.
+    // The port is outside the ephemeral range, so that no connection can occupy it meanwhile.
     CHECK(std::stoi(at.substr(at.rfind(':') + 1)) < 32768);
     node->Start(true);
     CHECK(node->At(0).text == at);
     Client again(s, node->At(0));
     co_await again.Gets(200, Query(3));
-    node->SetAddresses(s.Anywhere());
+    node->SetAddresses(s.AnyPort());
     node->Start(false);
     CHECK(node->At(0).text != at);
     CHECK(s.witness.Heard() == "started arrived ran answered died started");
 
     node->Start(true);
     Client a(s, node->At(0)), b(s, node->At(1));
-    co_await a.Says(Query(4, kSecond));  // of 1.2
+    co_await a.Says(Query(4, kSecond));  // of a budget of 1.2 s
     co_await s.Hears("ran");
     s.witness.Heard();
     co_await b.Says(Query(5, kSecond));
     co_await a.Ends(Io::kBroken);
     co_await b.Ends(Io::kBroken);
     CHECK(s.witness.Heard() == "arrived fell dropped dropped");
-    CHECK(s.witness.pushed == std::vector<double>{1.0 * kSecond, 1.0 * kSecond});
+    CHECK(s.witness.work_by_balancer == std::vector<double>{1.0 * kSecond, 1.0 * kSecond});
     CHECK_FALSE(node->up());
   });
 }
 
-TEST_CASE("links are reset under queries that have arrived") {
+TEST_CASE("links are reset after their query has arrived") {
   Site s;
   auto node = s.Up();
   node->SetResetShare(0.5);
-  s.Play([&]() -> Task<> {
+  s.RunScenario([&]() -> Task<> {
     int reset = 0;
     for (TraceId trace = 1; trace <= 40; ++trace) {
       Client client(s, node->At(0));
       co_await client.Says(Query(trace, kMs));
-      const HttpMessage answer = co_await client.Answer(kPatience);
+      const HttpMessage answer = co_await client.Answer(kTestTimeout);
       if (answer.status != 0) continue;
       ++reset;
       CHECK(client.ended == Io::kBroken);
@@ -444,10 +445,10 @@
   });
 }
 
-TEST_CASE("spoilt answers are cut short, garbled or another query's, and the witness knows") {
+TEST_CASE("corrupted answers are truncated, garbled or another query's, and the witness is notified") {
   Site s;
   auto node = s.Up();
-  s.Play([&]() -> Task<> {
+  s.RunScenario([&]() -> Task<> {
     Client first(s, node->At(0));
     co_await first.Gets(200, Query(1));
     node->SetCorruptedShare(1);
@@ -456,7 +457,7 @@
       Client client(s, node->At(0));
       s.witness.Heard();
       co_await client.Says(Query(trace));
-      const HttpMessage answer = co_await client.Answer(kPatience);
+      const HttpMessage answer = co_await client.Answer(kTestTimeout);
       CHECK(s.witness.Heard() == "arrived ran spoilt");
       another += answer.status == 200 && ReadMark(answer.body).trace == 1;
       cut += answer.status == 0 && client.ended == Io::kClosed;
@@ -469,22 +470,23 @@
   });
 }
 
-TEST_CASE("discovery tells each balancer its own addresses, and the witness what it has written") {
+TEST_CASE(
+    "discovery gives each balancer its own addresses, and notifies the witness of what it has written") {
   Site s;
   const DiscoverySpec spec{.late_ms = {50, 50}, .silent_late_ms = {100, 100}, .calls_per_s = 1000};
   auto address_of = [](int node, int balancer) {
     return std::to_string(balancer) + ":" + std::to_string(node);
   };
-  auto text_of = [](const NodeList& list) {  // "1! 0:0=1 0:1=1": version 1, the whole
+  auto text_of = [](const NodeList& list) {  // "1! 0:0=1 0:1=1": version 1, the full list
     std::string text = std::to_string(list.version) + (list.full ? "!" : "");
     for (const ListedNode& one : list.nodes) {
       text += " " + one.address + "=" + std::to_string(static_cast<int>(one.state));
     }
     return text;
   };
-  Discovery discovery(s.machine, s.witness, spec, s.Anywhere(), {{.node = 0}, {.node = 1}}, address_of,
+  Discovery discovery(s.machine, s.witness, spec, s.AnyPort(), {{.node = 0}, {.node = 1}}, address_of,
                       text_of, 1);
-  s.Play([&]() -> Task<> {
+  s.RunScenario([&]() -> Task<> {
     Client zero(s, discovery.At(0)), one(s, discovery.At(1));
     const std::string list = "GET /discovery/hosts HTTP/1.1\r\n\r\n";
     co_await one.Gets(200, list);
@@ -497,13 +499,13 @@
     co_await s.Hears("watches-0");
     discovery.ReportChange(1, BackendState::kGone, 0);
     discovery.ReportChange(0, BackendState::kDraining, 0,
-                           true);  // learned in the gap after that watch's answer
+                           true);  // takes effect in the gap after that watch's answer
     co_await zero.Hears(200);
     CHECK(zero.last.body == "2 0:1=0");
     for (const char* word : {"told-0-1-gone", "told-0-0-draining", "listed-1", "listed-0"}) {
       co_await s.Hears(word);
     }
-    co_await s.Hears("asked-0");  // there is no further call: it watches no more
+    co_await s.Hears("asked-0");  // no further call: the watch ends
     s.witness.Heard();
     co_await one.Gets(200, list);
     CHECK(one.last.body == "3! 1:0=2");
@@ -529,7 +531,7 @@
     for (int i = 0; i < 20; ++i) {
       Client call(s, discovery.At(1));
       co_await call.Says(list);
-      const HttpMessage answer = co_await call.Answer(kPatience);
+      const HttpMessage answer = co_await call.Answer(kTestTimeout);
       CHECK((answer.status == 503 || call.ended == Io::kBroken));
       resets += answer.status == 0;
     }
