--- a/src/lab/council/real_council.cpp
+++ b/src/lab/council/real_council.cpp
@@ -65,7 +65,7 @@
   explicit Player(const CouncilOptions& options)
       : options_(options),
         site_(SiteOf(options.members)),
-        script_(Draw(site_, options.seed)),
+        script_(GenerateScript(site_, options.seed)),
         machine_(true),
         signals_(machine_.scheduler(), {SIGINT, SIGTERM}),
         paths_(machine_, options.seed),
--- a/src/lab/site/discovery.h
+++ b/src/lab/site/discovery.h
@@ -113,8 +113,8 @@
   std::map<int, HostState> actual_;
   std::map<int, Micros> last_update_at_;  // by node: the updates of a node are applied in order
   std::multimap<Micros, HostState> pending_updates_;
-  std::deque<Change>
-      changes_;  // the latest changes: used for partial answers and to return to older versions
+  // The latest changes, used for partial answers and to return to older versions.
+  std::deque<Change> changes_;
   std::unordered_map<uint64_t, Pending> pending_;
   std::multimap<Micros, uint64_t> due_;
   std::vector<Watcher> watchers_;
--- a/src/lab/site/node.h
+++ b/src/lab/site/node.h
@@ -52,9 +52,8 @@
   bool up() const { return open(); }
   int pending_queries() const { return model_.pending_queries(); }
   const std::string& name() const { return plan_.name; }
-  uint64_t unexpected_queries() const {
-    return unexpected_queries_;
-  }  // queries that no client sent in this form
+  // Number of queries that no client sent in this form.
+  uint64_t unexpected_queries() const { return unexpected_queries_; }
 
   // Faults; each remains until it is changed or the node is restarted.
   void Silence(bool on);
--- a/tests/lab/discovery_model_test.cpp
+++ b/tests/lab/discovery_model_test.cpp
@@ -114,12 +114,12 @@
   EXPECT_EQ(b.Of(calls[3]), nullptr);
   b.Pass(kMs);
   ASSERT_NE(b.Of(calls[3]), nullptr);
-  EXPECT_NE(b.Of(calls[3])->did, EffectType::kAnswered);
+  EXPECT_NE(b.Of(calls[3])->type, EffectType::kAnswered);
   b.Pass(10 * kMs);
-  EXPECT_EQ(b.Of(calls[2])->did, EffectType::kAnswered);
+  EXPECT_EQ(b.Of(calls[2])->type, EffectType::kAnswered);
   const uint64_t next = b.List();  // the failed calls used no capacity
   b.Pass(20 * kMs);
-  EXPECT_EQ(b.Of(next)->did, EffectType::kAnswered);
+  EXPECT_EQ(b.Of(next)->type, EffectType::kAnswered);
 }
 
 TEST(Discovery, AWatchContinuesOverAShortGapAndChangesDuringItCountAsKnown) {
@@ -154,8 +154,8 @@
   const uint64_t waits = b.List(1);
   b.model.GoDown(b.now, b.effects);
   ASSERT_NE(b.Of(watch), nullptr);
-  EXPECT_NE(b.Of(watch)->did, EffectType::kAnswered);
-  EXPECT_NE(b.Of(waits)->did, EffectType::kAnswered);
+  EXPECT_NE(b.Of(watch)->type, EffectType::kAnswered);
+  EXPECT_NE(b.Of(waits)->type, EffectType::kAnswered);
   EXPECT_EQ(b.Times(EffectType::kWatchEnded, 0), 0) << "it failed, and that says it";
   for (int i = 0; i < 40; ++i) b.List();
   EXPECT_GT(b.Times(EffectType::kFailed, 0), 5);
