--- a/tests/lab/discovery_model_test.cpp
+++ b/tests/lab/discovery_model_test.cpp
@@ -156,7 +156,7 @@
   ASSERT_NE(b.Of(watch), nullptr);
   EXPECT_NE(b.Of(watch)->type, EffectType::kAnswered);
   EXPECT_NE(b.Of(waits)->type, EffectType::kAnswered);
-  EXPECT_EQ(b.Times(EffectType::kWatchEnded, 0), 0) << "it failed, and that says it";
+  EXPECT_EQ(b.Times(EffectType::kWatchEnded, 0), 0) << "the failed call already reports it";
   for (int i = 0; i < 40; ++i) b.List();
   EXPECT_GT(b.Times(EffectType::kFailed, 0), 5);
   EXPECT_GT(b.Times(EffectType::kReset, 0), 5);
@@ -180,9 +180,9 @@
   ASSERT_EQ(b.model.version(), 4u);
   b.model.GoDown(b.now, b.effects);
   b.model.ComeBack(b.now, 2, b.effects);
-  EXPECT_EQ(b.Times(EffectType::kListChanged, 0), 5) << "three changes, and two of them taken back";
+  EXPECT_EQ(b.Times(EffectType::kListChanged, 0), 5) << "three changes, two of which are reverted";
   EXPECT_EQ(b.model.version(), 2u);
-  EXPECT_EQ(b.model.List()[2].state, BackendState::kGone) << "not heard of yet";
+  EXPECT_EQ(b.model.List()[2].state, BackendState::kGone) << "change not learned yet";
   EXPECT_EQ(b.model.List()[0].state, BackendState::kDraining);
   b.Pass(100 * kMs);
   EXPECT_EQ(b.model.version(), 4u);
--- a/tests/lab/node_model_test.cpp
+++ b/tests/lab/node_model_test.cpp
@@ -71,7 +71,7 @@
   EXPECT_EQ(b.Times(EffectType::kProcessing, 1), 1);
   EXPECT_EQ(b.Ends(1), 20 * kMs);
   b.Submit(2, 0);
-  EXPECT_EQ(b.Times(EffectType::kServed, 2), 1) << "no work, no wait";
+  EXPECT_EQ(b.Times(EffectType::kServed, 2), 1) << "a query without work ends at once";
   EXPECT_EQ(b.model().NextAt(), kNever);
   EXPECT_EQ(b.model().pending_queries(), 0);
 
@@ -105,7 +105,7 @@
   b.Pass(20 * kMs);
   EXPECT_EQ(b.Times(EffectType::kExpired, 2), 1);
   EXPECT_EQ(b.Times(EffectType::kProcessing, 2), 0);
-  EXPECT_EQ(b.Times(EffectType::kServed, 3), 1) << "its time is over while it runs: it goes on";
+  EXPECT_EQ(b.Times(EffectType::kServed, 3), 1) << "expires while it runs, and is completed";
 }
 
 TEST(NodeModel, AHandshakeCostsWorkAndDelaysTheFirstQueryOfItsLink) {
@@ -172,7 +172,7 @@
   EXPECT_EQ(b.effects.back().work_by_balancer, (std::vector<double>{700.0 * kMs, 502.0 * kMs}));
   EXPECT_EQ(b.model().pending_queries(), 0);
   b.Submit(7, kMs);
-  EXPECT_EQ(b.model().pending_queries(), 0) << "it is dead";
+  EXPECT_EQ(b.model().pending_queries(), 0) << "a crashed node accepts no query";
 
   Bench spread = cold();
   spread.Submit(1, 1200 * kMs);
@@ -245,7 +245,7 @@
   for (uint64_t i = 501; i <= 503; ++i) b.Submit(i, 10 * kMs);
   b.model().FailFast(b.now, 1, b.effects);
   b.Submit(504, 10 * kMs);
-  EXPECT_LE(b.Ends(504), kMs) << "neither the slot nor the waiting room held it up";
+  EXPECT_LE(b.Ends(504), kMs) << "a fast failure needs neither a slot nor a queue entry";
   EXPECT_EQ(b.Times(EffectType::kError, 504), 1);
 }
 
@@ -279,7 +279,7 @@
   EXPECT_EQ(b.model().pending_queries(), 6);
   EXPECT_EQ(b.model().NextAt(), kNever);
   b.model().Silence(b.now, false, b.effects);
-  EXPECT_EQ(b.Times(EffectType::kRejected), 3) << "the latest find no place";
+  EXPECT_EQ(b.Times(EffectType::kRejected), 3) << "the latest exceed the queue";
   EXPECT_EQ(b.Times(EffectType::kRejected, 6), 1);
   EXPECT_EQ(b.Ends(1), 5 * kMs);
   EXPECT_EQ(b.Ends(3), 20 * kMs);
@@ -293,7 +293,7 @@
   EXPECT_EQ(b.Ends(1), 50 * kMs);
   b.model().Start(b.now, false);
   b.Submit(2, 10 * kMs);
-  EXPECT_EQ(b.Ends(2), 10 * kMs) << "started anew it has no fault";
+  EXPECT_EQ(b.Ends(2), 10 * kMs) << "a restart clears the fault";
 }
 
 TEST(NodeModel, ADrainingNodeCompletesItsQueriesAndRejectsNewOnes) {
