--- a/src/lab/council/coordinator_run.cpp
+++ b/src/lab/council/coordinator_run.cpp
@@ -67,7 +67,7 @@
   explicit CoordinatorRun(const CoordinatorRunOptions& options)
       : options_(options),
         site_(SiteOf(options.members)),
-        script_(Draw(site_, options.seed)),
+        script_(GenerateScript(site_, options.seed)),
         machine_(true),
         signals_(machine_.scheduler(), {SIGINT, SIGTERM}),
         paths_(machine_, options.seed),
--- a/tests/lab/discovery_model_test.cpp
+++ b/tests/lab/discovery_model_test.cpp
@@ -1,4 +1,4 @@
-// What discovery knows and when, and whom it answers when.
+// Tests of DiscoveryModel: what the service knows at which time, and when it answers a call.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -8,10 +8,10 @@
 namespace burlfall::lab {
 namespace {
 
-using Did = DiscoveryModel::Did;
+using EffectType = DiscoveryModel::EffectType;
 using meadowslip::BackendState;
 
-// Two nodes; it learns of a change after 100 ms, and answers a call in 20 ms.
+// A service with two nodes that learns of a change after 100 ms and answers a call in 20 ms.
 struct Bench {
   DiscoverySpec spec{
       .late_ms = {100, 100}, .silent_late_ms = {900, 900}, .calls_per_s = 50, .patience_ms = 50};
@@ -24,17 +24,17 @@
     return model.Call(now, balancer, index, wait, effects);
   }
   void Happens(int node, BackendState state, bool silent = false) {
-    model.Happened(now, {node, state, 0}, silent);
+    model.ReportChange(now, {node, state, 0}, silent);
   }
   void Pass(Micros span) { model.Tick(now += span, effects); }
-  // Of the call; nothing where it has not ended.
+  // Returns the effect that ended the call; nullptr if it has not ended.
   const DiscoveryModel::Effect* Of(uint64_t call) const {
     auto it = std::find_if(effects.begin(), effects.end(), [&](const auto& one) { return one.call == call; });
     return it == effects.end() ? nullptr : &*it;
   }
-  long Times(Did did, int balancer) const {
+  long Times(EffectType type, int balancer) const {
     return std::count_if(effects.begin(), effects.end(),
-                         [&](const auto& one) { return one.did == did && one.balancer == balancer; });
+                         [&](const auto& one) { return one.type == type && one.balancer == balancer; });
   }
   std::vector<int> Nodes(uint64_t call) const {
     std::vector<int> nodes;
@@ -44,7 +44,7 @@
   }
 };
 
-TEST(Discovery, ItLearnsOfAChangeLateAndOfASilentDeathLater) {
+TEST(Discovery, ItLearnsOfAChangeAfterADelayAndOfASilentDeathAfterALongerOne) {
   Bench b;
   b.Happens(0, BackendState::kDraining);
   b.Happens(1, BackendState::kGone, true);
@@ -54,7 +54,7 @@
   EXPECT_EQ(b.model.version(), 2u);
   EXPECT_EQ(b.model.List()[0].state, BackendState::kDraining);
   EXPECT_EQ(b.model.List()[1].state, BackendState::kReady);
-  b.Happens(1, BackendState::kReady);  // its own next word waits for the one before
+  b.Happens(1, BackendState::kReady);  // a node's updates are applied in order
   b.Pass(700 * kMs);
   EXPECT_EQ(b.model.version(), 2u);
   b.Pass(200 * kMs);
@@ -62,7 +62,7 @@
   EXPECT_EQ(b.model.List()[1].state, BackendState::kReady);
 }
 
-TEST(Discovery, AWatchIsHeldUntilThereIsNewsOrItsWaitIsOver) {
+TEST(Discovery, AWatchIsHeldUntilTheListChangesOrItsWaitTimeIsOver) {
   Bench b;
   const uint64_t watch = b.Watch(1);
   const uint64_t brief = b.Watch(1, kSecond, 1);
@@ -85,7 +85,7 @@
   EXPECT_EQ(b.Nodes(behind), std::vector<int>{0});
 }
 
-TEST(Discovery, WhoHasMissedTooMuchOrKnowsMoreGetsTheWholeList) {
+TEST(Discovery, ABalancerTooFarBehindOrAheadGetsTheFullList) {
   Bench b;
   for (int i = 0; i < 70; ++i) {
     b.Happens(0, i % 2 == 0 ? BackendState::kDraining : BackendState::kReady);
@@ -103,7 +103,7 @@
   EXPECT_EQ(b.Nodes(ahead), (std::vector<int>{0, 1}));
 }
 
-TEST(Discovery, CallsAreHandledInTurnAndFailWhenTheyHaveWaitedTooLong) {
+TEST(Discovery, CallsAreQueuedAndFailAfterATimeout) {
   Bench b;
   std::vector<uint64_t> calls;
   for (int i = 0; i < 5; ++i) calls.push_back(b.List());
@@ -114,15 +114,15 @@
   EXPECT_EQ(b.Of(calls[3]), nullptr);
   b.Pass(kMs);
   ASSERT_NE(b.Of(calls[3]), nullptr);
-  EXPECT_NE(b.Of(calls[3])->did, Did::kAnswered);
+  EXPECT_NE(b.Of(calls[3])->type, EffectType::kAnswered);
   b.Pass(10 * kMs);
-  EXPECT_EQ(b.Of(calls[2])->did, Did::kAnswered);
-  const uint64_t next = b.List();  // those that failed cost it nothing
+  EXPECT_EQ(b.Of(calls[2])->type, EffectType::kAnswered);
+  const uint64_t next = b.List();  // the failed calls used no capacity
   b.Pass(20 * kMs);
-  EXPECT_EQ(b.Of(next)->did, Did::kAnswered);
+  EXPECT_EQ(b.Of(next)->type, EffectType::kAnswered);
 }
 
-TEST(Discovery, AWatchGoesOnOverAShortGapAndWhatChangesInItCountsAsTold) {
+TEST(Discovery, AWatchContinuesOverAShortGapAndChangesDuringItCountAsKnown) {
   Bench b;
   b.Watch(1, 0);
   b.Pass(20 * kMs);
@@ -130,37 +130,37 @@
   EXPECT_TRUE(b.model.watching(0));
   b.Watch(1, kSecond);
   b.Pass(kSecond);
-  EXPECT_EQ(b.Times(Did::kUnwatched, 0), 0);
+  EXPECT_EQ(b.Times(EffectType::kWatchEnded, 0), 0);
   b.Happens(0, BackendState::kDraining);
   b.Pass(100 * kMs);
-  EXPECT_EQ(b.Times(Did::kDeemed, 0), 1);
-  EXPECT_EQ(b.Times(Did::kDeemed, 1), 0);
+  EXPECT_EQ(b.Times(EffectType::kConsideredInformed, 0), 1);
+  EXPECT_EQ(b.Times(EffectType::kConsideredInformed, 1), 0);
   b.Pass(101 * kMs);
-  EXPECT_EQ(b.Times(Did::kUnwatched, 0), 1);
+  EXPECT_EQ(b.Times(EffectType::kWatchEnded, 0), 1);
   EXPECT_FALSE(b.model.watching(0));
   b.Happens(1, BackendState::kDraining);
   b.Pass(100 * kMs);
-  EXPECT_EQ(b.Times(Did::kDeemed, 0), 1);
+  EXPECT_EQ(b.Times(EffectType::kConsideredInformed, 0), 1);
   const uint64_t left = b.Watch(3);
   b.Pass(20 * kMs);
-  b.model.Left(b.now, left, b.effects);
-  EXPECT_EQ(b.Times(Did::kUnwatched, 0), 2);
+  b.model.CallerDisconnected(b.now, left, b.effects);
+  EXPECT_EQ(b.Times(EffectType::kWatchEnded, 0), 2);
 }
 
-TEST(Discovery, DownItEndsItsWatchesAndFailsItsCalls) {
+TEST(Discovery, WhenItGoesDownItsWatchesEndAndItsCallsFail) {
   Bench b;
   const uint64_t watch = b.Watch(1);
   b.Pass(20 * kMs);
   const uint64_t waits = b.List(1);
   b.model.GoDown(b.now, b.effects);
   ASSERT_NE(b.Of(watch), nullptr);
-  EXPECT_NE(b.Of(watch)->did, Did::kAnswered);
-  EXPECT_NE(b.Of(waits)->did, Did::kAnswered);
-  EXPECT_EQ(b.Times(Did::kUnwatched, 0), 0) << "it failed, and that says it";
+  EXPECT_NE(b.Of(watch)->type, EffectType::kAnswered);
+  EXPECT_NE(b.Of(waits)->type, EffectType::kAnswered);
+  EXPECT_EQ(b.Times(EffectType::kWatchEnded, 0), 0) << "the failed call already reports it";
   for (int i = 0; i < 40; ++i) b.List();
-  EXPECT_GT(b.Times(Did::kFailed, 0), 5);
-  EXPECT_GT(b.Times(Did::kReset, 0), 5);
-  EXPECT_EQ(b.Times(Did::kAnswered, 0), 0);
+  EXPECT_GT(b.Times(EffectType::kFailed, 0), 5);
+  EXPECT_GT(b.Times(EffectType::kReset, 0), 5);
+  EXPECT_EQ(b.Times(EffectType::kAnswered, 0), 0);
   b.Happens(0, BackendState::kDraining);
   b.Pass(kSecond);
   b.model.ComeBack(b.now, 0, b.effects);
@@ -169,25 +169,25 @@
   EXPECT_EQ(b.Nodes(call), std::vector<int>{0});
 }
 
-TEST(Discovery, BackWithAnOlderListItLearnsAnewAndTellsTheWholeFirst) {
+TEST(Discovery, AfterItReturnsWithAnOlderListItSendsTheFullListFirstAndLearnsTheChangesAgain) {
   Bench b;
   b.Happens(0, BackendState::kDraining);
   b.Pass(200 * kMs);
-  b.Happens(2, BackendState::kReady);  // a new one
+  b.Happens(2, BackendState::kReady);  // a new node
   b.Pass(200 * kMs);
   b.Happens(0, BackendState::kGone);
   b.Pass(200 * kMs);
   ASSERT_EQ(b.model.version(), 4u);
   b.model.GoDown(b.now, b.effects);
   b.model.ComeBack(b.now, 2, b.effects);
-  EXPECT_EQ(b.Times(Did::kListed, 0), 5) << "three changes, and two of them taken back";
+  EXPECT_EQ(b.Times(EffectType::kListChanged, 0), 5) << "three changes, two of which are reverted";
   EXPECT_EQ(b.model.version(), 2u);
-  EXPECT_EQ(b.model.List()[2].state, BackendState::kGone) << "not heard of yet";
+  EXPECT_EQ(b.model.List()[2].state, BackendState::kGone) << "change not learned yet";
   EXPECT_EQ(b.model.List()[0].state, BackendState::kDraining);
   b.Pass(100 * kMs);
   EXPECT_EQ(b.model.version(), 4u);
   EXPECT_EQ(b.model.List()[0].state, BackendState::kGone);
-  // The same number as before, but not for the same list.
+  // The same version as before, but of another list.
   const uint64_t call = b.Watch(4);
   b.Pass(20 * kMs);
   ASSERT_NE(b.Of(call), nullptr);
