--- a/src/module/balancer.cpp
+++ b/src/module/balancer.cpp
@@ -15,15 +15,15 @@
 
 class Balancer::Node {
  public:
-  Node(const Settings& settings, uint64_t seed) : ctx(settings, seed) {}
+  Node(const Settings& settings, uint64_t seed) : context(settings, seed) {}
   Node(const Node&) = delete;  // the parts hold references to each other
   Node& operator=(const Node&) = delete;
 
   // Handles one event: applies it, then sends the requests for which there is capacity.
   void Handle(Micros now, ActionSink& sink, auto handle) {
     if (fleet.epoch == 0) fleet.epoch = now;
-    ctx.now = now;
-    ctx.sink = &sink;
+    context.now = now;
+    context.sink = &sink;
     load.Advance(requests.AnyForGroup());
     handle(*this);
     load.ReviewChanged();
@@ -42,7 +42,7 @@
     int format = kStateFormat;
     a(format);
     if (format != kStateFormat) return;
-    a(ctx.random, ctx.now, fleet.epoch, fleet.backends, requests);
+    a(context.random, context.now, fleet.epoch, fleet.backends, requests);
     a(load.room, load.none_in_service, load.spare, load.refreshed_at, load.pending, load.node_limit);
     a(fleet.kind_payoff, fleet.subset, fleet.subset_current, fleet.sparse, fleet.sharers, fleet.zones);
     a(classes.stats, classes.slowest, classes.min_work, classes.backend_wait, queue.tenant_tokens,
@@ -55,8 +55,8 @@
   bool Load(std::string_view saved) {
     state::Reader in(saved);
     Fields(in);
-    if (!in.Complete() || classes.stats.size() != ctx.cfg.classes.size() ||
-        queue.tenant_tokens.size() != ctx.cfg.tenants.size()) {
+    if (!in.Complete() || classes.stats.size() != context.settings.classes.size() ||
+        queue.tenant_tokens.size() != context.settings.tenants.size()) {
       return false;
     }
     const auto valid_slot = [this](uint32_t i) {
@@ -86,17 +86,17 @@
   }
 
   // Each part depends only on the parts that are passed to its constructor.
-  policy::Context ctx;
-  policy::Classes classes{ctx.cfg};
-  policy::Fleet fleet{ctx, classes};
-  policy::Health health{ctx, fleet};
-  policy::Load load{ctx, fleet, classes};
-  policy::Requests requests{fleet, ctx.cfg.classes.size()};
-  policy::Rules rules{ctx, fleet};
-  policy::Picker picker{ctx, classes, fleet, load, rules};
-  policy::Sending sending{ctx, classes, fleet, load, requests, rules};
-  policy::Queue queue{ctx, classes, fleet, load, requests, rules, picker, sending};
-  policy::Results results{ctx, classes, fleet, health, load, requests, rules, sending, queue};
+  policy::Context context;
+  policy::Classes classes{context.settings};
+  policy::Fleet fleet{context, classes};
+  policy::Health health{context, fleet};
+  policy::Load load{context, fleet, classes};
+  policy::Requests requests{fleet, context.settings.classes.size()};
+  policy::Rules rules{context, fleet};
+  policy::Picker picker{context, classes, fleet, load, rules};
+  policy::Sending sending{context, classes, fleet, load, requests, rules};
+  policy::Queue queue{context, classes, fleet, load, requests, rules, picker, sending};
+  policy::Results results{context, classes, fleet, health, load, requests, rules, sending, queue};
 };
 
 Balancer::Balancer(const Settings& settings, uint64_t seed) : node_(std::make_unique<Node>(settings, seed)) {}
--- a/src/policy/context.h
+++ b/src/policy/context.h
@@ -22,18 +22,20 @@
 constexpr double kMaxProbes = 6;
 constexpr double kMinServedShare = 1e-3;  // lower bound of the share of a class served in time
 
+// What every part needs to handle the current event. Decides how many probes a request may have: none if they
+// are not allowed, cost too much or would report no load.
 struct Context {
-  Context(const Settings& given, uint64_t seed) : cfg(given), random(seed) {
-    cfg.max_attempts = std::clamp(cfg.max_attempts, 1, state::kMaxAttempts);
-    tick_interval = std::max(2 * cfg.resolution, 5 * kMs);
-    for (const RequestClass& c : cfg.classes) {
+  Context(const Settings& given, uint64_t seed) : settings(given), random(seed) {
+    settings.max_attempts = std::clamp(settings.max_attempts, 1, state::kMaxAttempts);
+    tick_interval = std::max(2 * settings.resolution, 5 * kMs);
+    for (const RequestClass& c : settings.classes) {
       min_aim = std::min(min_aim, c.aim);
       max_aim = std::max(max_aim, c.aim);
     }
-    const auto& fields = cfg.report_fields;
+    const auto& fields = settings.report_fields;
     load_field = std::find(fields.begin(), fields.end(), LoadField::kInFlight) - fields.begin();
-    if (cfg.may_probe && load_field < fields.size() && cfg.probe_price > 0) {
-      probes_per_request = static_cast<int>(std::min(kMaxProbes, kMaxProbeCost / cfg.probe_price));
+    if (settings.may_probe && load_field < fields.size() && settings.probe_price > 0) {
+      probes_per_request = static_cast<int>(std::min(kMaxProbes, kMaxProbeCost / settings.probe_price));
       if (probes_per_request < 2) probes_per_request = 0;
     }
   }
@@ -41,7 +43,7 @@
   double Uniform() { return static_cast<double>(random() >> 11) * 0x1.0p-53; }
   size_t RandomBelow(size_t n) { return static_cast<size_t>(Uniform() * static_cast<double>(n)); }
 
-  Settings cfg;
+  Settings settings;
   Micros tick_interval = 0;  // between timer rounds
   Micros min_aim = 60 * kSecond, max_aim = 0;
   size_t load_field = 0;
@@ -51,9 +53,10 @@
   ActionSink* sink = nullptr;
 };
 
+// Statistics of each request class. Decides what a class's requests are worth per work, for their order.
 struct Classes {
-  explicit Classes(const Settings& cfg) {
-    for (const RequestClass& c : cfg.classes) {
+  explicit Classes(const Settings& settings) {
+    for (const RequestClass& c : settings.classes) {
       stats.emplace_back(static_cast<double>(c.aim) / 8);
     }
   }
--- a/src/policy/fleet.h
+++ b/src/policy/fleet.h
@@ -17,10 +17,13 @@
 constexpr double kColdSafety = 0.7;     // of the cold budget; the rest covers random variation
 constexpr double kMaxRetryBudget = 20;  // retries to a backend beyond one for each first attempt there
 
+// The known backends. Decides which of them this node uses, how much work a backend that just started may
+// get, and when to subscribe to the backend list again.
 struct Fleet : state::BackendTable {
-  Fleet(Context& t, const Classes& c) : BackendTable(t.cfg), ctx(t), classes(c) {}
+  Fleet(Context& given, const Classes& all_classes)
+      : BackendTable(given.settings), context(given), classes(all_classes) {}
 
-  Context& ctx;
+  Context& context;
   const Classes& classes;
   std::vector<double> kind_payoff = {};  // moving average by kind of machine
   std::vector<uint32_t> subset = {};     // backends that a sparse node uses
@@ -49,16 +52,16 @@
   void ChooseSubset() {
     if (std::exchange(subset_current, true)) return;
     double count = static_cast<double>(ready());
-    sparse = ctx.cfg.nodes > count;
+    sparse = context.settings.nodes > count;
     subset.clear();
-    double want = !sparse ? 0 : ctx.probes_per_request > 0 ? kProbedSubset : kSubset, in_service = 0;
+    double want = !sparse ? 0 : context.probes_per_request > 0 ? kProbedSubset : kSubset, in_service = 0;
     for (auto it = by_rank().begin(); it != by_rank().end() && in_service < want; ++it) {
       const Backend& b = backends[it->second];
       subset.push_back(it->second);
       in_service += !b.asleep ? 1 : b.asleep_class < 0 ? 0 : 0.5;
     }
     double in_use = sparse ? static_cast<double>(subset.size()) : count;
-    sharers = std::max(1.0, ctx.cfg.nodes * in_use / std::max(1.0, count));
+    sharers = std::max(1.0, context.settings.nodes * in_use / std::max(1.0, count));
   }
 
   // Handles a backend that the list no longer names. Without gone_binds it stays usable.
@@ -66,7 +69,7 @@
     if (backends[i].delisted) return;
     Backend& b = Modify(i);
     b.delisted = true;
-    if (b.state == BackendState::kReady && ctx.cfg.gone_binds) b.state = BackendState::kGone;
+    if (b.state == BackendState::kReady && context.settings.gone_binds) b.state = BackendState::kGone;
   }
 
   void ApplyEntry(const BackendEntry& e) {
@@ -82,50 +85,54 @@
     b.kind = std::clamp(e.kind, 0, state::kMaxPlaces - 1);
     if (kind_payoff.size() <= static_cast<size_t>(b.kind)) kind_payoff.resize(b.kind + 1, 0.5);
     if (is_new) {
-      b.rank = kit::Mix(kit::Mix(e.id) + static_cast<uint64_t>(ctx.cfg.node_index));
+      b.rank = kit::Mix(kit::Mix(e.id) + static_cast<uint64_t>(context.settings.node_index));
       b.limit = kInitialLimit;
       b.payoff = kind_payoff[b.kind];  // new backends start at the mean of their kind
-      b.up_since = ctx.now;
+      b.up_since = context.now;
       b.retry_budget = kMaxRetryBudget;
     }
     zones = std::max(zones, b.zone + 1);
-    if (ctx.cfg.advertised_sizes) b.size = e.size;
+    if (context.settings.advertised_sizes) b.size = e.size;
     const bool was_ready = std::exchange(b.state, e.state) == BackendState::kReady;
     if (e.state != BackendState::kReady) return;
-    if (e.started_at > b.cold_from && e.started_at + ctx.cfg.warm_after > ctx.now) MarkCold(b, e.started_at);
-    if (!is_new && !was_ready) b.up_since = ctx.now;
+    if (e.started_at > b.cold_from && e.started_at + context.settings.warm_after > context.now)
+      MarkCold(b, e.started_at);
+    if (!is_new && !was_ready) b.up_since = context.now;
   }
 
   // Starting credit is random, so that all nodes together send their first requests at the allowed rate.
   void MarkCold(Backend& b, Micros from) {
     b.cold_from = from;
-    b.cold_until = from + ctx.cfg.warm_after;
+    b.cold_until = from + context.settings.warm_after;
     b.min_cold_work = classes.min_work;
-    b.cold_credit = ctx.Uniform() * b.min_cold_work;
-    b.credit_updated_at = b.up_since = ctx.now;
+    b.cold_credit = context.Uniform() * b.min_cold_work;
+    b.credit_updated_at = b.up_since = context.now;
     b.limit = std::min(b.limit, kInitialLimit);
-    b.failures = 0, b.wake_at = std::min(b.wake_at, ctx.now);  // its sleep belonged to the previous process
+    b.failures = 0,
+    b.wake_at = std::min(b.wake_at, context.now);  // its sleep belonged to the previous process
   }
   // Credit for a cold backend grows at a constant rate at each node and is capped at half a window; credit
   // for a request above the cap wraps around instead. Work is the class's usual latency on one core.
   double ColdCreditRate(const Backend& b, double sharing) const {
-    return kColdSafety * ctx.cfg.overload_factor * Capacity(b, ctx.now) / sharing;
+    return kColdSafety * context.settings.overload_factor * Capacity(b, context.now) / sharing;
   }
   double ColdCredit(const Backend& b, double sharing) const {
-    return b.cold_credit + ColdCreditRate(b, sharing) * static_cast<double>(ctx.now - b.credit_updated_at);
+    return b.cold_credit +
+           ColdCreditRate(b, sharing) * static_cast<double>(context.now - b.credit_updated_at);
   }
   bool ColdCreditAllows(Backend& b, double work) const {
     const double need = std::max(work, b.min_cold_work), earned = ColdCredit(b, sharers);
-    const double cap = ColdCreditRate(b, sharers) * static_cast<double>(ctx.cfg.overload_window) / 2;
+    const double cap = ColdCreditRate(b, sharers) * static_cast<double>(context.settings.overload_window) / 2;
     b.cold_credit = cap < need ? std::fmod(earned, need + cap) : std::min(cap, earned);
-    return b.credit_updated_at = ctx.now, b.cold_credit >= need;
+    return b.credit_updated_at = context.now, b.cold_credit >= need;
   }
   // Upper bound of the time at which credit suffices for the smallest request: the rate only grows.
   Micros ColdCreditAt(const Backend& b, double sharing) const {
     double missing = b.min_cold_work - ColdCredit(b, sharing);
-    if (ctx.now >= b.cold_until || missing <= 0) return ctx.now;
-    double wait = std::min(missing / ColdCreditRate(b, sharing), static_cast<double>(ctx.cfg.warm_after));
-    return std::min(b.cold_until, ctx.now + 1 + static_cast<Micros>(wait));
+    if (context.now >= b.cold_until || missing <= 0) return context.now;
+    double wait =
+        std::min(missing / ColdCreditRate(b, sharing), static_cast<double>(context.settings.warm_after));
+    return std::min(b.cold_until, context.now + 1 + static_cast<Micros>(wait));
   }
 
   // A sparse node sees each backend seldom, so the payoff of its kind of machine counts as much.
@@ -136,12 +143,14 @@
   }
 
   // Subscribes again with jittered back-off, well within must_ask_within.
-  bool NeedsSubscription() const { return ctx.cfg.must_subscribe && !subscribed; }
+  bool NeedsSubscription() const { return context.settings.must_subscribe && !subscribed; }
   void RenewSubscription() {
-    if (!NeedsSubscription() || ctx.now < retry_at) return;
-    ctx.sink->Subscribe();
-    retry_in = std::clamp<Micros>(retry_in * 2, ctx.cfg.must_ask_within / 10, ctx.cfg.must_ask_within / 3);
-    retry_at = ctx.now + static_cast<Micros>(static_cast<double>(retry_in) * (0.75 + 0.5 * ctx.Uniform()));
+    if (!NeedsSubscription() || context.now < retry_at) return;
+    context.sink->Subscribe();
+    retry_in = std::clamp<Micros>(retry_in * 2, context.settings.must_ask_within / 10,
+                                  context.settings.must_ask_within / 3);
+    retry_at =
+        context.now + static_cast<Micros>(static_cast<double>(retry_in) * (0.75 + 0.5 * context.Uniform()));
   }
 };
 
--- a/src/policy/health.h
+++ b/src/policy/health.h
@@ -14,15 +14,17 @@
 constexpr Micros kStartGrace = 3 * kSecond;
 constexpr double kMaxAsleepShare = 0.5;  // of the ready backends; beyond it the cause is elsewhere
 
+// Decides from the outcomes of attempts when a backend goes to sleep, for which class and for how long, and
+// when it is back in service.
 struct Health {
-  const Context& ctx;
+  const Context& context;
   Fleet& fleet;
 
   // A backend may fail one class and serve others: a success clears the row only if its own class failed in
   // it, and a row of one class in which others succeeded puts the backend to sleep for that class alone.
   // Drawback: a class of few requests that fails now and then at random also sleeps.
   void OnFailure(Backend& b, int cls, bool trial) {
-    if (ctx.now - b.up_since < kStartGrace && !trial) return;  // grace after a start
+    if (context.now - b.up_since < kStartGrace && !trial) return;  // grace after a start
     if (b.AsleepFor(cls)) {
       if (trial) PutToSleep(b);
       return;
@@ -45,8 +47,8 @@
     b.sleep = std::clamp(b.sleep * 2, kFirstSleep, kMaxSleep);
     b.asleep = true;
     fleet.subset_current = false;
-    b.wake_at = ctx.now + b.sleep;
-    b.failed_at = ctx.now;
+    b.wake_at = context.now + b.sleep;
+    b.failed_at = context.now;
     b.failures = static_cast<int>(b.failed_classes = 0);
   }
 
@@ -57,11 +59,11 @@
     b.rejections = 0;
     // After refused connections only, a success most likely means a restart that no list has announced yet. A
     // single refusal is no evidence: taking it for a restart cost a warm backend most of its limit.
-    if (std::exchange(b.refused_connections, 0) >= FailureThreshold()) fleet.MarkCold(b, ctx.now);
+    if (std::exchange(b.refused_connections, 0) >= FailureThreshold()) fleet.MarkCold(b, context.now);
     if (!trial || !b.AsleepFor(cls)) return;
     b.asleep = fleet.subset_current = false;  // back in service at once
     b.limit = std::min(b.limit, kInitialLimit);
-    if (ctx.now - b.failed_at >= kHoldDown) b.sleep /= 2;  // kept within the hold-down
+    if (context.now - b.failed_at >= kHoldDown) b.sleep /= 2;  // kept within the hold-down
   }
 };
 
--- a/src/policy/load.h
+++ b/src/policy/load.h
@@ -17,8 +17,10 @@
 constexpr double kBurst = 6;             // usual latencies of one request above a sparse node's share
 constexpr double kReserve = 0.6;         // share of that burst which the class of least value leaves
 
+// Decides how many requests each backend and this node may have in flight, and whether a backend has room for
+// another.
 struct Load {
-  const Context& ctx;
+  const Context& context;
   Fleet& fleet;
   Classes& classes;
   std::vector<uint32_t> reviewed = {};  // during this event, if track_reviewed
@@ -52,14 +54,14 @@
     }
   }
 
-  double Limit(const Backend& b) const { return b.limit * fleet.Capacity(b, ctx.now); }
+  double Limit(const Backend& b) const { return b.limit * fleet.Capacity(b, context.now); }
   double NodeShare(const Backend& b) const { return Limit(b) / fleet.sharers; }
 
   // Computes the node's limits before a round of sends.
   void Refresh() {
     classes.Refresh();
     fleet.ChooseSubset();
-    double sum = fleet.TotalLimit(fleet.totals(), ctx.now) / fleet.sharers;
+    double sum = fleet.TotalLimit(fleet.totals(), context.now) / fleet.sharers;
     none_in_service = fleet.totals().in_service == 0;
     if (fleet.sparse) {
       sum = room = !(none_in_service = true);
@@ -71,7 +73,7 @@
       }
     }
     node_limit = std::max(1.0, sum);
-    spare += (sum - pending) * static_cast<double>(ctx.now - std::exchange(refreshed_at, ctx.now));
+    spare += (sum - pending) * static_cast<double>(context.now - std::exchange(refreshed_at, context.now));
     spare = std::min(kBurst * classes.slowest, spare);
   }
 
@@ -80,7 +82,7 @@
   bool NodeHasRoom() const { return fleet.sparse ? spare > 0 : pending < node_limit; }
   bool NodeHasRoom(double value) const {
     if (!fleet.sparse) return NodeHasRoom();
-    const std::vector<RequestClass>& defined = ctx.cfg.classes;
+    const std::vector<RequestClass>& defined = context.settings.classes;
     double better = 0;
     for (int k = 0; k < std::ssize(defined); ++k) better += classes.Value(k, defined[k].worth) > value * 1.01;
     return spare > kReserve * kBurst * classes.slowest * better / static_cast<double>(defined.size());
@@ -88,18 +90,21 @@
   // The own zone's share counts times the zones, since other nodes prefer their own zones too.
   bool OwnZoneHasRoom() const {
     return fleet.zone_totals().in_flight <
-           fleet.TotalLimit(fleet.zone_totals(), ctx.now) / fleet.sharers * fleet.zones;
+           fleet.TotalLimit(fleet.zone_totals(), context.now) / fleet.sharers * fleet.zones;
   }
   bool AnyRoom() { return fleet.sparse ? room : !fleet.Available(state::kAnywhere, none_in_service).empty(); }
-  bool TrialDue() const { return !fleet.sleepers().empty() && fleet.sleepers().begin()->first <= ctx.now; }
+  bool TrialDue() const {
+    return !fleet.sleepers().empty() && fleet.sleepers().begin()->first <= context.now;
+  }
 
   // Where the passage of time alone can free capacity, `due` receives that time.
   bool HasRoom(const Backend& b, bool sparse, const auto& due) const {
-    if (ctx.now < b.full_until) return due(b.full_until), false;
+    if (context.now < b.full_until) return due(b.full_until), false;
     if (HasFreshReport(b) && b.reported >= std::max(1.0, Limit(b)))
       return due(b.reported_at + MaxReportAge()), false;
     // An overdue attempt may be lost, so it does not occupy capacity until its client gives up.
-    const double held = (b.in_flight - (sparse ? 0 : b.overdue)) * (sparse ? fleet.sharers : ctx.cfg.nodes);
+    const double held =
+        (b.in_flight - (sparse ? 0 : b.overdue)) * (sparse ? fleet.sharers : context.settings.nodes);
     if (held < Limit(b)) return true;
     if (held < b.limit) due(fleet.CapacityReachedAt(b, held / b.limit));
     return false;
@@ -111,23 +116,25 @@
     if (track_reviewed) reviewed.push_back(i);
     if (!b.used) return;
     state::BackendStatus now;
-    const auto due = [&](Micros at) { now.review_at = std::min(now.review_at, std::max(at, ctx.now + 1)); };
+    const auto due = [&](Micros at) {
+      now.review_at = std::min(now.review_at, std::max(at, context.now + 1));
+    };
     bool obsolete = Obsolete(b) && b.references == 0;  // failure history is kept for one sleep
-    if (obsolete && ctx.now < b.SleepEndsAt()) due(b.SleepEndsAt()), obsolete = false;
+    if (obsolete && context.now < b.SleepEndsAt()) due(b.SleepEndsAt()), obsolete = false;
     now.ready = b.state == BackendState::kReady && !obsolete;
     if (now.ready) {
-      now.contribution = fleet.TotalsOf(b, ctx.now);
-      if (ctx.now < b.cold_until) due(ctx.now < b.cold_from ? b.cold_from : b.cold_until);
-      const Micros earned = fleet.ColdCreditAt(b, ctx.cfg.nodes);
-      if (earned > ctx.now) due(earned);
-      if (HasRoom(b, false, due) && earned <= ctx.now)
+      now.contribution = fleet.TotalsOf(b, context.now);
+      if (context.now < b.cold_until) due(context.now < b.cold_from ? b.cold_from : b.cold_until);
+      const Micros earned = fleet.ColdCreditAt(b, context.settings.nodes);
+      if (earned > context.now) due(earned);
+      if (HasRoom(b, false, due) && earned <= context.now)
         now.usable = b.OutOfService() ? Usable::kYesAsleep : Usable::kYes;
       if (now.usable == Usable::kYes && HasFreshReport(b)) {
         now.reported_load = b.reported / b.size;
         due(b.reported_at + MaxReportAge());
       }
       if (b.asleep && !b.trial_pending) now.wakes_at = b.wake_at;
-      if (b.asleep && b.wake_at > ctx.now) due(b.wake_at);
+      if (b.asleep && b.wake_at > context.now) due(b.wake_at);
     }
     fleet.subset_current &= !fleet.SetStatus(i, now);
     if (obsolete) fleet.FreeSlot(i);
@@ -140,7 +147,7 @@
   void Advance(bool group_waits) {
     track_reviewed = group_waits;
     reviewed.clear();
-    while (fleet.ReviewDue(ctx.now)) Review(fleet.NextReview());
+    while (fleet.ReviewDue(context.now)) Review(fleet.NextReview());
     ReviewChanged();
   }
   void ReviewChanged() {
@@ -148,12 +155,12 @@
   }
 
   void ApplyReport(Backend& b, std::span<const float> load) {
-    if (ctx.load_field >= load.size() || !std::isfinite(load[ctx.load_field])) return;
-    b.reported = std::max(0.0f, load[ctx.load_field]);
-    b.reported_at = ctx.now;
+    if (context.load_field >= load.size() || !std::isfinite(load[context.load_field])) return;
+    b.reported = std::max(0.0f, load[context.load_field]);
+    b.reported_at = context.now;
   }
-  Micros MaxReportAge() const { return ctx.min_aim / kReportAgeDivisor; }
-  bool HasFreshReport(const Backend& b) const { return ctx.now - b.reported_at < MaxReportAge(); }
+  Micros MaxReportAge() const { return context.min_aim / kReportAgeDivisor; }
+  bool HasFreshReport(const Backend& b) const { return context.now - b.reported_at < MaxReportAge(); }
 };
 
 }  // namespace meadowslip::policy
--- a/src/policy/pick.h
+++ b/src/policy/pick.h
@@ -13,8 +13,10 @@
 constexpr double kMinZonePrice = 0.01;
 constexpr size_t kMaxChecks = 32;  // backends checked in one draw; if all are rejected, the request waits
 
+// Decides which backend an attempt goes to, including trials of sleeping backends, and which are probed
+// first.
 struct Picker {
-  Context& ctx;
+  Context& context;
   const Classes& classes;
   Fleet& fleet;
   Load& load;
@@ -25,14 +27,14 @@
   // Where a node sees too few requests to know a backend's load, and probes cost next to nothing, a few
   // random backends are probed before a request is sent. It waits for them for a small part of its aim.
   bool SendProbes(HeldRequest& r) {
-    if (ctx.probes_per_request == 0) return false;
-    const auto most = static_cast<size_t>(ctx.probes_per_request);
+    if (context.probes_per_request == 0) return false;
+    const auto most = static_cast<size_t>(context.probes_per_request);
     fleet.ChooseSubset();
     std::vector<uint32_t> to_probe;
     if (fleet.sparse) {
       std::ranges::copy_if(fleet.subset, std::back_inserter(to_probe),
                            [&](uint32_t i) { return !fleet.backends[i].asleep && rules.Allowed(r, i); });
-      std::ranges::shuffle(to_probe, ctx.random);
+      std::ranges::shuffle(to_probe, context.random);
       to_probe.resize(std::min(to_probe.size(), most));
     } else {
       Draw(kAnywhere, [&](uint32_t i) {
@@ -42,12 +44,12 @@
     }
     for (uint32_t i : to_probe) {
       Backend& b = fleet.backends[i];
-      if (ctx.now - std::max(b.probed_at, b.reported_at) < ctx.min_aim / kProbeWaitDivisor) continue;
-      b.probed_at = ctx.now;
+      if (context.now - std::max(b.probed_at, b.reported_at) < context.min_aim / kProbeWaitDivisor) continue;
+      b.probed_at = context.now;
       ++probes_pending;
-      ctx.sink->Probe(b.id);
+      context.sink->Probe(b.id);
     }
-    r.probe_wait_until = ctx.now + ctx.min_aim / kProbeWaitDivisor;
+    r.probe_wait_until = context.now + context.min_aim / kProbeWaitDivisor;
     return true;
   }
 
@@ -60,12 +62,12 @@
   // Returns a backend whose trial is due. Prefers safe requests: an unsafe one is taken only if no safe one
   // came for as long again as the sleep.
   uint32_t FindDueTrial(const HeldRequest& r) {
-    bool safe = ctx.cfg.classes[r.cls].idempotency == Idempotency::kSafe;
+    bool safe = context.settings.classes[r.cls].idempotency == Idempotency::kSafe;
     size_t checked = 0;
     for (auto [wake_at, i] : fleet.sleepers()) {
-      if (wake_at > ctx.now || ++checked > kMaxChecks) break;
+      if (wake_at > context.now || ++checked > kMaxChecks) break;
       const Backend& b = fleet.backends[i];
-      if (!b.AsleepFor(r.cls) || ctx.now < wake_at + (safe ? 0 : b.sleep)) continue;
+      if (!b.AsleepFor(r.cls) || context.now < wake_at + (safe ? 0 : b.sleep)) continue;
       if (fleet.sparse && std::ranges::find(fleet.subset, i) == fleet.subset.end()) continue;
       if (rules.Allowed(r, i) && WithinBudget(r, i)) return i;
     }
@@ -87,8 +89,8 @@
     // zone; otherwise one zone could be crowded while another idles.
     const std::optional<Group> bounds = rules.Bounds(r);
     uint32_t i = kNone;
-    if (bounds == kAnywhere && ctx.cfg.cross_zone_price >= kMinZonePrice && load.OwnZoneHasRoom())
-      i = PickInGroup(r, {DedupGroup::kZone, ctx.cfg.own_zone});
+    if (bounds == kAnywhere && context.settings.cross_zone_price >= kMinZonePrice && load.OwnZoneHasRoom())
+      i = PickInGroup(r, {DedupGroup::kZone, context.settings.own_zone});
     return i != kNone || !bounds ? i : PickInGroup(r, *bounds);
   }
   double Value(const HeldRequest& r) const { return classes.Value(r.cls, r.worth); }
@@ -107,7 +109,7 @@
     return x == kNone || y == kNone ? std::min(x, y) : Better(x, y);
   }
   uint32_t Draw(const Group& group, const auto& accepts) {
-    return fleet.Draw(group, load.none_in_service, kMaxChecks, kNone, ctx, accepts);
+    return fleet.Draw(group, load.none_in_service, kMaxChecks, kNone, context, accepts);
   }
 
   bool Eligible(const HeldRequest& r, uint32_t i) {
@@ -120,7 +122,7 @@
     Backend& b = fleet.backends[i];
     if (r.sent > 0 && r.MayHaveRun() && b.retry_budget < 1) return false;
     const ClassStats& c = classes.stats[r.cls];
-    if (ctx.now >= b.cold_until) return true;
+    if (context.now >= b.cold_until) return true;
     return state::MaySendToCold(classes.stats, r.cls) && fleet.ColdCreditAllows(b, c.ColdWork(r.size));
   }
 
@@ -134,8 +136,8 @@
     auto unused = [this](auto& c) { return !fleet.backends[c.second].served; };
     if (least < kUnreported && !std::ranges::all_of(candidates, unused)) std::erase_if(candidates, unused);
     if (candidates.empty()) return kNone;
-    const uint32_t x = candidates[ctx.RandomBelow(candidates.size())].second;
-    return Better(x, candidates[ctx.RandomBelow(candidates.size())].second);
+    const uint32_t x = candidates[context.RandomBelow(candidates.size())].second;
+    return Better(x, candidates[context.RandomBelow(candidates.size())].second);
   }
 
   uint32_t Better(uint32_t x, uint32_t y) const {
--- a/src/policy/queue.h
+++ b/src/policy/queue.h
@@ -15,8 +15,9 @@
 constexpr double kMinLatencies = 0.75;  // and with less it can't be answered in time
 constexpr uint64_t kTickTimer = 1;      // timer ids: this, then one for each attempt
 
+// Decides in which order waiting requests are sent, and which are refused when more wait than can be served.
 struct Queue {
-  const Context& ctx;
+  const Context& context;
   Classes& classes;
   Fleet& fleet;
   Load& load;
@@ -24,14 +25,15 @@
   const Rules& rules;
   Picker& picker;
   Sending& sending;
-  std::vector<kit::TokenBucket> tenant_tokens = std::vector<kit::TokenBucket>(ctx.cfg.tenants.size());
+  std::vector<kit::TokenBucket> tenant_tokens =
+      std::vector<kit::TokenBucket>(context.settings.tenants.size());
   kit::TokenBucket retries{kMaxRetryTokens};       // for attempts that may have run
   kit::TokenBucket free_retries{kMaxRetryTokens};  // for attempts that have not
   bool tick_scheduled = false;
 
   void OnRequest(const Request& request) {
-    if (request.request_class < 0 || request.request_class >= std::ssize(ctx.cfg.classes)) {
-      return ctx.sink->Fail(request.id);
+    if (request.request_class < 0 || request.request_class >= std::ssize(context.settings.classes)) {
+      return context.sink->Fail(request.id);
     }
     auto [it, is_new] = requests.held.try_emplace(request.id);
     if (!is_new) return;  // duplicate id: the earlier request is answered
@@ -41,17 +43,17 @@
     free_retries.Deposit(kFreeRetryShare, kMaxRetryTokens);
     const state::Deadlines deadlines = DeadlinesOf(r);
     // Ended at once if its time is over, since the timer's next round would be too late.
-    ctx.now < deadlines.useful_until ? StartWaiting(r, deadlines) : sending.GiveUp(r);
+    context.now < deadlines.useful_until ? StartWaiting(r, deadlines) : sending.GiveUp(r);
   }
 
   void Fill(HeldRequest& r, const Request& request) {
     r.id = request.id;
     r.cls = request.request_class;
-    r.arrived = ctx.now;
+    r.arrived = context.now;
     r.give_up_at = request.give_up_at;
     const bool within = WithinShare(request.tenant);
     r.worth_level = 2 * !within + request.client_retry;
-    r.worth = ctx.cfg.classes[r.cls].worth * (within ? 1 : ctx.cfg.over_share_worth);
+    r.worth = context.settings.classes[r.cls].worth * (within ? 1 : context.settings.over_share_worth);
     // A client's retry comes when most of the aim is spent, so it yields to first tries. This prevents retry
     // storms whose requests are late even when they are served.
     if (request.client_retry) r.worth *= kClientRetryWorth;
@@ -61,16 +63,16 @@
   // A node grants its share of a tenant's quota; the burst fits a whole request at any rate.
   bool WithinShare(int tenant) {
     if (tenant < 0 || static_cast<size_t>(tenant) >= tenant_tokens.size()) return true;
-    const double rate = ctx.cfg.tenants[tenant].quota_per_s / ctx.cfg.nodes;
-    return rate <= 0 || tenant_tokens[tenant].Take(rate, std::max(2.0, 2 * rate), ctx.now);
+    const double rate = context.settings.tenants[tenant].quota_per_s / context.settings.nodes;
+    return rate <= 0 || tenant_tokens[tenant].Take(rate, std::max(2.0, 2 * rate), context.now);
   }
 
   // Its value, reduced as its remaining time makes a late answer likely: with enough time the oldest of a
   // class goes first; once the queue outgrows the aim, the newest, which can still be answered in time.
   double Priority(const HeldRequest& r) const {
-    const RequestClass& c = ctx.cfg.classes[r.cls];
+    const RequestClass& c = context.settings.classes[r.cls];
     const ClassStats& stats = classes.stats[r.cls];
-    double left = static_cast<double>(r.arrived + c.aim - ctx.now);
+    double left = static_cast<double>(r.arrived + c.aim - context.now);
     double likelihood = std::clamp(left / (kOnTimeLatencies * stats.ExpectedLatency(r.size)), 0.0, 1.0);
     return classes.Value(r.cls, r.worth) * (likelihood + (1 - likelihood) * c.late_share);
   }
@@ -78,31 +80,32 @@
   // Until when the answer most likely comes within the aim, and until when an answer is possible at all: the
   // latter leaves one tick, so that the final answer is not late either.
   state::Deadlines DeadlinesOf(const HeldRequest& r) const {
-    const RequestClass& c = ctx.cfg.classes[r.cls];
+    const RequestClass& c = context.settings.classes[r.cls];
     const double expected = classes.stats[r.cls].ExpectedLatency(r.size);
     const Micros aim = r.arrived + c.aim,
                  latest = c.late_share > 0 ? r.give_up_at : std::min(r.give_up_at, aim);
     return {aim - static_cast<Micros>(kOnTimeLatencies * expected),
-            latest - std::max(static_cast<Micros>(expected * kMinLatencies), ctx.tick_interval)};
+            latest - std::max(static_cast<Micros>(expected * kMinLatencies), context.tick_interval)};
   }
 
   void StartWaiting(HeldRequest& r, const state::Deadlines& deadlines) {
-    requests.Enqueue(r, picker.SendProbes(r) ? Wait::kForProbes : Wait::kOnTime, ctx.now, deadlines);
+    requests.Enqueue(r, picker.SendProbes(r) ? Wait::kForProbes : Wait::kOnTime, context.now, deadlines);
   }
 
   // Sends the best requests while there is capacity; under overload most calls find none and end at once.
   void Dispatch() {
     const auto deadlines = [this](const HeldRequest& r) { return DeadlinesOf(r); };
-    requests.Advance(ctx.now, deadlines, [this](HeldRequest& r) { sending.GiveUp(r); });
+    requests.Advance(context.now, deadlines, [this](HeldRequest& r) { sending.GiveUp(r); });
     Shed();
     if (requests.QueuedCount() == 0) return;
     load.Refresh();
-    requests.Release(ctx.now, picker.probes_pending == 0, deadlines);
+    requests.Release(context.now, picker.probes_pending == 0, deadlines);
     // Where a backend may have capacity again, the first request waiting for its group is tried again, and
     // the next once that was sent. Each timer round also tries one of the others.
     for (size_t k = 0; k < load.reviewed.size() && requests.AnyForGroup(); ++k) {
       const Backend& b = fleet.backends[load.reviewed[k]];
-      if (b.status.usable != Usable::kNo || b.asleep || fleet.sparse) requests.Requeue(b, ctx.now, deadlines);
+      if (b.status.usable != Usable::kNo || b.asleep || fleet.sparse)
+        requests.Requeue(b, context.now, deadlines);
     }
     while (requests.QueuedCount() > 0 && (load.TrialDue() || (load.AnyRoom() && load.NodeHasRoom()))) {
       HeldRequest* best = requests.Best([this](const HeldRequest& r) { return Priority(r); });
@@ -112,11 +115,11 @@
       uint32_t i = trial != kNone ? trial : picker.Pick(*best);
       if (i != kNone) {
         if (!sending.Send(*best, i, trial != kNone)) return;
-        requests.Requeue(group, ctx.now, deadlines);
+        requests.Requeue(group, context.now, deadlines);
       } else if (best->sent == 0 || !load.NodeHasRoom(picker.Value(*best))) {
         return;
       } else {  // not allowed at the backends with capacity
-        requests.Enqueue(*best, Wait::kForGroup, ctx.now, DeadlinesOf(*best), group);
+        requests.Enqueue(*best, Wait::kForGroup, context.now, DeadlinesOf(*best), group);
       }
     }
   }
@@ -124,8 +127,8 @@
   // Refuses the worst requests if more wait than can be served in time at the recent rate.
   void Shed() {
     if (requests.QueuedCount() <= static_cast<size_t>(kMinQueueLimit)) return;
-    const double per_s = sending.served.At(ctx.now, kRateSpan);
-    const double in_time = per_s * static_cast<double>(ctx.max_aim) / kSecond;
+    const double per_s = sending.served.At(context.now, kRateSpan);
+    const double in_time = per_s * static_cast<double>(context.max_aim) / kSecond;
     while (static_cast<double>(requests.QueuedCount()) > kMinQueueLimit + in_time) {
       HeldRequest* worst = requests.Worst([this](const HeldRequest& r) { return Priority(r); });
       if (worst == nullptr) return;
@@ -136,11 +139,12 @@
   // Periodic work; the timer runs only while requests wait or a subscription is needed.
   void OnTick(bool fired) {
     tick_scheduled &= !fired;
-    if (fired) requests.RequeueNextGroup(ctx.now, [this](const HeldRequest& r) { return DeadlinesOf(r); });
+    if (fired)
+      requests.RequeueNextGroup(context.now, [this](const HeldRequest& r) { return DeadlinesOf(r); });
     fleet.RenewSubscription();
     if (tick_scheduled || (requests.QueuedCount() == 0 && !fleet.NeedsSubscription())) return;
     tick_scheduled = true;
-    ctx.sink->Schedule(ctx.tick_interval, kTickTimer);
+    context.sink->Schedule(context.tick_interval, kTickTimer);
   }
 };
 
--- a/src/policy/results.h
+++ b/src/policy/results.h
@@ -12,8 +12,9 @@
 constexpr double kSparseSlowShare = 0.8;
 constexpr int kMaxFullPauses = 4;  // rejected this often in a row, a backend is full
 
+// Decides what a result or an overdue attempt says about its backend, and whether the request is retried.
 struct Results {
-  const Context& ctx;
+  const Context& context;
   Classes& classes;
   Fleet& fleet;
   Health& health;
@@ -53,8 +54,8 @@
   // Requests whose client has left count neither as served nor as unserved.
   void NoteClosed(HeldRequest& r, Outcome outcome) {
     if (std::exchange(r.closed, true) || outcome == Outcome::kMoot || outcome == Outcome::kCancelled) return;
-    const RequestClass& c = ctx.cfg.classes[r.cls];
-    const double answered = ctx.now <= r.arrived + c.aim ? 1 : c.late_share;
+    const RequestClass& c = context.settings.classes[r.cls];
+    const double answered = context.now <= r.arrived + c.aim ? 1 : c.late_share;
     classes.OnEnded(r.cls, r.worth_level, outcome == Outcome::kOk ? answered : 0);
   }
 
@@ -68,24 +69,25 @@
   void CheckOverdue(HeldRequest& r) {
     for (int k = 0; k < r.sent; ++k) {
       Attempt& a = r.attempts[k];
-      if (!a.pending || a.overdue || r.streaming || ctx.now < a.due_at) continue;
+      if (!a.pending || a.overdue || r.streaming || context.now < a.due_at) continue;
       Backend& b = fleet.Modify(a.backend);
       a.overdue = true;
-      state::NoteColdAttempt(classes.stats, r.cls, false, static_cast<double>(ctx.cfg.classes[r.cls].aim));
+      state::NoteColdAttempt(classes.stats, r.cls, false,
+                             static_cast<double>(context.settings.classes[r.cls].aim));
       ++b.overdue;
       --load.pending;
       if (a.trial || !r.FailedBefore(k)) health.OnFailure(b, r.cls, a.trial);
       fleet.UpdatePayoff(b, 0);
-      bool safe = ctx.cfg.classes[r.cls].idempotency == Idempotency::kSafe;
-      if (safe && !r.closed && ctx.cfg.second_copies) Retry(r);
+      bool safe = context.settings.classes[r.cls].idempotency == Idempotency::kSafe;
+      if (safe && !r.closed && context.settings.second_copies) Retry(r);
     }
   }
 
   // Updates the backend's health and load from an outcome.
   void NoteOutcome(Backend& b, const HeldRequest& r, const Attempt& a, const AttemptResult& result) {
-    const RequestClass& c = ctx.cfg.classes[r.cls];
+    const RequestClass& c = context.settings.classes[r.cls];
     ClassStats& stats = classes.stats[r.cls];
-    double duration = static_cast<double>(ctx.now - a.sent_at);
+    double duration = static_cast<double>(context.now - a.sent_at);
     double scaled = std::max(duration - stats.ExtraWork(r.size), duration / 4);  // scaled to mean size
     double aim = static_cast<double>(c.aim);
     if (a.sent_at < b.cold_until)
@@ -95,15 +97,15 @@
       stats.AddLatency(scaled);
       fleet.UpdatePayoff(b, duration <= aim ? 1 / (1 + scaled / stats.latency) : 0);
       load.UpdateSlowdown(b, stats, scaled, requests.QueuedCount() > 0);
-      sending.served.Add(ctx.now, kRateSpan);
+      sending.served.Add(context.now, kRateSpan);
       load.Adjust(b, b.slowdown > kCrowded || scaled > (fleet.sparse ? kSparseSlowShare : kSlowShare) * aim);
     } else if (result.outcome == Outcome::kFull) {
       // A rejection is no failure, but the fast answer must not make the backend look idle. Its limit follows
       // its slowdown: lowering the limit on each rejection drove healthy backends down to the minimum.
       Micros latency = static_cast<Micros>(stats.latency);
-      b.full_until = ctx.now + (latency >> std::max(0, kMaxFullPauses - b.rejections++));
+      b.full_until = context.now + (latency >> std::max(0, kMaxFullPauses - b.rejections++));
       if (b.slowdown > kCrowded || b.rejections > kMaxFullPauses) load.Adjust(b, true);
-      if (a.trial) b.wake_at = ctx.now + b.sleep;  // running, but not ready for load yet
+      if (a.trial) b.wake_at = context.now + b.sleep;  // running, but not ready for load yet
     } else if (result.outcome == Outcome::kCancelled) {
       if (scaled > stats.latency) stats.AddLatency(scaled);  // lower bound of its latency
     } else if (result.outcome != Outcome::kMoot) {
@@ -125,7 +127,8 @@
   // Each retry takes a token, which bounds what a failing fleet is sent to a multiple of the first tries.
   bool Retry(HeldRequest& r) {
     const state::Deadlines deadlines = queue.DeadlinesOf(r);
-    if (r.sent >= ctx.cfg.max_attempts || r.streaming || ctx.now >= deadlines.useful_until) return false;
+    if (r.sent >= context.settings.max_attempts || r.streaming || context.now >= deadlines.useful_until)
+      return false;
     fleet.ChooseSubset();
     if (!rules.AnyAllowed(r)) return false;
     if (!(r.attempts[r.sent - 1].may_have_run ? queue.retries : queue.free_retries).Take()) return false;
--- a/src/policy/sending.h
+++ b/src/policy/sending.h
@@ -21,16 +21,16 @@
 
 // What the operating rules still allow for a request.
 struct Rules {
-  const Context& ctx;
+  const Context& context;
   const Fleet& fleet;
 
   // The group that it may be sent to after its earlier attempts, so that no effect is repeated.
   std::optional<Group> Bounds(const HeldRequest& r) const {
     if (r.sent == 0) return kAnywhere;
     const Attempt* first = std::find_if(r.begin(), r.end(), [](auto& a) { return a.may_have_run; });
-    const RequestClass& c = ctx.cfg.classes[r.cls];
+    const RequestClass& c = context.settings.classes[r.cls];
     if (first == r.end() || c.idempotency == Idempotency::kSafe) return kAnywhere;
-    if (c.idempotency == Idempotency::kUnsafe || ctx.now >= first->sent_at + c.dedup_window) return {};
+    if (c.idempotency == Idempotency::kUnsafe || context.now >= first->sent_at + c.dedup_window) return {};
     return Fleet::GroupOf(c.group, fleet.backends[first->backend]);
   }
   bool Allowed(const HeldRequest& r, uint32_t i) const {
@@ -44,19 +44,21 @@
     return std::ranges::any_of(fleet.subset, [&](uint32_t i) { return Allowed(r, i); });
   }
   bool MaySend(const HeldRequest& r, uint32_t i) const {
-    return !r.closed && !r.streaming && r.sent < ctx.cfg.max_attempts && ctx.now < r.give_up_at &&
-           fleet.backends[i].state == BackendState::kReady && (r.pending == 0 || ctx.cfg.second_copies) &&
-           Allowed(r, i);
+    return !r.closed && !r.streaming && r.sent < context.settings.max_attempts &&
+           context.now < r.give_up_at && fleet.backends[i].state == BackendState::kReady &&
+           (r.pending == 0 || context.settings.second_copies) && Allowed(r, i);
   }
   bool CanRefuse(const HeldRequest& r) const {
-    const RequestClass& c = ctx.cfg.classes[r.cls];
+    const RequestClass& c = context.settings.classes[r.cls];
     return c.idempotency == Idempotency::kSafe || !r.MayHaveRun() ||
            (c.idempotency == Idempotency::kKeyed && c.group == DedupGroup::kAll);
   }
 };
 
+// Sends, cancels and ends requests. Decides when an attempt is overdue, whether a request that can't be
+// served is refused or failed, and when the client of a refused one should retry.
 struct Sending {
-  const Context& ctx;
+  const Context& context;
   Classes& classes;
   Fleet& fleet;
   Load& load;
@@ -73,20 +75,22 @@
     double expected = c.ExpectedLatency(r.size);
     double limit = expected + kOverdueDeviations * c.deviation;
     if (!fleet.sparse) limit = std::max(limit, (trial ? kTrialLatencies : kOverdueLatencies) * expected);
-    Micros overdue_after = static_cast<Micros>(limit) + ctx.cfg.resolution;
-    r.attempts[r.sent] = {i, ctx.now, true, true, trial, false, ctx.now + overdue_after};
+    Micros overdue_after = static_cast<Micros>(limit) + context.settings.resolution;
+    r.attempts[r.sent] = {i, context.now, true, true, trial, false, context.now + overdue_after};
     ++r.sent, ++r.pending, ++load.pending;
     ++b.in_flight, ++b.references;
     b.reported += 1;
     b.trial_pending |= trial;
-    if (ctx.now < b.cold_until) b.cold_credit -= c.ColdWork(r.size), c.cold_pending = c.samples == 0;
+    if (context.now < b.cold_until) b.cold_credit -= c.ColdWork(r.size), c.cold_pending = c.samples == 0;
     // A sparse node stops waiting at the aim if a late answer is worth nothing; the backend can then drop the
     // request from its queue.
-    const RequestClass& request_class = ctx.cfg.classes[r.cls];
-    Micros left = r.arrived + request_class.aim - ctx.now;
-    bool wait = !fleet.sparse || request_class.late_share > 0 || left <= 0 || ctx.now + left >= r.give_up_at;
-    ctx.sink->Send(r.id, b.id, wait ? 0 : left);
-    if (ctx.now + overdue_after < r.give_up_at) ctx.sink->Schedule(overdue_after, r.id + kOverdueTimers);
+    const RequestClass& request_class = context.settings.classes[r.cls];
+    Micros left = r.arrived + request_class.aim - context.now;
+    bool wait =
+        !fleet.sparse || request_class.late_share > 0 || left <= 0 || context.now + left >= r.give_up_at;
+    context.sink->Send(r.id, b.id, wait ? 0 : left);
+    if (context.now + overdue_after < r.give_up_at)
+      context.sink->Schedule(overdue_after, r.id + kOverdueTimers);
     load.ReviewChanged();
     return true;
   }
@@ -94,23 +98,25 @@
   // Ends a request that can't be served.
   void GiveUp(HeldRequest& r) {
     if (r.closed || r.pending > 0) return requests.Dequeue(r);  // a pending attempt may still answer
-    if (rules.CanRefuse(r)) refused.Add(ctx.now, kRateSpan);
-    rules.CanRefuse(r) ? ctx.sink->Refuse(r.id, RetryAfter()) : ctx.sink->Fail(r.id);
+    if (rules.CanRefuse(r)) refused.Add(context.now, kRateSpan);
+    rules.CanRefuse(r) ? context.sink->Refuse(r.id, RetryAfter()) : context.sink->Fail(r.id);
     classes.OnEnded(r.cls, r.worth_level, 0);
     Close(r);
   }
   // Until there is capacity for retries at the recent rates; earlier retries would displace first tries.
   Micros RetryAfter() const {
-    if (!ctx.cfg.retry_after) return 0;
-    const double spare = served.At(ctx.now, kRateSpan) - kRefusedWeight * refused.At(ctx.now, kRateSpan);
+    if (!context.settings.retry_after) return 0;
+    const double spare =
+        served.At(context.now, kRateSpan) - kRefusedWeight * refused.At(context.now, kRateSpan);
     const double wait = static_cast<double>(requests.QueuedCount() + 1) * kSecond / std::max(spare, 1e-3);
-    return std::min(ctx.cfg.max_retry_after, std::max(ctx.max_aim, static_cast<Micros>(wait)));
+    return std::min(context.settings.max_retry_after, std::max(context.max_aim, static_cast<Micros>(wait)));
   }
 
   void OnStreamStarted(RequestId id, int attempt) {
     HeldRequest* r = requests.Find(id);
     if (r == nullptr || attempt < 0 || attempt >= r->sent) return;
-    if (!ctx.cfg.classes[r->cls].stream) r->attempts[attempt].sent_at = ctx.now;  // bytes of the request body
+    if (!context.settings.classes[r->cls].stream)
+      r->attempts[attempt].sent_at = context.now;  // bytes of the request body
     r->streaming = true;
     requests.Dequeue(*r);
     CancelPending(*r, attempt);
@@ -124,8 +130,8 @@
   }
 
   void CancelPending(const HeldRequest& r, int except) {
-    for (int k = 0; ctx.cfg.may_cancel && k < r.sent; ++k) {
-      if (k != except && r.attempts[k].pending) ctx.sink->Cancel(r.id, k);
+    for (int k = 0; context.settings.may_cancel && k < r.sent; ++k) {
+      if (k != except && r.attempts[k].pending) context.sink->Cancel(r.id, k);
     }
   }
 };
