--- a/tests/config/schema_test.cpp
+++ b/tests/config/schema_test.cpp
@@ -374,7 +374,7 @@
 TEST_F(Program, ChecksFiles) {
   const std::string good = File("a.sample.toml", kNode);
   const std::string bad = File("b.toml", "balancers = 0\n" + kNode);
-  EXPECT_EQ(RunTool("check " + good).out, good + ": a right sample\n");
+  EXPECT_EQ(RunTool("check " + good).out, good + ": valid sample\n");
   EXPECT_EQ(RunTool("check " + good).code, 0);
   const ToolResult result = RunTool("check " + bad);
   EXPECT_EQ(result.code, 2);
@@ -404,7 +404,7 @@
   EXPECT_EQ(RunTool("reference --write " + dir).code, 0);
   EXPECT_EQ(RunTool("reference --check " + dir).code, 0);
   std::filesystem::copy(dir + "/sample.md", dir + "/gone.md");
-  EXPECT_NE(RunTool("reference --check " + dir).out.find("gone.md: of a kind that is no more"),
+  EXPECT_NE(RunTool("reference --check " + dir).out.find("gone.md: of a kind that no longer exists"),
             std::string::npos);
   File("pages/gone.md", "by hand");
   EXPECT_EQ(RunTool("reference --check " + dir).code, 0);
