--- a/src/serve/program_handover.cpp
+++ b/src/serve/program_handover.cpp
@@ -58,7 +58,8 @@
 
 void Program::KeepListener() {
   if (!Serving() && phase_ != Phase::kDraining) return;
-  if (front_.StartAccepting()) log_.Emit<"door_kept">();  // KeepDoor() may be called twice for one successor
+  if (front_.StartAccepting())
+    log_.Emit<"door_kept">();  // KeepListener() may be called twice for one successor
 }
 
 void Program::OnSuccessorServing() {
