--- a/src/handover/estate.h
+++ b/src/handover/estate.h
@@ -28,7 +28,7 @@
 #include "dispatch/carried.h"
 #include "io/time.h"
 #include "membership/host_group.h"
-#include "state/state.h"
+#include "state/serializer.h"
 
 namespace burlfall {
 
--- a/src/kit/bag.h
+++ b/src/kit/indexed_set.h
@@ -1,7 +1,7 @@
 // A set of numbers with a random draw and removal in constant time. Each number's place in it is kept
 // outside, by `place(n)`, so that a number may stand in many bags at the cost of a word each.
-#ifndef BURLFALL_KIT_BAG_H_
-#define BURLFALL_KIT_BAG_H_
+#ifndef BURLFALL_KIT_INDEXED_SET_H_
+#define BURLFALL_KIT_INDEXED_SET_H_
 
 #include <algorithm>
 #include <cstddef>
@@ -60,4 +60,4 @@
 
 }  // namespace burlfall::kit
 
-#endif  // BURLFALL_KIT_BAG_H_
+#endif  // BURLFALL_KIT_INDEXED_SET_H_
--- a/src/module/balancer.cpp
+++ b/src/module/balancer.cpp
@@ -7,7 +7,7 @@
 #include <utility>
 
 #include "policy/results.h"
-#include "state/state.h"
+#include "state/serializer.h"
 
 namespace meadowslip {
 
--- a/src/policy/turn.h
+++ b/src/policy/context.h
@@ -1,14 +1,14 @@
 // What each turn of the node starts from: settings, time, chance, the sink that takes the actions, and what
 // was learned of each class. What it decides itself is whether probes are worth their price.
-#ifndef MEADOWSLIP_SRC_POLICY_TURN_H_
-#define MEADOWSLIP_SRC_POLICY_TURN_H_
+#ifndef MEADOWSLIP_SRC_POLICY_CONTEXT_H_
+#define MEADOWSLIP_SRC_POLICY_CONTEXT_H_
 
 #include <algorithm>
 #include <cmath>
 #include <random>
 #include <vector>
 
-#include "state/learned.h"
+#include "state/class_stats.h"
 #include "state/records.h"
 
 namespace meadowslip::policy {
@@ -92,4 +92,4 @@
 
 }  // namespace meadowslip::policy
 
-#endif  // MEADOWSLIP_SRC_POLICY_TURN_H_
+#endif  // MEADOWSLIP_SRC_POLICY_CONTEXT_H_
--- a/src/policy/fleet.h
+++ b/src/policy/fleet.h
@@ -3,8 +3,8 @@
 #define MEADOWSLIP_SRC_POLICY_FLEET_H_
 
 #include "kit/mix.h"
-#include "policy/turn.h"
-#include "state/roster.h"
+#include "policy/context.h"
+#include "state/backend_table.h"
 
 namespace meadowslip::policy {
 
--- a/src/policy/sending.h
+++ b/src/policy/sending.h
@@ -6,7 +6,7 @@
 
 #include "kit/meters.h"
 #include "policy/load.h"
-#include "state/lines.h"
+#include "state/request_queues.h"
 
 namespace meadowslip::policy {
 
--- a/src/state/roster.h
+++ b/src/state/backend_table.h
@@ -1,8 +1,8 @@
 // All backends that a node knows, by slot, and what is kept of them together: sums, counts, and the sets in
 // which each stands. Whoever changes a backend says so; how it stands then is judged elsewhere and filed
 // here, at a cost that grows with the logarithm of their number. No decisions are made here.
-#ifndef MEADOWSLIP_SRC_STATE_ROSTER_H_
-#define MEADOWSLIP_SRC_STATE_ROSTER_H_
+#ifndef MEADOWSLIP_SRC_STATE_BACKEND_TABLE_H_
+#define MEADOWSLIP_SRC_STATE_BACKEND_TABLE_H_
 
 #include <cmath>
 #include <map>
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-#include "kit/bag.h"
+#include "kit/indexed_set.h"
 #include "state/records.h"
 
 namespace meadowslip::state {
@@ -277,4 +277,4 @@
 
 }  // namespace meadowslip::state
 
-#endif  // MEADOWSLIP_SRC_STATE_ROSTER_H_
+#endif  // MEADOWSLIP_SRC_STATE_BACKEND_TABLE_H_
--- a/src/state/learned.h
+++ b/src/state/class_stats.h
@@ -1,6 +1,6 @@
 // What a node has learned of a class by its own requests. No decisions are made here.
-#ifndef MEADOWSLIP_SRC_STATE_LEARNED_H_
-#define MEADOWSLIP_SRC_STATE_LEARNED_H_
+#ifndef MEADOWSLIP_SRC_STATE_CLASS_STATS_H_
+#define MEADOWSLIP_SRC_STATE_CLASS_STATS_H_
 
 #include <algorithm>
 #include <cmath>
@@ -100,4 +100,4 @@
 
 }  // namespace meadowslip::state
 
-#endif  // MEADOWSLIP_SRC_STATE_LEARNED_H_
+#endif  // MEADOWSLIP_SRC_STATE_CLASS_STATS_H_
--- a/src/state/lines.h
+++ b/src/state/request_queues.h
@@ -1,12 +1,12 @@
 // The requests that are held, and the lines in which those that wait stand. Each change costs the logarithm
 // of their number at the most. What is calm, useful or worth more is judged elsewhere: no decisions are made
 // here.
-#ifndef MEADOWSLIP_SRC_STATE_LINES_H_
-#define MEADOWSLIP_SRC_STATE_LINES_H_
+#ifndef MEADOWSLIP_SRC_STATE_REQUEST_QUEUES_H_
+#define MEADOWSLIP_SRC_STATE_REQUEST_QUEUES_H_
 
 #include <boost/intrusive/set.hpp>
 
-#include "state/roster.h"
+#include "state/backend_table.h"
 
 namespace meadowslip::state {
 
@@ -212,4 +212,4 @@
 
 }  // namespace meadowslip::state
 
-#endif  // MEADOWSLIP_SRC_STATE_LINES_H_
+#endif  // MEADOWSLIP_SRC_STATE_REQUEST_QUEUES_H_
--- a/src/state/state.h
+++ b/src/state/serializer.h
@@ -1,7 +1,7 @@
 // Bytes for what the module keeps: a list of fields, written and read by the same words. No decisions are
 // made here.
-#ifndef MEADOWSLIP_SRC_STATE_STATE_H_
-#define MEADOWSLIP_SRC_STATE_STATE_H_
+#ifndef MEADOWSLIP_SRC_STATE_SERIALIZER_H_
+#define MEADOWSLIP_SRC_STATE_SERIALIZER_H_
 
 #include <algorithm>
 #include <array>
@@ -194,4 +194,4 @@
 
 }  // namespace meadowslip::state
 
-#endif  // MEADOWSLIP_SRC_STATE_STATE_H_
+#endif  // MEADOWSLIP_SRC_STATE_SERIALIZER_H_
--- a/tests/kit/kit_test.cpp
+++ b/tests/kit/kit_test.cpp
@@ -4,9 +4,9 @@
 #include <random>
 #include <set>
 
-#include "kit/bag.h"
 #include "kit/exact_sum.h"
 #include "kit/indexed_heap.h"
+#include "kit/indexed_set.h"
 #include "kit/meters.h"
 
 namespace burlfall::kit {
